--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -13,6 +13,8 @@
 mod store;
 #[cfg(test)]
 mod tests;
+#[cfg(test)]
+mod wire_tests;
 
 use std::collections::BTreeMap;
 use std::mem;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -12,6 +12,8 @@
 #[cfg(test)]
 mod tests;
 mod types;
+#[cfg(test)]
+mod wire_tests;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- /dev/null
+++ b/src/fleet/wire_tests.rs
@@ -0,0 +1,36 @@
+//! Guards the form of each kind of frame between dispatchers.
+
+use super::frame::{Body, Decision, Frame};
+use super::swim::Swim;
+use crate::consensus::LeaderTerm;
+use crate::wire_fixture::assert_bytes;
+
+#[test]
+fn each_kind_of_frame_keeps_its_form() {
+    let term: LeaderTerm = postcard::from_bytes(&[3, 2, 200, 1]).unwrap();
+    let decisions = vec![Decision { topic: 2, epoch: 300, body: vec![1, 2] }];
+    for (name, body) in [
+        ("fleet.swim", Body::Swim(vec![1, 2, 3])),
+        ("fleet.consensus", Body::Consensus(vec![4, 5])),
+        ("fleet.ask", Body::Ask(vec![(1, 300), (2, 4)])),
+        ("fleet.news", Body::News { decisions, term }),
+        ("fleet.part", Body::Part { topic: 1, bytes: vec![6] }),
+        ("fleet.want", Body::Want { hash: [7; 32], at: 300 }),
+        ("fleet.piece", Body::Piece { hash: [8; 32], length: 70_000, at: 4, bytes: vec![9, 10] }),
+    ] {
+        let frame = Frame { from: 3, session: 1_700_000_000_000, number: 77, body };
+        let bytes = frame.encode("example", 5);
+        assert_bytes(name, &bytes);
+        assert_eq!(Frame::decode(&bytes, "example", 5), Ok(frame), "{name}");
+    }
+}
+
+#[test]
+fn a_member_is_announced_by_the_same_bytes() {
+    let mut swim = Swim::new(1, 3, 1_700_000_000_000, 9);
+    swim.tick(0.0, |_| 1);
+    let sent = swim.take();
+    let (to, bytes) = sent.first().expect("it announces itself");
+    assert_eq!(*to, 2);
+    assert_bytes("fleet.swim_announce", bytes);
+}
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -556,3 +556,5 @@
 
 #[cfg(test)]
 mod tests;
+#[cfg(test)]
+mod wire_tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,6 +26,8 @@
 pub mod shared;
 mod state;
 pub mod telemetry;
+#[cfg(test)]
+mod wire_fixture;
 pub mod zones;
 
 pub use logic::Dispatcher;
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -14,6 +14,8 @@
 mod member;
 #[cfg(test)]
 mod tests;
+#[cfg(test)]
+mod wire_tests;
 
 pub use lead::Lead;
 pub use member::{Effect, Member, Standing};
--- /dev/null
+++ b/src/rollout/wire_tests.rs
@@ -0,0 +1,46 @@
+//! Guards the form of what dispatchers send one another about changes of policy, and of what is decided of them.
+
+use super::{Decision, Hold, LeaseRequest, Message, Outcome, Policy};
+use crate::consensus::LeaderTerm;
+use crate::wire_fixture::assert_bytes;
+
+fn policy(version: u64) -> Policy {
+    Policy { version, hash: [version as u8; 32] }
+}
+
+fn hold() -> Hold {
+    let term: LeaderTerm = postcard::from_bytes(&[3, 2, 200, 1]).unwrap();
+    Hold { term, attempt: 4, version: 9 }
+}
+
+#[test]
+fn each_message_keeps_its_form() {
+    let bare = LeaseRequest::default();
+    let request = LeaseRequest {
+        nonce: 300,
+        epoch: 5,
+        checked: Some((9, Some("no".into()))),
+        holds: Some(hold()),
+        wants: Some(policy(10)),
+    };
+    for (name, message) in [
+        ("rollout.lease_request", Message::LeaseRequest(request)),
+        ("rollout.lease_request_bare", Message::LeaseRequest(bare)),
+        ("rollout.lease_grant", Message::LeaseGrant { nonce: 300, lasts: 1900, epoch: 5 }),
+        ("rollout.hold", Message::Hold(hold())),
+        ("rollout.resume", Message::Resume(hold())),
+        ("rollout.leave", Message::Leave { serves: true }),
+        ("rollout.left", Message::Left),
+    ] {
+        assert_bytes(name, &message.encode());
+        assert_eq!(Message::decode(&message.encode()), Some(message), "{name}");
+    }
+}
+
+#[test]
+fn a_decision_keeps_its_form() {
+    let last = Outcome { version: 8, in_force: false, reason: "why".into() };
+    let decision = Decision { policy: policy(7), staged: Some(policy(9)), highest: 9, last: Some(last) };
+    assert_bytes("rollout.decision", &decision.encode());
+    assert_eq!(Decision::decode(&decision.encode()), decision);
+}
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -10,6 +10,8 @@
 mod part;
 #[cfg(test)]
 mod tests;
+#[cfg(test)]
+mod wire_tests;
 
 pub use decide::{Decider, Rules};
 pub use evidence::{Digest, End, Evidence, FRESH, STEP, Seen, Sight, Source, Tally, Verdict};
--- a/src/zones/part.rs
+++ b/src/zones/part.rs
@@ -37,7 +37,7 @@
 
 /// What members say to voters.
 #[derive(Serialize, Deserialize)]
-struct DigestMessage(Digest);
+pub(super) struct DigestMessage(pub(super) Digest);
 
 /// The part.
 pub struct Zones {
--- /dev/null
+++ b/tests/compatibility.rs
@@ -0,0 +1,503 @@
+//! What operators, peers and stored data rely on, as the program had it before its code was rearranged: files that an
+//! earlier program left are read and used, and what is seen from outside has the same names, forms and messages.
+
+#[path = "common/net.rs"]
+mod net;
+
+use std::collections::BTreeSet;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream, UdpSocket};
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::time::Instant;
+
+use micabeam::api::{Member, MemberState, WorkerId};
+use micabeam::core::{Clock, Core, Line};
+use micabeam::front::handover::Note;
+use micabeam::lifecycle::memory::Memory;
+use micabeam::settings::Site;
+use net::*;
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_micabeam");
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+/// Compares with a fixture, and shows the whole of what there is now where they differ.
+fn assert_fixture(name: &str, now: &str) {
+    let known = std::fs::read_to_string(fixture(name)).unwrap_or_default();
+    assert!(known == now, "tests/fixtures/{name} differs; now it is:\n{now}");
+}
+
+/// Asks a console, and gives all of its answer.
+fn call(console: SocketAddr, line: &str) -> String {
+    let mut stream = TcpStream::connect(console).unwrap();
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.write_all(format!("{line}\n").as_bytes()).unwrap();
+    let mut answer = String::new();
+    let _ = stream.read_to_string(&mut answer);
+    answer
+}
+
+fn until(what: &str, holds: impl Fn() -> bool) {
+    let end = Instant::now() + PATIENCE;
+    while !holds() {
+        assert!(Instant::now() < end, "{what}");
+        std::thread::sleep(std::time::Duration::from_millis(5));
+    }
+}
+
+/// A fleet of three with stored votes and policies, in a directory of its own.
+struct Fleet {
+    addresses: Vec<SocketAddr>,
+    dir: PathBuf,
+}
+
+impl Fleet {
+    fn new() -> Fleet {
+        let free: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        let addresses = free.iter().map(|s| s.local_addr().unwrap()).collect();
+        Fleet { addresses, dir: file("state", "").parent().unwrap().to_path_buf() }
+    }
+
+    /// Copies what an earlier program has stored.
+    fn with_stored_state() -> Fleet {
+        let fleet = Fleet::new();
+        for own in 0..3 {
+            let votes = format!("votes-{own}");
+            std::fs::copy(fixture("fleet").join(&votes), fleet.dir.join(&votes)).unwrap();
+            let kept = format!("kept-{own}");
+            std::fs::create_dir_all(fleet.dir.join(&kept)).unwrap();
+            for entry in std::fs::read_dir(fixture("fleet").join("kept")).unwrap() {
+                let entry = entry.unwrap();
+                std::fs::copy(entry.path(), fleet.dir.join(&kept).join(entry.file_name())).unwrap();
+            }
+        }
+        fleet
+    }
+
+    fn want(&self, own: usize, version: u64) {
+        let text = format!(
+            "version = {version}\n[[partition]]\nname = \"p\"\nprefixes = [\"s-\"]\n[[rule]]\nname = \"all\"\npartition = \"p\"\n"
+        );
+        std::fs::write(self.dir.join(format!("policy-{own}.toml")), text).unwrap();
+    }
+
+    /// The operator's file of a member.
+    fn table(&self, own: usize) -> String {
+        let mut text = format!(
+            "console = \"127.0.0.1:0\"\n[fleet]\ncluster = \"stored\"\nname = \"n{own}\"\nstate = \"{}\"\nzones = [\"z\"]\n",
+            self.dir.join(format!("votes-{own}")).display()
+        );
+        for (at, address) in self.addresses.iter().enumerate() {
+            text += &format!(
+                "[[fleet.member]]\nname = \"n{at}\"\naddress = \"{address}\"\nzone = \"z\"\nvoter = true\n"
+            );
+        }
+        text + &format!(
+            "[rollout]\npolicy = \"{}\"\nkeep = \"{}\"\nlease_ms = 2000\n",
+            self.dir.join(format!("policy-{own}.toml")).display(),
+            self.dir.join(format!("kept-{own}")).display()
+        )
+    }
+
+    /// Starts a member; its console.
+    fn start(&self, own: usize) -> (Program, SocketAddr) {
+        let config = config(128, nobody(), &[("s-1", nobody())]);
+        let mut program = Program::of(Command::new(PROGRAM), Some(&config), None, Some(&self.table(own)));
+        program.address();
+        let console = program.address();
+        (program, console)
+    }
+}
+
+/// Version 2 was in force when the fleet was stopped as a whole. Its operators' files still have version 1, which a fleet
+/// that remembers nothing would take.
+#[test]
+fn a_fleet_goes_on_from_the_votes_and_policies_that_were_stored() {
+    let fleet = Fleet::with_stored_state();
+    (0..3).for_each(|own| fleet.want(own, 1));
+    let started: Vec<_> = (0..3).map(|own| fleet.start(own)).collect();
+    let all = |what: &str| started.iter().all(|(_, console)| call(*console, "policy").contains(what));
+    until("the stored version is in force", || {
+        all("runs 2 decided 2 staged none wanted none epoch 4 serves yes")
+    });
+    assert!(all("last 2 in force"));
+    fleet.want(1, 3);
+    started[1].0.signal("HUP");
+    until("the next version is in force", || {
+        all("runs 3 decided 3 staged none wanted none epoch 6 serves yes")
+    });
+}
+
+/// What a process has left at an upgrade, with jobs served before, is what the next one goes on from.
+#[test]
+fn a_stored_warm_state_and_its_note_are_read_and_used() {
+    let note = Note::parse(include_str!("fixtures/upgrade/note.handover")).expect("it reads");
+    let bytes = include_bytes!("fixtures/upgrade/state.memory");
+    let names: Vec<String> =
+        ["avail-search", "confirm-booking", "short-hold"].into_iter().map(String::from).collect();
+    let left_at = f64::from_le_bytes(bytes[18 + PID_BYTES..][..8].try_into().unwrap());
+    let memory = Memory::decode(bytes, note.pid, &names, left_at + 500.0).expect("it reads");
+    assert_eq!(memory.encode(), bytes, "it is written as it was read");
+    assert_eq!(memory.lines.len(), 2);
+    let site = Site::parse(SETTINGS.as_bytes()).unwrap();
+    let mut core = Core::new(site, 1, Clock::manual(left_at + 500.0), 64);
+    let line = |line: &micabeam::lifecycle::memory::Listed| Line {
+        name: line.name.clone(),
+        address: line.address.clone(),
+        member: Member {
+            worker: WorkerId(0),
+            kind: line.kind,
+            zone: line.zone,
+            cell: line.cell,
+            size: line.size,
+            born: line.born,
+            state: if line.draining { MemberState::Draining } else { MemberState::Ready },
+        },
+    };
+    assert!(core.recall(memory.lines.iter().map(line).collect(), memory.learned.clone()));
+    assert_eq!(core.learned(), memory.learned, "all of it counts");
+}
+
+/// Bytes of the process's number in the stored state.
+const PID_BYTES: usize = 2;
+
+#[test]
+fn figures_keep_their_names_types_and_labels() {
+    let fleet = Fleet::with_stored_state();
+    (0..3).for_each(|own| fleet.want(own, 1));
+    let started: Vec<_> = (0..3).map(|own| fleet.start(own)).collect();
+    until("figures are told", || call(started[0].1, "telemetry").contains("lb_fleet_evidence{"));
+    let text = call(started[0].1, "telemetry");
+    let mut rows = BTreeSet::new();
+    for line in text.lines() {
+        if let Some(declared) = line.strip_prefix("# TYPE ") {
+            rows.insert(declared.to_string());
+        } else if let Some((name, labels)) = line.split_once('{') {
+            let values: Vec<&str> = labels.split('"').collect();
+            let keys: String = values.iter().step_by(2).copied().collect::<Vec<_>>().join("\"\"");
+            rows.insert(format!("{name}{{{}", keys.rsplit_once(' ').unwrap().0));
+        }
+    }
+    let now: String = rows.into_iter().map(|row| row + "\n").collect();
+    assert_fixture("figures.txt", &now);
+    assert!(text.ends_with("--\n"));
+}
+
+/// The first line of a console's answer for each call in each phase.
+#[test]
+fn the_console_answers_as_before() {
+    let config = config(128, nobody(), &[("s-1", nobody())]);
+    let config = config.replacen('{', r#"{"console": "127.0.0.1:0", "#, 1);
+    let mut program = Program::start(Some(&config), None);
+    program.address();
+    let console = program.address();
+    let mut log = String::new();
+    for line in
+        ["readyz", "policy", "evacuate", "readyz", "evacuate", "activate", "readyz", "activate", "", "what"]
+    {
+        log += &format!("{line}: {}", call(console, line));
+    }
+    program.signal("TERM");
+    until("it drains", || call(console, "readyz") != "ACK ready\n");
+    for line in ["readyz", "evacuate", "activate"] {
+        log += &format!("{line}: {}", call(console, line));
+    }
+    assert_fixture("console.txt", &log);
+    assert_eq!(program.child.wait().unwrap().code(), Some(0));
+}
+
+/// The names of all counters, as `GET /counters` tells them and as the log has them at the end.
+#[test]
+fn counters_keep_their_names() {
+    let text = "[stream]\nlisten = \"127.0.0.1:0\"\nconnections = 16\npipes = 0\nservers = [{name = \"a\", dial = \"127.0.0.1:1\"}]\n\
+        [[stream.class]]\nname = \"export\"\nrepeat = \"safe\"\n\
+        [gearman]\nlisten = \"127.0.0.1:0\"\npeers = 8\n[gearman.functions.search]\nclass = \"avail-search\"\n";
+    let config = config(512, nobody(), &[]);
+    let mut program = Program::of(Command::new(PROGRAM), Some(&config), None, Some(text));
+    // Gearman's and the stream front's come first.
+    let addresses: Vec<SocketAddr> = (0..3).map(|_| program.address()).collect();
+    let mut http = Http::connect(addresses[2]);
+    http.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
+    let name = |line: &str| line.split(' ').next().unwrap_or_default().to_string() + "\n";
+    let mut now = "GET /counters\n".to_string();
+    now.extend(http.read().1.lines().map(name));
+    program.signal("TERM");
+    let (well, log) = program.wait();
+    assert!(well, "{log}");
+    now += "at the end\n";
+    now.extend(log.lines().filter(|line| !line.starts_with("micabeam: ")).map(name));
+    assert_fixture("counters.txt", &now);
+}
+
+/// One start of the program, by its files, variables and arguments.
+#[derive(Default)]
+struct Start<'a> {
+    config: Option<String>,
+    gearman: Option<&'a str>,
+    operator: Option<String>,
+    variables: Vec<(&'a str, &'a str)>,
+    arguments: Vec<&'a str>,
+}
+
+impl Start<'_> {
+    /// Runs it to its end: its exit code, and what it wrote, with the names of its files by their last part.
+    fn run(&self) -> (Option<i32>, String) {
+        let mut command = Command::new(PROGRAM);
+        for variable in ["LB_CONFIG", "LB_LISTEN", "LB_DISCOVERY", "LB_NAME", "LB_CONSOLE"] {
+            command.env_remove(variable);
+        }
+        let mut files = Vec::new();
+        let mut place = |name: &str, text: &str| {
+            files.push(file(name, text));
+            files.last().unwrap().clone()
+        };
+        if let Some(config) = &self.config {
+            command.env("LB_CONFIG", place("config.json", config));
+        }
+        if let Some(gearman) = self.gearman {
+            command.arg("--gearman").arg(place("gearman.json", gearman));
+        }
+        if let Some(operator) = &self.operator {
+            command.arg("--operator").arg(place("operator.toml", operator));
+        }
+        command.envs(self.variables.iter().copied()).args(&self.arguments);
+        let output = command.output().unwrap();
+        let mut text = String::from_utf8(output.stdout).unwrap() + &String::from_utf8(output.stderr).unwrap();
+        let root = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
+        while let Some(at) = text.find(root.to_str().unwrap()) {
+            // The root and the test's own directory below it.
+            let own = text[at + root.as_os_str().len() + 1..].find('/').unwrap();
+            text.replace_range(at..at + root.as_os_str().len() + own + 2, "");
+        }
+        let listens = "listening at 127.0.0.1:";
+        if let Some(at) = text.find(listens).map(|at| at + listens.len()) {
+            let end = at + text[at..].find('\n').unwrap();
+            text.replace_range(at - "127.0.0.1:".len()..end, "ADDRESS");
+        }
+        (output.status.code(), text)
+    }
+}
+
+/// A configuration with one text in place of another.
+fn config_with(from: &str, to: &str) -> Option<String> {
+    let discovery = "127.0.0.1:1".parse().unwrap();
+    let plain = config(128, discovery, &[("s-1", discovery)]);
+    assert!(plain.contains(from), "{from}");
+    Some(plain.replacen(from, to, 1))
+}
+
+/// A start that is refused as its platform's configuration has one text in place of another.
+fn config_case<'a>(from: &str, to: &str) -> Start<'a> {
+    Start { config: config_with(from, to), ..Start::default() }
+}
+
+fn gearman_case(gearman: &str) -> Start<'_> {
+    Start { config: config_with("", ""), gearman: Some(gearman), ..Start::default() }
+}
+
+fn operator_case<'a>(operator: impl Into<String>) -> Start<'a> {
+    Start { operator: Some(operator.into()), ..Start::default() }
+}
+
+#[test]
+fn a_bad_configuration_is_refused_with_the_same_messages() {
+    let deep = "[".repeat(40);
+    let variable = |name, value| Start {
+        config: config_with("", ""),
+        variables: vec![(name, value)],
+        ..Start::default()
+    };
+    let fleet = |from: &str, to: &str| {
+        let good = "[fleet]\ncluster = \"c\"\nname = \"n0\"\nstate = \"votes\"\nzones = [\"a\", \"b\"]\n\
+            [[fleet.member]]\nname = \"n0\"\naddress = \"127.0.0.1:1\"\nzone = \"a\"\nvoter = true\n\
+            [[fleet.member]]\nname = \"n1\"\naddress = \"127.0.0.1:2\"\nzone = \"b\"\nvoter = true\n\
+            [[fleet.member]]\nname = \"n2\"\naddress = \"127.0.0.1:3\"\nzone = \"b\"\nvoter = true\n\
+            [rollout]\npolicy = \"no/policy\"\nkeep = \"kept\"\n";
+        assert!(good.contains(from), "{from}");
+        Start { config: config_with("", ""), ..operator_case(good.replacen(from, to, 1)) }
+    };
+    let stored = |votes: &[u8]| {
+        let path = file("votes", "");
+        std::fs::write(&path, votes).unwrap();
+        let policy = file("policy.toml", "version = 1\n");
+        fleet("\"votes\"", &format!("\"{}\"", path.display()))
+            .with_operator(|text| text.replace("no/policy", policy.to_str().unwrap()))
+    };
+    let stream = "[stream]\nlisten = \"127.0.0.1:0\"\n";
+    let cases = [
+        ("no configuration", Start::default()),
+        ("no such file", Start { variables: vec![("LB_CONFIG", "no/such/file")], ..Start::default() }),
+        ("no json", Start { config: Some("{".into()), ..Start::default() }),
+        ("nested", Start { config: Some(deep), ..Start::default() }),
+        ("empty", Start { config: Some("{}".into()), ..Start::default() }),
+        ("no grades", config_case("\"grades\"", "\"grade\"")),
+        ("semantics", config_case("retryable", "sometimes")),
+        ("key scope", config_case("\"retryable\"", "\"dedup\", \"keyScope\": \"town\"")),
+        ("aim", config_case("\"aim\"", "\"goal\"")),
+        ("quantum", config_case("\"quantum\"", "\"quant\"")),
+        ("balancers", config_case("\"balancers\"", "\"b\"")),
+        ("number", config_case("\"myNumber\"", "\"n\"")),
+        ("send cap", config_case("\"sendCap\"", "\"s\"")),
+        ("cold from", config_case("\"coldFrom\"", "\"c\"")),
+        ("cold", config_case("\"cold\"", "\"c\"")),
+        ("tip multiple", config_case("\"tipMultiple\"", "\"t\"")),
+        ("seed", config_case("5eed", "seed")),
+        ("sockets", config_case("128", "3")),
+        ("listen", config_case("127.0.0.1:0", "here")),
+        ("discovery", config_case("127.0.0.1:1", "there")),
+        ("no listen", config_case("\"listen\"", "\"listens\"")),
+        ("no discovery", config_case("\"discovery\"", "\"discover\"")),
+        ("console", config_case("\"name\"", "\"console\": \"x\", \"name\"")),
+        ("list without version", config_case("\"seq\"", "\"s\"")),
+        ("line without name", config_case("\"host\": \"s-1\"", "\"h\": 1")),
+        ("LB_LISTEN", variable("LB_LISTEN", "here")),
+        ("LB_DISCOVERY", variable("LB_DISCOVERY", "there")),
+        ("LB_CONSOLE", variable("LB_CONSOLE", "there")),
+        ("gearman listen", gearman_case("{}")),
+        ("gearman address", gearman_case(r#"{"listen": "x"}"#)),
+        ("gearman functions", gearman_case(r#"{"listen": "127.0.0.1:0"}"#)),
+        ("gearman no function", gearman_case(r#"{"listen": "127.0.0.1:0", "functions": {}}"#)),
+        ("gearman name", gearman_case(r#"{"listen": "127.0.0.1:0", "functions": {"a b": {}}}"#)),
+        ("gearman no class", gearman_case(r#"{"listen": "127.0.0.1:0", "functions": {"a": {}}}"#)),
+        ("gearman class", gearman_case(r#"{"listen": "127.0.0.1:0", "functions": {"a": {"class": "x"}}}"#)),
+        (
+            "gearman tenant",
+            gearman_case(
+                r#"{"listen": "127.0.0.1:0", "functions": {"a": {"class": "avail-search", "tenant": "x"}}}"#,
+            ),
+        ),
+        (
+            "gearman identity",
+            gearman_case(
+                r#"{"listen": "127.0.0.1:0", "functions": {"a": {"class": "avail-search"}}, "identity": {}}"#,
+            ),
+        ),
+        ("gearman alone", Start { gearman: Some(r#"{"listen": "127.0.0.1:0"}"#), ..Start::default() }),
+        ("operator missing", Start { arguments: vec!["--operator", "no/such/file"], ..Start::default() }),
+        ("operator no toml", operator_case("[stream\n")),
+        ("operator key", operator_case("[streams]\n")),
+        ("operator empty", operator_case("")),
+        ("stream nothing", operator_case(stream)),
+        (
+            "stream figures",
+            operator_case(format!(
+                "{stream}servers = [{{name = \"a\", dial = \"127.0.0.1:1\"}}, {{name = \"a\", dial = \"127.0.0.1:1\"}}]\n\
+                 attempts = 9\nmemory_mb = 2\n[[stream.class]]\nname = \"a/b\"\nrepeat = \"safe\"\nwait_s = 0\n"
+            )),
+        ),
+        (
+            "stream class",
+            operator_case(format!("{stream}[[stream.class]]\nname = \"a\"\nrepeat = \"often\"\n")),
+        ),
+        (
+            "gearman twice",
+            Start {
+                operator: Some("[gearman]\nlisten = \"127.0.0.1:0\"\n[gearman.functions]\n".into()),
+                ..gearman_case("{}")
+            },
+        ),
+        (
+            "rollout alone",
+            operator_case("console = \"127.0.0.1:0\"\n[rollout]\npolicy = \"p\"\nkeep = \"k\"\n"),
+        ),
+        ("rollout without the platform", Start { config: None, ..fleet("", "").with_stream(stream) }),
+        ("fleet own", fleet("name = \"n0\"\nstate", "name = \"n9\"\nstate")),
+        ("fleet state", fleet("state = \"votes\"\n", "")),
+        ("fleet twice", fleet("127.0.0.1:2", "127.0.0.1:1")),
+        ("fleet zone", fleet("[\"a\", \"b\"]", "[\"a\"]")),
+        ("fleet voters", fleet("zone = \"a\"\nvoter = true", "zone = \"a\"")),
+        ("fleet cluster", fleet("cluster = \"c\"", "cluster = \"\"")),
+        (
+            "fleet figures",
+            fleet("zones =", "slots = 0\ngeneration = 0\nrules = {margin = 2, keep_ms = 1}\nzones ="),
+        ),
+        ("rollout figures", fleet("keep =", "lease_ms = 1\nhold_ms = 1\nkeep =")),
+        ("rollout policy", fleet("", "")),
+        ("votes foreign", stored(b"something else, and long")),
+        ("votes damaged", stored(&damaged())),
+        ("votes of a later generation", stored(&generation(2))),
+        ("votes of a later version", stored(&newer())),
+        ("unknown flag", Start { arguments: vec!["--nonsense"], ..Start::default() }),
+        ("help", Start { arguments: vec!["--help"], ..Start::default() }),
+        ("version", Start { arguments: vec!["--version"], ..Start::default() }),
+    ];
+    let mut now = String::new();
+    for (name, start) in cases {
+        let (code, text) = start.run();
+        now += &format!("== {name}\nexit {code:?}\n{text}");
+    }
+    assert_fixture("refusals.txt", &now);
+}
+
+impl Start<'_> {
+    fn with_operator(mut self, change: impl Fn(&str) -> String) -> Self {
+        self.operator = self.operator.map(|text| change(&text));
+        self
+    }
+
+    fn with_stream(self, stream: &str) -> Self {
+        let servers = "servers = [{name = \"a\", dial = \"127.0.0.1:1\"}]\n[[stream.class]]\nname = \"e\"\nrepeat = \"safe\"\n";
+        self.with_operator(|text| {
+            format!("{text}{stream}{servers}").replace("no/policy", policy_file().to_str().unwrap())
+        })
+    }
+}
+
+fn policy_file() -> PathBuf {
+    file("policy.toml", "version = 1\n")
+}
+
+/// The stored votes with a byte changed in their first batch.
+fn damaged() -> Vec<u8> {
+    let mut bytes = std::fs::read(fixture("fleet/votes-0")).unwrap();
+    bytes[35] ^= 1;
+    // A batch after it: what follows the damage was answered for.
+    bytes.extend(bytes[18..].to_vec());
+    bytes
+}
+
+/// The head of a voter's file.
+fn votes_head(version: u16, generation: u32) -> Vec<u8> {
+    let mut bytes = b"micabeam".to_vec();
+    bytes.extend(version.to_le_bytes());
+    bytes.extend(generation.to_le_bytes());
+    bytes.extend(crc32c::crc32c(&bytes).to_le_bytes());
+    bytes
+}
+
+fn generation(generation: u32) -> Vec<u8> {
+    votes_head(1, generation)
+}
+
+fn newer() -> Vec<u8> {
+    votes_head(2, 1)
+}
+
+/// The variables go before the configuration; its addresses are printed at the start.
+#[test]
+fn variables_go_before_the_configuration() {
+    let (front, discovery) = (listener(), listener());
+    let address = front.1;
+    drop(front);
+    let mut command = Command::new(PROGRAM);
+    for variable in ["LB_CONFIG", "LB_NAME"] {
+        command.env_remove(variable);
+    }
+    command.env("LB_CONFIG", file("config.json", &config_with("", "").unwrap()));
+    command.env("LB_LISTEN", address.to_string()).env("LB_DISCOVERY", discovery.1.to_string());
+    command.env("LB_CONSOLE", "127.0.0.1:0");
+    let mut child =
+        command.stdout(std::process::Stdio::piped()).stderr(std::process::Stdio::null()).spawn().unwrap();
+    let mut out = std::io::BufReader::new(child.stdout.take().unwrap());
+    let mut lines = [String::new(), String::new()];
+    lines.iter_mut().for_each(|line| drop(std::io::BufRead::read_line(&mut out, line)));
+    let asked = Http::accept(&discovery.0).read().0;
+    let _ = child.kill();
+    let _ = child.wait();
+    assert_eq!(lines[0], format!("micabeam: listening at {address}\n"));
+    assert!(lines[1].starts_with("micabeam: console at 127.0.0.1:"), "{lines:?}");
+    assert!(asked.starts_with("GET /discovery/hosts?since=7&timeout_ms="), "{asked}");
+}
