--- a/benches/lists.rs
+++ b/benches/lists.rs
@@ -4,8 +4,8 @@
 use std::hint::black_box;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use micabeam::api::{Member, MemberState, Outcome, Report};
 use micabeam::core::{Clock, Command, Core, Line, Request};
+use micabeam::routing::{Member, MemberState, Outcome, Report};
 use micabeam::settings::Site;
 
 /// Lines of a list.
--- a/rig/src/scale/dispatcher.rs
+++ b/rig/src/scale/dispatcher.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use micabeam::consensus::{Write, file};
+use micabeam::control_plane::{Setup, Shared};
 use micabeam::fleet::{self, Hash, Member, Place};
 use micabeam::rollout;
-use micabeam::shared::{Setup, Shared};
 use micabeam::zones::{self, End};
 
 use super::checker::Front;
--- a/rig/src/scale/lists.rs
+++ b/rig/src/scale/lists.rs
@@ -2,10 +2,10 @@
 
 use std::time::Instant;
 
-use micabeam::api::{Outcome, Report};
 use micabeam::core::{Clock, Command, Core, Request};
-use micabeam::front::discovery::read_list;
+use micabeam::frontend::discovery::read_list;
 use micabeam::json;
+use micabeam::routing::{Outcome, Report};
 use micabeam::settings::Site;
 
 use super::memory::resident_kb;
--- a/rig/src/scale/mod.rs
+++ b/rig/src/scale/mod.rs
@@ -1,5 +1,5 @@
 //! Scale tests: many hollow dispatchers in one process. A hollow dispatcher is the program's own state machines
-//! (`micabeam::shared::Shared`, and for a sample of them the server table and the decision module) on a set clock; its
+//! (`micabeam::control_plane::Shared`, and for a sample of them the server table and the decision module) on a set clock; its
 //! datagrams are really encoded and decoded, and travel over links that delay, lose, reorder and cut by seed.
 //!
 //! Counts of messages and bytes are exact and the same for a seed. Processor time is measured around each call of a state
--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use micabeam::consensus::LeaderTerm;
+use micabeam::control_plane::Effect;
 use micabeam::fleet::{self, Member, Place};
 use micabeam::rollout;
-use micabeam::shared::Effect;
 
 use super::checker::Checker;
 use super::dispatcher::{Dispatcher, Usage};
--- a/src/bin/micabeam-adapter/main.rs
+++ b/src/bin/micabeam-adapter/main.rs
@@ -9,8 +9,8 @@
 use std::process::ExitCode;
 
 use frame::{Reader, Writer};
-use micabeam::Dispatcher;
-use micabeam::api::{
+use micabeam::routing::Dispatcher;
+use micabeam::routing::{
     Action, Ended, Event, Job, JobId, Member, MemberState, Micros, Outcome, Report, WorkerId,
 };
 use micabeam::settings::Site;
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use crate::api::Micros;
+use crate::routing::Micros;
 
 /// Tells the time; copies tell the same. It never runs backwards.
 #[derive(Clone)]
--- a/src/core/table.rs
+++ b/src/core/endpoint_table.rs
@@ -2,7 +2,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::api::{Member, MemberState, WorkerId};
+use crate::routing::{Member, MemberState, WorkerId};
 
 /// Most backend servers that are remembered: twice the largest fleet that is planned for. A line beyond it is told by a
 /// line in the log and counted.
--- a/src/core/session.rs
+++ b/src/core/job.rs
@@ -1,6 +1,6 @@
 //! Sessions and their dispatches.
 
-use crate::api::WorkerId;
+use crate::routing::WorkerId;
 
 /// A session's id; the module's job carries the same.
 pub type SessionId = u64;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,11 +3,11 @@
 
 mod clock;
 mod counters;
-mod pool;
-mod session;
+mod endpoint_table;
+mod job;
+mod partition;
 mod stages;
-mod steer;
-mod table;
+mod traffic_split;
 
 use std::collections::VecDeque;
 
@@ -15,18 +15,18 @@
 
 pub use clock::{Clock, boot_ms, micros, millis};
 pub use counters::Counters;
-pub use pool::{PoolId, Selector};
-pub use session::{Dispatch, Request, Session, SessionId, Verdict};
-pub use steer::Happened;
-pub use table::{Line, MOST_SERVERS, Server, ServerTable};
-
-use crate::Dispatcher;
-use crate::api::{Action, Event, JobId, Member, MemberState, Micros, Outcome, Report, WorkerId};
-use crate::learned::Learned;
+pub use endpoint_table::{Line, MOST_SERVERS, Server, ServerTable};
+pub use job::{Dispatch, Request, Session, SessionId, Verdict};
+pub use partition::{PoolId, Selector};
+pub use traffic_split::Happened;
+
+use crate::routing::Dispatcher;
+use crate::routing::Learned;
+use crate::routing::{Action, Event, JobId, Member, MemberState, Micros, Outcome, Report, WorkerId};
 use crate::settings::Site;
 use crate::telemetry::{Gauges, Telemetry};
-use pool::Pool;
-use steer::Steer;
+use partition::Pool;
+use traffic_split::Steer;
 
 /// What a front is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -139,7 +139,7 @@
 
     /// Takes a request in. Without an id it was turned away, and the verdict is its answer.
     pub fn request(&mut self, request: Request) -> Result<SessionId, Verdict> {
-        let id = stages::take_in::take_in(self);
+        let id = stages::accept::accept(self);
         let request = stages::admit::admit(self, request)?;
         stages::route::arrive(self, id, request);
         Ok(id)
@@ -147,7 +147,7 @@
 
     /// A session's client has left.
     pub fn client_left(&mut self, session: SessionId) {
-        stages::relay::client_left(self, session);
+        stages::complete::client_left(self, session);
     }
 
     /// A dispatch has ended; `result` is what it served. False if it was over already.
@@ -159,23 +159,23 @@
         report: Report,
         result: Vec<u8>,
     ) -> bool {
-        stages::relay::ended(self, session, attempt, outcome, report, result)
+        stages::complete::ended(self, session, attempt, outcome, report, result)
     }
 
     /// A dispatch's job was started by its backend server.
     pub fn started(&mut self, session: SessionId, attempt: usize) {
-        stages::relay::started(self, session, attempt);
+        stages::complete::started(self, session, attempt);
     }
 
     /// All of a dispatch's request, relayed as it came, is with its server.
     pub fn written(&mut self, session: SessionId, attempt: usize) {
-        stages::relay::written(self, session, attempt);
+        stages::complete::written(self, session, attempt);
     }
 
     /// The answer of a dispatch has begun, and is relayed as it comes: from now on the session has no deadline, and
     /// ends as the dispatch does. False if the dispatch is over already, and its answer must not be passed on.
     pub fn streaming(&mut self, session: SessionId, attempt: usize) -> bool {
-        stages::relay::streaming(self, session, attempt)
+        stages::complete::streaming(self, session, attempt)
     }
 
     /// Takes lines into the server table, and gives members as the module is to see them.
@@ -273,7 +273,7 @@
 
     /// Whether a listed server that takes work is one of these.
     pub fn has(&self, selector: &Selector) -> bool {
-        pool::has(&self.table, selector)
+        partition::has(&self.table, selector)
     }
 
     /// Tells what has happened since the last look.
@@ -421,7 +421,7 @@
 
     /// A dispatch's request was written whole to its backend server, where its body was not relayed as it came.
     pub fn written_whole(&mut self, session: SessionId, attempt: usize) {
-        stages::relay::whole(self, session, attempt);
+        stages::complete::whole(self, session, attempt);
     }
 
     /// The operators' counters.
--- a/src/core/pool.rs
+++ b/src/core/partition.rs
@@ -1,10 +1,10 @@
 //! Pools: parts of the backend servers that some requests are kept to. Each has a decision module of its own, which sees
 //! only its servers and chooses among them as over the whole list. Where no policy is set up there is none.
 
-use crate::Dispatcher;
-use crate::api::{Member, MemberState, Micros, Settings};
-use crate::core::table::{Line, ServerTable};
-use crate::learned::Learned;
+use crate::core::endpoint_table::{Line, ServerTable};
+use crate::routing::Dispatcher;
+use crate::routing::Learned;
+use crate::routing::{Member, MemberState, Micros, Settings};
 
 /// A pool's number; 0 is the whole list.
 pub type PoolId = u32;
--- a/src/core/stages/take_in.rs
+++ b/src/core/stages/accept.rs
@@ -3,7 +3,7 @@
 use crate::core::{Core, SessionId};
 
 /// Counts a request and gives it an id that is never used again.
-pub fn take_in(core: &mut Core) -> SessionId {
+pub fn accept(core: &mut Core) -> SessionId {
     core.counters.taken += 1;
     core.last += 1;
     core.last
--- a/src/core/stages/relay.rs
+++ b/src/core/stages/complete.rs
@@ -1,8 +1,8 @@
 //! Relay: what becomes of a dispatch goes to the module, and a result to the client.
 
-use crate::api::{Ended, Event, JobId, Outcome, Report};
-use crate::core::stages::{book, route};
-use crate::core::{Core, Happened, SessionId, Verdict, micros, millis, steer};
+use crate::core::stages::{answer, route};
+use crate::core::{Core, Happened, SessionId, Verdict, micros, millis, traffic_split};
+use crate::routing::{Ended, Event, JobId, Outcome, Report};
 
 /// The end of a dispatch. One that is over already is counted and changes nothing, so that news that repeat or
 /// come late cannot answer a session twice.
@@ -26,17 +26,17 @@
     let (worker, latency) = (dispatch.server, micros(dispatch.began.unwrap_or(now) - dispatch.sent));
     let streaming = core.sessions.get(&id).is_some_and(|s| s.streaming);
     if let Some(steer) = &mut core.steer
-        && let Some(end) = steer::end(outcome)
+        && let Some(end) = traffic_split::end(outcome)
         && let Some(server) = core.table.get(worker)
     {
         steer.note(Happened::Ended { zone: server.line.member.zone, end, took: millis(latency) });
     }
     match outcome {
-        Outcome::Served => book::answer(core, id, Verdict::Served(result)),
+        Outcome::Served => answer::answer(core, id, Verdict::Served(result)),
         // Bytes of the answer are out: nothing else can follow.
         _ if streaming => {
             core.counters.may_have_run += 1;
-            book::answer(core, id, Verdict::Failed);
+            answer::answer(core, id, Verdict::Failed);
         }
         _ if outcome.never_ran() => core.counters.never_ran += 1,
         _ => core.counters.may_have_run += 1,
--- a/src/core/stages/mod.rs
+++ b/src/core/stages/mod.rs
@@ -1,6 +1,6 @@
 //! The stages that a session passes, in this order.
 
-pub mod take_in;
+pub mod accept;
 
 pub mod admit;
 
@@ -8,6 +8,6 @@
 
 pub mod send;
 
-pub mod relay;
+pub mod complete;
 
-pub mod book;
+pub mod answer;
--- a/src/core/stages/route.rs
+++ b/src/core/stages/route.rs
@@ -1,8 +1,8 @@
 //! Route: the module decides. All its events pass here, and all its actions leave here.
 
-use crate::api::{Action, Event, Job, JobId};
-use crate::core::stages::{book, send};
+use crate::core::stages::{answer, send};
 use crate::core::{Core, PoolId, Request, Session, SessionId, Verdict, micros, millis};
+use crate::routing::{Action, Event, Job, JobId};
 
 /// Hands a new session to the module.
 pub fn arrive(core: &mut Core, id: SessionId, request: Request) {
@@ -44,9 +44,9 @@
             Action::Cancel { job, attempt } => send::cancel(core, job.0, attempt),
             Action::Refuse { job, retry_after } => {
                 let retry_after = millis(retry_after).min(core.site.max_retry_after);
-                book::answer(core, job.0, Verdict::Denied { retry_after });
+                answer::answer(core, job.0, Verdict::Denied { retry_after });
             }
-            Action::Fail { job } => book::answer(core, job.0, Verdict::Failed),
+            Action::Fail { job } => answer::answer(core, job.0, Verdict::Failed),
             Action::Probe { worker } => send::probe(core, worker),
             Action::Subscribe => send::subscribe(core),
             Action::WakeAt(at) => {
@@ -56,5 +56,5 @@
         }
     }
     core.actions = actions;
-    book::forget(core);
+    answer::forget(core);
 }
--- a/src/core/stages/send.rs
+++ b/src/core/stages/send.rs
@@ -1,7 +1,7 @@
 //! Send: a decision becomes a dispatch, and a command for the front.
 
-use crate::api::WorkerId;
 use crate::core::{Command, Core, Dispatch, SessionId};
+use crate::routing::WorkerId;
 
 /// Records a dispatch and has it sent.
 pub fn send(core: &mut Core, id: SessionId, server: WorkerId) {
--- a/src/core/steer.rs
+++ b/src/core/traffic_split.rs
@@ -1,7 +1,7 @@
 //! Steering: what each zone may get reaches the module through its list, and what zones did is kept for whoever
 //! steers. Off, it is not there.
 
-use crate::api::{Member, MemberState, Outcome};
+use crate::routing::{Member, MemberState, Outcome};
 use crate::zones::{End, Gate, WHOLE};
 
 /// Most events that are kept between two looks.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -5,9 +5,9 @@
 //! consensus travel here, and what they mean is the part's alone. A node is driven by frames and the clock, and gives out
 //! effects (what is to be sent and written) and news (what its parts are to be told), each in order.
 
+mod delivery;
 mod documents;
 mod frame;
-mod order;
 mod swim;
 #[cfg(test)]
 mod tests;
@@ -24,8 +24,8 @@
 use crate::consensus::{
     Batch, Consensus, ConsensusError, Kept, LeaderTerm, Setup as VoterSetup, Voter, Write,
 };
+use delivery::Newest;
 use documents::Documents;
-use order::Newest;
 use swim::Swim;
 pub use types::{Counts, Effect, Member, News, Place, Setup};
 
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 
+use super::delivery::Newest;
 use super::frame::{Body, Frame};
-use super::order::Newest;
 use crate::consensus::{Consensus, Setup, is_heartbeat};
 
 /// A heartbeat as a voter sends it.
--- a/src/flow/admission.rs
+++ b/src/flow/admission.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::api::{Report, WorkerId};
+use crate::routing::{Report, WorkerId};
 
 /// Bounds on streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/flow/tests.rs
+++ b/src/flow/tests.rs
@@ -231,7 +231,7 @@
     assert_eq!(slots.report(server).free_slots, Some(1.0));
 }
 
-use crate::api::WorkerId;
+use crate::routing::WorkerId;
 
 proptest! {
     /// Whatever peers do: what is held stays within the pool and the least of each lane, no lane passes its window,
--- a/src/front/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 
 use super::Sockets;
-use crate::api::{Member, MemberState, Settings, WorkerId};
 use crate::core::{Core, Line, micros, millis};
 use crate::json::{self, JsonValue, flag, number, text};
 use crate::net::ConnId;
 use crate::net::http;
+use crate::routing::{Member, MemberState, Settings, WorkerId};
 use crate::settings::Site;
 
 /// How long a call waits for news, in milliseconds: silence on it is noticed, and made good, before what it missed
--- a/src/front/fleet/figures.rs
+++ b/src/frontend/fleet/figures.rs
@@ -1,7 +1,7 @@
 //! The fleet's figures, in the text exposition format.
 
+use crate::control_plane::Shared;
 use crate::fleet::Counts;
-use crate::shared::Shared;
 use crate::telemetry::{escape, row};
 use crate::zones::Standing;
 
--- a/src/front/fleet/mod.rs
+++ b/src/frontend/fleet/mod.rs
@@ -3,11 +3,11 @@
 //! bounded channels; neither waits for the other. It decides nothing.
 
 mod config;
-mod disk;
 mod figures;
-mod keep;
-mod lines;
+mod log_lines;
+mod policy_store;
 mod thread;
+mod vote_log;
 
 use std::collections::VecDeque;
 
@@ -16,7 +16,7 @@
 
 pub use config::{Config, ConfigError, FleetTable, Rollout, RolloutTable};
 
-use super::platform::Platform;
+use super::http::Platform;
 use super::{Gateway, Sockets};
 use crate::core::{Clock, Core, Happened};
 use crate::fleet::TICK;
@@ -60,7 +60,7 @@
     /// one that does not read is refused at the start.
     pub fn new(config: Config, handle: LoopHandle<'static, Gateway>, clock: Clock) -> Result<Fleet, String> {
         if let Some(path) = &config.state {
-            disk::read(path, config.generation)?;
+            vote_log::read(path, config.generation)?;
         }
         let shares_policy = config.rollout.is_some();
         let wanted = config.rollout.as_ref().map(Rollout::read).transpose()?;
--- a/src/front/fleet/thread.rs
+++ b/src/frontend/fleet/thread.rs
@@ -1,5 +1,5 @@
 //! The loop of what is shared: datagrams between the addresses of the operator's file, the voter's file, and what comes
-//! from the fronts and goes to them. It decides nothing; `crate::shared` does.
+//! from the fronts and goes to them. It decides nothing; `crate::control_plane` does.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -15,14 +15,14 @@
 use socket2::{Domain, Socket, Type};
 
 use super::config::Config;
-use super::disk::{self, Disk};
-use super::lines::{log, standing_line};
-use super::{figures, keep};
+use super::log_lines::{log, standing_line};
+use super::vote_log::{self, Disk};
+use super::{figures, policy_store};
 use crate::consensus::Write;
+use crate::control_plane::{Effect, Setup, Shared};
 use crate::core::Clock;
 use crate::fleet::{self, LONGEST, Member};
 use crate::rollout;
-use crate::shared::{Effect, Setup, Shared};
 use crate::zones::{self, End};
 
 /// While another process holds the address, as the one that an upgrade replaces, it is tried again so often, in
@@ -294,7 +294,7 @@
         };
         // Read only now: the process that held the address may have voted until then.
         let kept = match &self.config.state {
-            Some(path) => disk::read(path, self.config.generation)?,
+            Some(path) => vote_log::read(path, self.config.generation)?,
             None => None,
         };
         let fleet = fleet::Setup {
@@ -311,7 +311,7 @@
         let mut shared = Shared::new(setup, kept, now).map_err(|e| e.to_string())?;
         if let Some(rollout) = agreed {
             let dir = rollout.keep.display();
-            let documents = keep::read(&rollout.keep).map_err(|e| format!("{dir}: {e}"))?;
+            let documents = policy_store::read(&rollout.keep).map_err(|e| format!("{dir}: {e}"))?;
             for document in documents {
                 shared.policy(now, |_, node| node.keep(&document));
             }
@@ -464,7 +464,8 @@
         let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
         match effect {
             Effect::Save(hash, bytes) => {
-                let kept = self.config.rollout.as_ref().map(|rollout| keep::write(&rollout.keep, &bytes));
+                let kept =
+                    self.config.rollout.as_ref().map(|rollout| policy_store::write(&rollout.keep, &bytes));
                 let error = kept.and_then(Result::err).map(|e| format!("it cannot be kept: {e}"));
                 self.policy(|member| member.saved(hash, error));
                 return true;
--- a/src/front/gearman/admin.rs
+++ b/src/frontend/gearman/admin.rs
@@ -1,7 +1,7 @@
 //! The administrative protocol: lines of text.
 
 use super::Gearman;
-use crate::front::Sockets;
+use crate::frontend::Sockets;
 use crate::net::ConnId;
 
 impl Gearman {
--- a/src/front/gearman/clients.rs
+++ b/src/frontend/gearman/clients.rs
@@ -3,10 +3,10 @@
 use super::packets::{answer, arguments, kind};
 use super::record::{Answer, Entry};
 use super::{Gearman, Job};
-use crate::api::Repeat;
 use crate::core::{Request, SessionId, Verdict};
-use crate::front::Sockets;
+use crate::frontend::Sockets;
 use crate::net::ConnId;
+use crate::routing::Repeat;
 
 /// Jobs that one connection may wait for. Beyond it a client's further packets are left unread, and a worker that
 /// submits as well, and must be read, is told so.
--- a/src/front/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -16,9 +16,9 @@
 use rustc_hash::FxHashMap;
 
 use super::{Leaving, Sockets};
-use crate::api::WorkerId;
 use crate::core::{Clock, Command, Core, SessionId};
 use crate::net::{ConnId, HELD};
+use crate::routing::WorkerId;
 
 pub use config::{Config, Function};
 use identity::{Identity, Role};
--- a/src/front/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -7,10 +7,10 @@
 use super::packets::{answer, arguments, kind};
 use super::record::{Answer, Key};
 use super::{FlightId, Gearman};
-use crate::api::{Member, MemberState, Outcome, Report, WorkerId};
 use crate::core::{Line, SessionId};
-use crate::front::Sockets;
+use crate::frontend::Sockets;
 use crate::net::ConnId;
+use crate::routing::{Member, MemberState, Outcome, Report, WorkerId};
 
 /// Jobs that a worker may hold or be offered.
 const HELD: usize = 64;
--- a/src/front/platform/callbacks.rs
+++ b/src/frontend/http/callbacks.rs
@@ -1,8 +1,8 @@
 //! Call-backs: what booking workers tell of the jobs that they took.
 
 use super::Platform;
-use crate::api::{Outcome, Report};
 use crate::json::{self, JsonValue, field, text};
+use crate::routing::{Outcome, Report};
 
 /// What a call is to this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/front/platform/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -5,11 +5,11 @@
 use rustc_hash::FxHashMap;
 
 use super::callbacks::Called;
-use super::gate::Way;
 use super::headers::{PATIENCE, slots, span, work};
-use super::{Job, Platform, seam};
+use super::policy_gate::Way;
+use super::{Job, Platform, upgrade_link};
 use crate::core::{Request, SessionId, Verdict};
-use crate::front::Sockets;
+use crate::frontend::Sockets;
 use crate::net::http::{self, Bad, Message};
 use crate::net::{Budget, ConnId, head};
 
@@ -371,18 +371,18 @@
                 } else {
                     (200, "ready\n")
                 };
-                let process = [(seam::PROCESS, std::process::id().to_string())];
+                let process = [(upgrade_link::PROCESS, std::process::id().to_string())];
                 self.reply(net, id, status, &process, says.as_bytes(), close);
             }
             ("GET", "/v1/seam") => {
                 if let Some(client) = self.clients.conns.get_mut(&id) {
                     (client.calls_back, client.link, client.usual) = (true, true, true);
                 }
-                if message.header(seam::MEMORY) == Some("wanted") {
+                if message.header(upgrade_link::MEMORY) == Some("wanted") {
                     self.leave_memory();
                 }
                 self.reply(net, id, 204, &[], b"", close);
-                if let Some(pid) = message.header(seam::ASKED) {
+                if let Some(pid) = message.header(upgrade_link::ASKED) {
                     self.met(net, pid);
                 }
             }
@@ -394,7 +394,7 @@
                 if let Some(client) = self.clients.conns.get_mut(&id) {
                     (client.calls_back, client.usual) = (true, true);
                 }
-                let asked = message.header(seam::ASKED);
+                let asked = message.header(upgrade_link::ASKED);
                 let status = match self.call_back(&message.body) {
                     Called::Malformed => 400,
                     Called::Taken => 204,
--- a/src/front/platform/config.rs
+++ b/src/frontend/http/config.rs
@@ -5,7 +5,7 @@
 use rustix::process::{Resource, getrlimit};
 
 use crate::core::Line;
-use crate::front::discovery::read_list;
+use crate::frontend::discovery::read_list;
 use crate::json::{JsonValue, field, number, text};
 use crate::net::Budget;
 use crate::settings::Site;
--- a/src/front/platform/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -1,15 +1,15 @@
 //! The platform's front: HTTP/1.1 with clients, backend servers and discovery. It decides nothing.
 
-mod backends;
 mod callbacks;
 mod clients;
 mod config;
-mod gate;
 mod headers;
+mod policy_gate;
 mod probes;
-mod seam;
 #[cfg(test)]
 mod tests;
+mod upgrade_link;
+mod upstream;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,14 +18,14 @@
 
 use super::discovery::{Discovery, Heard};
 use super::{Leaving, Sockets};
-use crate::api::{Outcome, Report};
 use crate::core::{Clock, Command, Core, SessionId};
 use crate::net::ConnId;
+use crate::routing::{Outcome, Report};
 
-use backends::Backends;
 use clients::Clients;
 pub use config::Config;
-use gate::Gate;
+use policy_gate::Gate;
+use upstream::Backends;
 
 /// What a session's request looked like on the wire.
 struct Job {
@@ -48,7 +48,7 @@
     jobs: FxHashMap<SessionId, Job>,
     ids: FxHashMap<Rc<str>, SessionId>,
     /// The processes beside this one at an upgrade.
-    links: Option<seam::Links>,
+    links: Option<upgrade_link::Links>,
     /// Whether requests may be started now, where a policy is shared.
     gate: Option<Box<Gate>>,
     stopping: Option<Leaving>,
--- a/src/front/platform/gate.rs
+++ b/src/frontend/http/policy_gate.rs
@@ -6,7 +6,7 @@
 use super::Platform;
 use super::headers::span;
 use crate::core::{PoolId, boot_ms};
-use crate::front::Sockets;
+use crate::frontend::Sockets;
 use crate::ingest::{Empty, Event, Policy, PolicyError};
 use crate::net::ConnId;
 use crate::net::http::Message;
--- a/src/front/platform/probes.rs
+++ b/src/frontend/http/probes.rs
@@ -1,12 +1,12 @@
 //! Probes: a backend server's load report, asked for beside the jobs.
 
 use super::Platform;
-use super::backends::{PATIENCE, Work};
-use crate::api::{Report, WorkerId};
-use crate::front::Sockets;
+use super::upstream::{PATIENCE, Work};
+use crate::frontend::Sockets;
 use crate::json;
 use crate::net::ConnId;
 use crate::net::http::{self, Message};
+use crate::routing::{Report, WorkerId};
 
 impl Platform {
     /// Probes a backend server. The module always hears of the end: it asks nobody twice meanwhile.
--- a/src/front/platform/seam.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -8,13 +8,13 @@
 use std::path::PathBuf;
 
 use super::Platform;
-use crate::api::{Member, MemberState, WorkerId};
 use crate::core::{Line, Server};
-use crate::front::{Sockets, handover};
-use crate::lifecycle::memory::{LONGEST, Listed, Memory};
-use crate::lifecycle::seam::{Call, Seam, Step};
+use crate::frontend::{Sockets, handover};
+use crate::lifecycle::callback_forwarding::{Call, Seam, Step};
+use crate::lifecycle::warm_state::{LONGEST, Listed, Memory};
 use crate::net::ConnId;
 use crate::net::http::{self, Message};
+use crate::routing::{Member, MemberState, WorkerId};
 
 /// Header in which a process names itself, and in which a call that is passed on names who has been asked.
 pub(super) const PROCESS: &str = "Lb-Process";
--- a/src/front/platform/backends.rs
+++ b/src/frontend/http/upstream.rs
@@ -7,11 +7,11 @@
 use rustix::io::Errno;
 
 use super::Platform;
-use crate::api::{Outcome, Report, WorkerId};
 use crate::core::SessionId;
-use crate::front::Sockets;
+use crate::frontend::Sockets;
 use crate::net::http::{self, Message};
 use crate::net::{ConnId, Pool};
+use crate::routing::{Outcome, Report, WorkerId};
 
 /// How long a probe may take, in milliseconds.
 pub(super) const PATIENCE: f64 = 500.0;
--- a/src/front/mod.rs
+++ b/src/frontend/mod.rs
@@ -5,9 +5,9 @@
 pub mod fleet;
 pub mod gearman;
 pub mod handover;
+pub mod http;
 pub mod operator;
-pub mod platform;
-pub mod stream;
+pub mod streaming;
 
 use std::net::SocketAddr;
 
@@ -20,8 +20,8 @@
 use console::{Call, Console};
 use fleet::Fleet;
 use gearman::Gearman;
-use platform::Platform;
-use stream::Stream;
+use http::Platform;
+use streaming::Stream;
 
 /// The sockets of the gateway.
 pub type Sockets = Net<Gateway>;
@@ -89,11 +89,11 @@
 /// What the files say, a front each.
 pub struct Configs {
     /// The platform's.
-    pub platform: Option<platform::Config>,
+    pub platform: Option<http::Config>,
     /// Gearman's.
     pub gearman: Option<gearman::Config>,
     /// The stream front's.
-    pub stream: Option<stream::Config>,
+    pub stream: Option<streaming::Config>,
     /// The fleet's.
     pub fleet: Option<fleet::Config>,
     /// The console's address: of `$LB_CONSOLE`, of `console` in the platform's configuration, or of the
@@ -127,10 +127,10 @@
             .map(|(file, path)| gearman::Config::read(&file, settings).map_err(|e| format!("{path}: {e}")));
         let gearman = gearman.transpose()?;
         let taken = gearman.as_ref().map_or(0, |g| g.peers);
-        let taken = taken + stream.as_ref().map_or(0, stream::Stream::descriptors);
+        let taken = taken + stream.as_ref().map_or(0, streaming::Stream::descriptors);
         let platform = config
             .zip(self.config.as_ref())
-            .map(|(config, path)| platform::Config::read(&config, taken).map_err(|e| format!("{path}: {e}")));
+            .map(|(config, path)| http::Config::read(&config, taken).map_err(|e| format!("{path}: {e}")));
         Ok(Configs { platform: platform.transpose()?, gearman, stream, fleet, console })
     }
 }
--- a/src/front/operator.rs
+++ b/src/frontend/operator.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use super::{fleet, stream};
+use super::{fleet, streaming};
 use crate::json::JsonValue;
 
 /// Why the file cannot be used.
@@ -33,7 +33,7 @@
         /// Its path.
         file: String,
         /// All that is wrong.
-        errors: Vec<stream::ConfigError>,
+        errors: Vec<streaming::ConfigError>,
     },
     /// Its fleet's table does not fit.
     #[error("{file}: {}", list(.errors))]
@@ -60,7 +60,7 @@
     /// Gearman's table, as its front reads it.
     pub gearman: Option<JsonValue>,
     /// The stream front's.
-    pub stream: Option<stream::Config>,
+    pub stream: Option<streaming::Config>,
     /// The fleet's table.
     pub fleet: Option<fleet::Config>,
     /// The operators' console, if the file names its address.
@@ -72,7 +72,7 @@
 struct File {
     console: Option<std::net::SocketAddr>,
     gearman: Option<GearmanTable>,
-    stream: Option<stream::Table>,
+    stream: Option<streaming::Table>,
     fleet: Option<fleet::FleetTable>,
     rollout: Option<fleet::RolloutTable>,
 }
@@ -135,7 +135,7 @@
     if known.gearman.is_none() && known.stream.is_none() && known.console.is_none() && known.fleet.is_none() {
         return Err(FileError::Empty { file: file.into() });
     }
-    let stream = known.stream.map(stream::Table::check).transpose();
+    let stream = known.stream.map(streaming::Table::check).transpose();
     let stream = stream.map_err(|errors| FileError::Stream { file: file.into(), errors })?;
     let fleet = match (known.fleet, known.rollout) {
         (None, Some(_)) => Err(vec![fleet::ConfigError::Alone]),
--- a/src/front/stream/clients.rs
+++ b/src/frontend/streaming/clients.rs
@@ -3,7 +3,7 @@
 use super::Stream;
 use super::relay::{Exchange, Up};
 use crate::flow::{Dispatch, Hold, StreamId, Way};
-use crate::front::Sockets;
+use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Decoder};
 use crate::net::head::{self, RequestHead};
 use crate::net::http::{self, Bad, HEAD};
--- a/src/front/stream/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -6,9 +6,9 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::api::{Class, Limits, Member, MemberState, Repeat, Rules, Settings, WorkerId};
 use crate::core::{Line, micros};
 use crate::flow::{Allowance, Bounds, Dispatch, LEAST, Pace};
+use crate::routing::{Class, Limits, Member, MemberState, Repeat, Rules, Settings, WorkerId};
 use crate::settings::{Grade, Site};
 
 /// Most of a body's prefix that can be held: it must fit a connection's buffer with its head.
--- a/src/front/stream/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -6,22 +6,22 @@
 mod config;
 mod counters;
 mod relay;
-mod servers;
+mod upstream;
 
 use rustc_hash::FxHashMap;
 
 use super::discovery::{Discovery, Heard};
 use super::{Leaving, Sockets};
-use crate::api::WorkerId;
 use crate::core::{Clock, Command, Core, SessionId, Verdict};
 use crate::flow::{Admission, Flow, Slots, StreamId};
 use crate::net::{ConnId, Pipes, Pool};
+use crate::routing::WorkerId;
 
 use clients::Client;
 pub use config::{Config, ConfigError, Table};
 use counters::Counters;
 use relay::Exchange;
-use servers::Server;
+use upstream::Server;
 
 /// Bytes moved before the loop looks at the sockets again: what small requests wait for beside full-speed streams.
 const ROUND: usize = 1 << 20;
--- a/src/front/stream/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -2,14 +2,14 @@
 
 use super::Stream;
 use super::config::StreamClass;
-use crate::api::{Outcome, Report, WorkerId};
 use crate::core::{Request, SessionId, Verdict};
 use crate::flow::{Hold, Moved, Side, StreamId, Turn, Way};
-use crate::front::Sockets;
+use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Decoder, Framing, chunk_head, last_chunk};
 use crate::net::head::{self, AnswerHead, RequestHead};
 use crate::net::http;
 use crate::net::{Conn, ConnId, PIPED, Pipe, Pipes};
+use crate::routing::{Outcome, Report, WorkerId};
 
 /// Interim answers that are passed on for one request.
 const INTERIM: u8 = 16;
--- a/src/front/stream/servers.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -4,13 +4,13 @@
 
 use super::Stream;
 use super::relay::Up;
-use crate::api::{Outcome, WorkerId};
 use crate::core::SessionId;
 use crate::flow::{StreamId, Way};
-use crate::front::Sockets;
+use crate::frontend::Sockets;
 use crate::net::head;
 use crate::net::http::HEAD;
 use crate::net::{ConnId, HELD};
+use crate::routing::{Outcome, WorkerId};
 
 /// A connection to a backend server.
 pub(super) struct Server {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,26 +8,21 @@
     let _ = writeln!(std::io::stderr(), "micabeam: {line}");
 }
 
-pub mod api;
 pub mod consensus;
+pub mod control_plane;
 pub mod core;
 pub mod fleet;
 pub mod flow;
-pub mod front;
+pub mod frontend;
 pub mod ingest;
 pub mod json;
-pub mod learned;
 pub mod ledger;
 pub mod lifecycle;
-mod logic;
 pub mod net;
 pub mod rollout;
+pub mod routing;
 pub mod settings;
-pub mod shared;
-mod state;
 pub mod telemetry;
 #[cfg(test)]
 mod wire_fixture;
 pub mod zones;
-
-pub use logic::Dispatcher;
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,8 +1,8 @@
 //! The life of the process as operators see it: serving, evacuating, draining, handing over, stopped. A pure
 //! state machine driven by console calls, signals and the clock; `GET /up` and `readyz` read it. No I/O.
 
-pub mod memory;
-pub mod seam;
+pub mod callback_forwarding;
+pub mod warm_state;
 
 /// Where the process is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/lifecycle/memory.rs
+++ b/src/lifecycle/warm_state.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::learned::Learned;
+use crate::routing::Learned;
 
 const MAGIC: &[u8; 8] = b"micamem\n";
 /// The version that is written, and the only one that is read.
@@ -126,8 +126,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Dispatcher;
-    use crate::api::Settings;
+    use crate::routing::Dispatcher;
+    use crate::routing::Settings;
     use proptest::prelude::*;
 
     fn memory() -> Memory {
--- a/src/main.rs
+++ b/src/main.rs
@@ -11,12 +11,12 @@
 use calloop::signals::{Signal, Signals};
 use clap::Parser;
 use micabeam::core::Clock;
-use micabeam::front::console::Console;
-use micabeam::front::fleet::Fleet;
-use micabeam::front::gearman::{self, Gearman};
-use micabeam::front::platform::{self, Platform};
-use micabeam::front::stream::{self, Stream};
-use micabeam::front::{Configs, Files, Gateway, handover};
+use micabeam::frontend::console::Console;
+use micabeam::frontend::fleet::Fleet;
+use micabeam::frontend::gearman::{self, Gearman};
+use micabeam::frontend::http::{self, Platform};
+use micabeam::frontend::streaming::{self, Stream};
+use micabeam::frontend::{Configs, Files, Gateway, handover};
 use micabeam::lifecycle::Lifecycle;
 use micabeam::net::Net;
 use micabeam::say;
@@ -135,7 +135,7 @@
 
 /// The fleet's front, and the log that its decisions are told by.
 fn open_fleet(
-    config: micabeam::front::fleet::Config,
+    config: micabeam::frontend::fleet::Config,
     handle: calloop::LoopHandle<'static, Gateway>,
     clock: &Clock,
 ) -> Result<Fleet, String> {
@@ -144,7 +144,7 @@
     Fleet::new(config, handle, clock.clone())
 }
 
-fn open_stream(config: stream::Config, net: &mut Net<Gateway>, clock: &Clock) -> Result<Stream, String> {
+fn open_stream(config: streaming::Config, net: &mut Net<Gateway>, clock: &Clock) -> Result<Stream, String> {
     let listen = config.table.listen;
     let (listener, local) =
         net.listen(listen, false).map_err(|e| format!("cannot listen at {listen}: {e}"))?;
@@ -172,7 +172,7 @@
 }
 
 fn open_platform(
-    config: platform::Config,
+    config: http::Config,
     net: &mut Net<Gateway>,
     clock: &Clock,
 ) -> Result<(Platform, SocketAddr), String> {
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -10,15 +10,15 @@
 //!
 //! `Member` is every dispatcher's part; `Lead` is the part of the consensus's leader.
 
-mod lead;
-mod member;
+mod coordinator;
+mod participant;
 #[cfg(test)]
 mod tests;
 #[cfg(test)]
 mod wire_tests;
 
-pub use lead::Lead;
-pub use member::{Effect, Member, Standing};
+pub use coordinator::Lead;
+pub use participant::{Effect, Member, Standing};
 
 use serde::{Deserialize, Serialize};
 
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -7,8 +7,8 @@
 
 use super::*;
 use crate::consensus::{Write, file};
+use crate::control_plane::{self, Shared};
 use crate::fleet::{Member as At, Place};
-use crate::shared::{self, Shared};
 
 const MEMBERS: usize = 5;
 const LEASE: f64 = 2000.0;
@@ -84,7 +84,7 @@
         let (session, seed) = (self.now as u64, self.draws.u64(..));
         let fleet = fleet::Setup { cluster: "test".into(), generation: 1, places, own, session, seed };
         let rollout = Some(Rules { lease: LEASE, hold: 400.0 });
-        let setup = shared::Setup { fleet, zones: 1, rules: crate::zones::Rules::default(), rollout };
+        let setup = control_plane::Setup { fleet, zones: 1, rules: crate::zones::Rules::default(), rollout };
         let kept = self.disks.get(&own).map(|bytes| file::read(bytes, 1).unwrap().0).unwrap_or_default();
         let mut node = Shared::new(setup, kept, self.now).unwrap();
         for document in self.documents.get(&own).into_iter().flatten() {
@@ -154,12 +154,12 @@
         self.newest = front.version;
     }
 
-    fn carry_out(&mut self, at: At, effect: shared::Effect) {
+    fn carry_out(&mut self, at: At, effect: control_plane::Effect) {
         let now = self.now;
         let front = self.fronts.get_mut(&at).unwrap();
         let effect = match effect {
-            shared::Effect::Rollout(effect) => effect,
-            shared::Effect::Node(fleet::Effect::Send { to, bytes }) => {
+            control_plane::Effect::Rollout(effect) => effect,
+            control_plane::Effect::Node(fleet::Effect::Send { to, bytes }) => {
                 if !self.cut.contains(&(at, to)) && self.draws.f64() >= self.loss {
                     self.sent += 1;
                     let late = if self.loss > 0.0 { self.draws.u64(0..60) as f64 } else { 0.0 };
@@ -171,7 +171,7 @@
                 }
                 return;
             }
-            shared::Effect::Node(fleet::Effect::Write(write)) => {
+            control_plane::Effect::Node(fleet::Effect::Write(write)) => {
                 match write {
                     Write::Nothing => {}
                     Write::Append(bytes) => self.disks.entry(at).or_default().extend(bytes),
@@ -179,7 +179,7 @@
                 }
                 return self.nodes.get_mut(&at).unwrap().written(now, true);
             }
-            shared::Effect::Zones(_) => return,
+            control_plane::Effect::Zones(_) => return,
         };
         let node = self.nodes.get_mut(&at).unwrap();
         match effect {
--- a/src/logic.rs
+++ b/src/routing/router.rs
@@ -10,8 +10,8 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::api::*;
-use crate::state::*;
+use super::state::*;
+use super::types::*;
 
 /// Turns of a worker of average speed in one period: enough to tell speeds a tenth apart.
 const TURNS: f64 = 8.0;
--- a/src/state.rs
+++ b/src/routing/state.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::*;
+use super::types::*;
 
 #[derive(Default)]
 pub struct Worker {
--- a/src/learned.rs
+++ b/src/routing/warm_state.rs
@@ -6,9 +6,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Dispatcher;
-use crate::api::{Job, Micros, WorkerId};
-use crate::state::{Kind, Pace};
+use super::router::Dispatcher;
+use super::state::{Kind, Pace};
+use super::types::{Job, Micros, WorkerId};
 
 /// Most workers, kinds, zones and classes that are recalled: as many as the server table holds.
 const MOST: usize = crate::core::MOST_SERVERS;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings as the wires state them, and the module's settings made of them. The adapter and the
 //! dispatcher both read them here.
 
-use crate::api::{Class, Limits, Micros, Repeat, Report, Rules, Scope, Settings};
 use crate::json::{self, JsonValue, field, flag, number, text, texts};
+use crate::routing::{Class, Limits, Micros, Repeat, Report, Rules, Scope, Settings};
 
 /// What a value of a load report says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/zones/decide.rs
+++ b/src/zones/failover_controller.rs
@@ -1,6 +1,6 @@
 //! What the leader makes of the evidence: the next table, if it is to change.
 
-use super::evidence::{Evidence, Verdict};
+use super::health_reports::{Evidence, Verdict};
 use super::{State, Table, WHOLE, Zone};
 
 /// How it is decided. Times are in milliseconds.
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -4,19 +4,19 @@
 //! Shares are parts of a thousand. A zone's share is what of its usual work it may get; it scales the sizes of the
 //! zone's servers as the decision module reads them, and 0 is a drain.
 
-mod decide;
-mod evidence;
-mod follow;
-mod part;
+mod failover_controller;
+mod health_reports;
 #[cfg(test)]
 mod tests;
 #[cfg(test)]
 mod wire_tests;
+mod zone_failover;
+mod zone_view;
 
-pub use decide::{Decider, Rules};
-pub use evidence::{Digest, End, Evidence, FRESH, STEP, Seen, Sight, Source, Tally, Verdict};
-pub use follow::{Follower, Gate, Standing, View};
-pub use part::{Decided, Effect, Zones};
+pub use failover_controller::{Decider, Rules};
+pub use health_reports::{Digest, End, Evidence, FRESH, STEP, Seen, Sight, Source, Tally, Verdict};
+pub use zone_failover::{Decided, Effect, Zones};
+pub use zone_view::{Follower, Gate, Standing, View};
 
 use serde::{Deserialize, Serialize};
 
--- a/src/zones/wire_tests.rs
+++ b/src/zones/wire_tests.rs
@@ -1,6 +1,6 @@
 //! Guards the form of what dispatchers send one another about zones.
 
-use super::part::DigestMessage;
+use super::zone_failover::DigestMessage;
 use super::{Digest, Seen, State, Table, Zone};
 use crate::wire_fixture::assert_bytes;
 
--- a/src/zones/follow.rs
+++ b/src/zones/zone_view.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher does with the newest epoch that it has seen, and without news.
 
-use super::decide::Rules;
-use super::evidence::Seen;
+use super::failover_controller::Rules;
+use super::health_reports::Seen;
 use super::{State, Table, WHOLE};
 use crate::consensus::LeaderTerm;
 
--- a/tests/blind.rs
+++ b/tests/blind.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use micabeam::api::*;
+use micabeam::routing::*;
 
 fn blind() -> Settings {
     let mut settings = Settings { tells_start: true, reports: false, ..probing() };
--- a/tests/common/gear.rs
+++ b/tests/common/gear.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use micabeam::front::gearman::packets::{kind, request};
+use micabeam::frontend::gearman::packets::{kind, request};
 
 use crate::net::{PATIENCE, Program, SETTINGS};
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A small world for the tests: settings, a list, and a dispatcher whose actions are kept.
 #![allow(dead_code)]
 
-use micabeam::Dispatcher;
-use micabeam::api::*;
+use micabeam::routing::Dispatcher;
+use micabeam::routing::*;
 use std::collections::BTreeMap;
 
 pub const MS: Micros = 1_000;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -3,10 +3,10 @@
 #[path = "common/net.rs"]
 mod net;
 
-use micabeam::api::{Member, MemberState, Outcome, Report};
 use micabeam::core::{
     Clock, Command, Core, Line, MOST_SERVERS, PoolId, Request, Selector, SessionId, Verdict,
 };
+use micabeam::routing::{Member, MemberState, Outcome, Report};
 use micabeam::settings::Site;
 
 const START: f64 = 1_700_000_000_000.0;
--- a/tests/cycle.rs
+++ b/tests/cycle.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use micabeam::api::*;
+use micabeam::routing::*;
 use std::collections::BTreeMap;
 
 /// Sends `count` jobs, each served at once, and lists where they went.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use micabeam::Dispatcher;
-use micabeam::api::*;
+use micabeam::routing::Dispatcher;
+use micabeam::routing::*;
 
 const DISPATCHERS: u32 = 100;
 const WORKERS: u64 = 60;
--- a/tests/gearman.rs
+++ b/tests/gearman.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 
 use gear::*;
-use micabeam::front::gearman::packets::{kind, request};
+use micabeam::frontend::gearman::packets::{kind, request};
 
 #[test]
 fn a_job_goes_all_the_way_with_what_its_worker_tells() {
--- a/tests/identity.rs
+++ b/tests/identity.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use gear::*;
-use micabeam::front::gearman::packets::kind;
+use micabeam::frontend::gearman::packets::kind;
 use net::{PATIENCE, Program, file};
 use rcgen::{
     BasicConstraints, CertificateParams, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair, KeyUsagePurpose,
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -8,8 +8,8 @@
 use std::collections::BinaryHeap;
 
 use common::{MS, SECOND, member, settings};
-use micabeam::Dispatcher;
-use micabeam::api::*;
+use micabeam::routing::Dispatcher;
+use micabeam::routing::*;
 
 /// A change counts as told so long after discovery is back, and a drain has to be followed so long after that.
 const TOLD: Micros = 6 * SECOND;
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use common::{MS, SECOND, member, probing};
-use micabeam::Dispatcher;
-use micabeam::api::*;
+use micabeam::routing::Dispatcher;
+use micabeam::routing::*;
 
 const START: Micros = 100 * SECOND;
 /// The ramp: a server is warm after it, and a server collapses by what it is sent in a window.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use micabeam::Dispatcher;
-use micabeam::api::*;
+use micabeam::routing::Dispatcher;
+use micabeam::routing::*;
 use std::collections::BTreeMap;
 
 fn fleet(count: u64) -> Vec<Member> {
