--- a/benches/lists.rs
+++ b/benches/lists.rs
@@ -5,25 +5,25 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use micabeam::core::{Clock, Command, Core, Line, Request};
-use micabeam::routing::{Member, MemberState, Outcome, Report};
+use micabeam::routing::{Endpoint, EndpointStatus, LoadReport, Outcome};
 use micabeam::settings::Site;
 
 /// Lines of a list.
 const SIZES: [usize; 4] = [200, 1000, 4000, 16_000];
 
-fn line(number: usize, state: MemberState) -> Line {
-    let member = Member {
+fn line(number: usize, state: EndpointStatus) -> Line {
+    let member = Endpoint {
         size: 1.0,
         zone: (number % 3) as u16,
         kind: (number % 2) as u16,
-        state,
-        ..Member::default()
+        status: state,
+        ..Endpoint::default()
     };
     Line { name: format!("worker-{number:06}"), address: "127.0.0.1:8081".into(), member }
 }
 
 fn lines(count: usize) -> Vec<Line> {
-    (0..count).map(|number| line(number, MemberState::Ready)).collect()
+    (0..count).map(|number| line(number, EndpointStatus::Ready)).collect()
 }
 
 fn core(workers: usize) -> (Core, Clock) {
@@ -58,7 +58,7 @@
             let mut turn = 0;
             b.iter(|| {
                 turn += 1;
-                let state = if turn % 2 == 0 { MemberState::Ready } else { MemberState::Draining };
+                let state = if turn % 2 == 0 { EndpointStatus::Ready } else { EndpointStatus::Draining };
                 core.listed(vec![line(7, state)], false);
             });
         });
@@ -76,7 +76,7 @@
                 let _ = core.request(Request { class: 2, due, slots: 1.0, work: None, pool: 0 });
                 while let Some(command) = core.next_command() {
                     if let Command::Send { session, attempt, .. } = command {
-                        core.ended(session, attempt, Outcome::Served, Report::default(), Vec::new());
+                        core.ended(session, attempt, Outcome::Served, LoadReport::default(), Vec::new());
                     }
                 }
             });
--- a/rig/src/scale/dispatcher.rs
+++ b/rig/src/scale/dispatcher.rs
@@ -4,7 +4,7 @@
 
 use micabeam::consensus::{Write, file};
 use micabeam::control_plane::{Setup, Shared};
-use micabeam::fleet::{self, Hash, Member, Place};
+use micabeam::fleet::{self, Hash, MemberId, Place};
 use micabeam::rollout;
 use micabeam::zones::{self, End};
 
@@ -42,7 +42,7 @@
     /// It stands still.
     pub(super) frozen: bool,
     /// Datagrams that came since.
-    pub(super) waiting: Vec<(Member, Vec<u8>)>,
+    pub(super) waiting: Vec<(MemberId, Vec<u8>)>,
     /// The voter's file.
     disk: Vec<u8>,
     /// Policies on its disk.
@@ -76,7 +76,7 @@
     }
 
     /// Starts its process, with what its disk has.
-    pub(super) fn start(&mut self, plan: &Plan, places: &[Place], own: Member, now: f64, seed: u64) {
+    pub(super) fn start(&mut self, plan: &Plan, places: &[Place], own: MemberId, now: f64, seed: u64) {
         let fleet = fleet::Setup {
             cluster: CLUSTER.into(),
             generation: 1,
@@ -121,7 +121,7 @@
     }
 
     /// A datagram for one that stands still waits in its socket, if there is room.
-    pub(super) fn keep_waiting(&mut self, from: Member, bytes: Vec<u8>) {
+    pub(super) fn keep_waiting(&mut self, from: MemberId, bytes: Vec<u8>) {
         if self.shared.is_some() && self.waiting.len() < SOCKET_BUFFER {
             self.waiting.push((from, bytes));
         }
--- a/rig/src/scale/lists.rs
+++ b/rig/src/scale/lists.rs
@@ -5,7 +5,7 @@
 use micabeam::core::{Clock, Command, Core, Request};
 use micabeam::frontend::discovery::read_list;
 use micabeam::json;
-use micabeam::routing::{Outcome, Report};
+use micabeam::routing::{LoadReport, Outcome};
 use micabeam::settings::Site;
 
 use super::memory::resident_kb;
@@ -146,7 +146,7 @@
                     core.started(session, attempt);
                     out += 1;
                 }
-                Command::Probe { server } => core.probed(server, true, 1.0, Report::default()),
+                Command::Probe { server } => core.probed(server, true, 1.0, LoadReport::default()),
                 _ => {}
             }
         }
@@ -164,9 +164,9 @@
         while let Some(command) = core.next_command() {
             match command {
                 Command::Send { session, attempt, .. } => {
-                    core.ended(session, attempt, Outcome::Served, Report::default(), Vec::new());
+                    core.ended(session, attempt, Outcome::Served, LoadReport::default(), Vec::new());
                 }
-                Command::Probe { server } => core.probed(server, true, 1.0, Report::default()),
+                Command::Probe { server } => core.probed(server, true, 1.0, LoadReport::default()),
                 _ => {}
             }
         }
--- a/rig/src/scale/network.rs
+++ b/rig/src/scale/network.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use micabeam::fleet::Member;
+use micabeam::fleet::MemberId;
 
 /// Shortest time that a datagram takes, in milliseconds.
 const SHORTEST: f64 = 1.0;
@@ -15,23 +15,23 @@
     /// A datagram arrives.
     Datagram {
         /// Its sender.
-        from: Member,
+        from: MemberId,
         /// Whom it is for.
-        to: Member,
+        to: MemberId,
         /// Its bytes.
         bytes: Vec<u8>,
     },
     /// A dispatcher does what is due; of a process that has ended it is void.
     Tick {
         /// The dispatcher.
-        member: Member,
+        member: MemberId,
         /// Which of its processes.
         process: u64,
     },
     /// A dispatcher's write is done.
     Written {
         /// The dispatcher.
-        member: Member,
+        member: MemberId,
         /// Which of its processes.
         process: u64,
     },
@@ -45,15 +45,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Fault {
     /// A dispatcher is killed.
-    Kill(Member),
+    Kill(MemberId),
     /// A dispatcher is killed, and started again soon.
-    Restart(Member),
+    Restart(MemberId),
     /// A dispatcher is started.
-    Start(Member),
+    Start(MemberId),
     /// A dispatcher stands still.
-    Freeze(Member),
+    Freeze(MemberId),
     /// It goes on.
-    Thaw(Member),
+    Thaw(MemberId),
     /// The leader is killed, and started again after a while.
     KillLeader,
     /// All of a zone is killed, and its workers with it.
@@ -127,8 +127,8 @@
 
 impl Links {
     /// How long a datagram takes; none where it is lost.
-    pub(super) fn delay(&self, from: Member, to: Member, draws: &mut fastrand::Rng) -> Option<f64> {
-        let region = |member: Member| self.regions[usize::from(member)];
+    pub(super) fn delay(&self, from: MemberId, to: MemberId, draws: &mut fastrand::Rng) -> Option<f64> {
+        let region = |member: MemberId| self.regions[usize::from(member)];
         if self.apart.is_some_and(|apart| (region(from) == apart) != (region(to) == apart)) {
             return None;
         }
--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -4,7 +4,7 @@
 
 use micabeam::consensus::LeaderTerm;
 use micabeam::control_plane::Effect;
-use micabeam::fleet::{self, Member, Place};
+use micabeam::fleet::{self, MemberId, Place};
 use micabeam::rollout;
 
 use super::checker::Checker;
@@ -42,7 +42,7 @@
 /// A wish of an operator.
 struct Change {
     version: u64,
-    at: Member,
+    at: MemberId,
     wanted: f64,
     in_force: Option<f64>,
 }
@@ -58,7 +58,7 @@
     checker: Checker,
     draws: fastrand::Rng,
     /// Members that a fault is going to end or stop.
-    doomed: BTreeSet<Member>,
+    doomed: BTreeSet<MemberId>,
     lost_zone: Option<usize>,
     healed: f64,
     changes: Vec<Change>,
@@ -113,7 +113,7 @@
     /// Starts all dispatchers, and waits until all know of all, all serve, and the first leader has no unknown leases to
     /// wait for.
     pub(super) fn join(&mut self) -> Result<(), RigError> {
-        for member in 0..self.plan.members as Member {
+        for member in 0..self.plan.members as MemberId {
             let at = START + if self.plan.aligned { 0.0 } else { self.draws.f64() * STARTS };
             self.queue.schedule(at, Event::Fault(Fault::Start(member)));
         }
@@ -156,7 +156,7 @@
             let wish = began + REST + (round % rounds) as f64 * CHANGE_EVERY;
             wish - before + world.draws.f64() * (before + after)
         };
-        let mut members: Vec<Member> = (0..plan.members as Member).collect();
+        let mut members: Vec<MemberId> = (0..plan.members as MemberId).collect();
         self.draws.shuffle(&mut members);
         // Voters are killed by `leader_lost` and `zone_lost` alone: with too many of them gone nothing is decided.
         members.retain(|member| !self.places[usize::from(*member)].voter);
@@ -188,7 +188,7 @@
         if plan.zone_lost {
             let zone = plan.zones - 1;
             let lost = (0..plan.members).filter(|at| self.places[*at].zone == zone);
-            self.doomed.extend(lost.map(|at| at as Member));
+            self.doomed.extend(lost.map(|at| at as MemberId));
             let at = began + (end - began) / 2.0;
             self.queue.schedule(at, Event::Fault(Fault::KillZone(zone)));
         }
@@ -196,7 +196,7 @@
             let quarter = (end - began) / 4.0;
             // What is wanted at a member that is cut off is heard of when the cut is mended.
             let apart = (0..plan.members).filter(|at| self.links.regions[*at] == REGIONS - 1);
-            self.doomed.extend(apart.map(|at| at as Member));
+            self.doomed.extend(apart.map(|at| at as MemberId));
             self.queue.schedule(began + quarter, Event::Fault(Fault::Cut(REGIONS - 1)));
             self.queue.schedule(began + 3.0 * quarter, Event::Fault(Fault::Heal));
         }
@@ -228,7 +228,7 @@
         }
     }
 
-    fn deliver(&mut self, from: Member, to: Member, bytes: Vec<u8>) {
+    fn deliver(&mut self, from: MemberId, to: MemberId, bytes: Vec<u8>) {
         let dispatcher = &mut self.members[usize::from(to)];
         if dispatcher.frozen {
             return dispatcher.keep_waiting(from, bytes);
@@ -240,7 +240,7 @@
         self.carry_out(to);
     }
 
-    fn tick(&mut self, member: Member, process: u64) {
+    fn tick(&mut self, member: MemberId, process: u64) {
         let (now, lost) = (self.now, self.lost_zone);
         let home = self.places[usize::from(member)].zone;
         let dispatcher = &mut self.members[usize::from(member)];
@@ -267,7 +267,7 @@
     }
 
     /// Notes a front that runs, is not cut off, and has let its lease run out.
-    fn note_lapse(&mut self, member: Member) {
+    fn note_lapse(&mut self, member: MemberId) {
         let now = self.now;
         let cut = self.links.apart == Some(self.links.regions[usize::from(member)]);
         let dispatcher = &mut self.members[usize::from(member)];
@@ -279,7 +279,7 @@
     }
 
     /// Carries out what a dispatcher gave out, until nothing follows from it.
-    fn carry_out(&mut self, member: Member) {
+    fn carry_out(&mut self, member: MemberId) {
         loop {
             let effects =
                 self.members[usize::from(member)].work(|shared| shared.effects()).unwrap_or_default();
@@ -303,7 +303,7 @@
         self.serve(member);
     }
 
-    fn send(&mut self, from: Member, to: Member, bytes: Vec<u8>) {
+    fn send(&mut self, from: MemberId, to: MemberId, bytes: Vec<u8>) {
         let usage = &mut self.members[usize::from(from)].usage;
         usage.frames += 1;
         usage.bytes += bytes.len() as u64 + HEADERS;
@@ -312,7 +312,7 @@
         }
     }
 
-    fn carry_out_policy(&mut self, member: Member, effect: rollout::Effect) {
+    fn carry_out_policy(&mut self, member: MemberId, effect: rollout::Effect) {
         let now = self.now;
         let dispatcher = &mut self.members[usize::from(member)];
         match effect {
@@ -347,7 +347,7 @@
     }
 
     /// A front serves what it may at this moment.
-    fn serve(&mut self, member: Member) {
+    fn serve(&mut self, member: MemberId) {
         let front = self.members[usize::from(member)].front.clone();
         if self.members[usize::from(member)].runs() && front.may_serve(self.now) {
             let all = self.members.iter().filter(|other| other.runs()).map(|other| &other.front);
@@ -357,24 +357,24 @@
 
     /// An operator wants the next version, at a dispatcher that is there and goes on.
     fn want(&mut self) {
-        let able = |member: &Member| {
+        let able = |member: &MemberId| {
             let at = usize::from(*member);
             let cut = self.links.apart == Some(self.links.regions[at]);
             let away = self.doomed.contains(member) || self.places[at].voter;
             self.members[at].runs() && !cut && !away
         };
-        let able: Vec<Member> = (0..self.plan.members as Member).filter(able).collect();
+        let able: Vec<MemberId> = (0..self.plan.members as MemberId).filter(able).collect();
         let Some(&at) = self.draws.choice(&able) else { return };
         self.version += 1;
         self.changes.push(Change { version: self.version, at, wanted: self.now, in_force: None });
         self.wish(at, self.version);
     }
 
-    fn wish(&mut self, at: Member, version: u64) {
+    fn wish(&mut self, at: MemberId, version: u64) {
         let (now, bytes) = (self.now, policy(version, self.plan.policy_bytes));
         let dispatcher = &mut self.members[usize::from(at)];
         let wants =
-            |part: &mut rollout::Member, node: &mut fleet::Node| part.wants(now, node, version, &bytes);
+            |part: &mut rollout::Participant, node: &mut fleet::Node| part.wants(now, node, version, &bytes);
         dispatcher.work(|shared| shared.policy(now, wants));
         self.carry_out(at);
     }
@@ -452,7 +452,7 @@
     }
 
     /// One that stood still goes on: its front first, then what waits in its socket.
-    fn thaw(&mut self, member: Member) {
+    fn thaw(&mut self, member: MemberId) {
         let dispatcher = &mut self.members[usize::from(member)];
         if dispatcher.shared.is_none() || !dispatcher.frozen {
             return;
--- a/src/bin/micabeam-adapter/main.rs
+++ b/src/bin/micabeam-adapter/main.rs
@@ -9,9 +9,9 @@
 use std::process::ExitCode;
 
 use frame::{Reader, Writer};
-use micabeam::routing::Dispatcher;
+use micabeam::routing::Router;
 use micabeam::routing::{
-    Action, Ended, Event, Job, JobId, Member, MemberState, Micros, Outcome, Report, WorkerId,
+    Action, AttemptEnd, Endpoint, EndpointId, EndpointStatus, Event, Job, JobId, LoadReport, Micros, Outcome,
 };
 use micabeam::settings::Site;
 
@@ -20,7 +20,7 @@
 
 /// One dispatcher and what the adapter needs to read its events.
 struct Instance {
-    dispatcher: Dispatcher,
+    dispatcher: Router,
     site: Site,
 }
 
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Instance>,
-    lists: [Option<Vec<Member>>; LISTS],
+    lists: [Option<Vec<Endpoint>>; LISTS],
     actions: Vec<Action>,
 }
 
@@ -83,7 +83,7 @@
                 let seed = r.u64()?;
                 let length = r.u32()? as usize;
                 let site = Site::parse(r.bytes(length)?)?;
-                let dispatcher = Dispatcher::new(site.settings.clone(), seed);
+                let dispatcher = Router::new(site.settings.clone(), seed);
                 self.instances.insert(id, Instance { dispatcher, site });
                 return Ok(());
             }
@@ -125,12 +125,20 @@
                 let finished = r.u8()? != 0;
                 let _remark = r.u32()?;
                 let report = report(r, &instance.site)?;
-                Event::Ended(Ended { job, attempt, worker, outcome, latency, finished, report })
+                Event::Ended(AttemptEnd {
+                    job,
+                    attempt,
+                    endpoint: worker,
+                    outcome,
+                    latency,
+                    finished,
+                    report,
+                })
             }
             6 => Event::ClientLeft(JobId(r.u64()?)),
             7 => Event::Wake,
             8 => Event::Probed {
-                worker: worker(r)?,
+                endpoint: worker(r)?,
                 answered: r.u16()? == 0,
                 latency: r.u32()?.into(),
                 report: report(r, &instance.site)?,
@@ -167,22 +175,22 @@
     }
 }
 
-fn worker(r: &mut Reader) -> Result<WorkerId, String> {
-    Ok(WorkerId(u64::from(r.u32()?) << 16 | u64::from(r.u16()?)))
+fn worker(r: &mut Reader) -> Result<EndpointId, String> {
+    Ok(EndpointId(u64::from(r.u32()?) << 16 | u64::from(r.u16()?)))
 }
 
-fn member(r: &mut Reader) -> Result<Member, String> {
-    Ok(Member {
+fn member(r: &mut Reader) -> Result<Endpoint, String> {
+    Ok(Endpoint {
         kind: r.u8()?.into(),
-        born: r.u64()?,
+        started_at: r.u64()?,
         cell: r.u16()?.into(),
         size: r.f32()?,
-        worker: worker(r)?,
+        id: worker(r)?,
         zone: r.u8()?.into(),
-        state: match r.u8()? {
-            0 => MemberState::Ready,
-            3 => MemberState::Gone,
-            _ => MemberState::Draining,
+        status: match r.u8()? {
+            0 => EndpointStatus::Ready,
+            3 => EndpointStatus::Gone,
+            _ => EndpointStatus::Draining,
         },
     })
 }
@@ -192,7 +200,7 @@
     let (_tenant, _key, due, hint) = (r.u32()?, r.u64()?, r.u64()?, r.u32()?);
     let (slots, _memory, bits) = (r.f32()?, r.f32()?, r.u8()?);
     let work = (bits & 1 != 0 && hint > 0).then_some(hint.into());
-    Ok(Job { id, class, due, slots, work })
+    Ok(Job { id, class, deadline: due, slots, work })
 }
 
 fn outcome(code: u16) -> Outcome {
@@ -209,7 +217,7 @@
     }
 }
 
-fn report(r: &mut Reader, site: &Site) -> Result<Report, String> {
+fn report(r: &mut Reader, site: &Site) -> Result<LoadReport, String> {
     let count = usize::from(r.u8()?);
     let values: Vec<f64> = (0..count).map(|_| r.f32()).collect::<Result<_, _>>()?;
     Ok(site.report(values))
@@ -224,17 +232,17 @@
     match action {
         Action::WakeAt(at) => reply.record(1, |w| w.u32(instance).u32(span(at.saturating_sub(now))).u32(0)),
         Action::Subscribe => reply.record(2, |w| w.u32(instance).u8(1)),
-        Action::Refuse { job, retry_after } => {
+        Action::Reject { job, retry_after } => {
             reply.record(5, |w| w.u32(instance).u64(job.0).u32(span(*retry_after)))
         }
         Action::Cancel { job, attempt } => {
             reply.record(7, |w| w.u32(instance).u64(job.0).u16(*attempt as u16))
         }
         // No time-out of its own: the attempt may take until the client quits.
-        Action::Send { job, worker } => {
+        Action::Send { job, endpoint: worker } => {
             reply.record(8, |w| w.u32(instance).u64(job.0).worker(worker.0).u32(0))
         }
         Action::Fail { job } => reply.record(10, |w| w.u32(instance).u64(job.0)),
-        Action::Probe { worker } => reply.record(11, |w| w.u32(instance).worker(worker.0)),
+        Action::Probe { endpoint: worker } => reply.record(11, |w| w.u32(instance).worker(worker.0)),
     }
 }
--- a/src/control_plane/mod.rs
+++ b/src/control_plane/mod.rs
@@ -6,7 +6,7 @@
 mod tests;
 
 use crate::consensus::{ConsensusError, Kept};
-use crate::fleet::{FrameError, Member, News, Node};
+use crate::fleet::{FrameError, MemberId, News, Node};
 use crate::rollout::{self, Rollout};
 use crate::zones::{self, Rules, Zones};
 
@@ -80,7 +80,7 @@
     pub fn policy<T>(
         &mut self,
         now: f64,
-        with: impl FnOnce(&mut rollout::Member, &mut Node) -> T,
+        with: impl FnOnce(&mut rollout::Participant, &mut Node) -> T,
     ) -> Option<T> {
         let rollout = self.rollout.as_mut()?;
         let result = with(rollout.member(), &mut self.node);
@@ -89,7 +89,7 @@
         Some(result)
     }
 
-    /// Whether the leader knows that this process leaves, after `rollout::Member::leave`; nobody needs to where no policy is
+    /// Whether the leader knows that this process leaves, after `rollout::Participant::leave`; nobody needs to where no policy is
     /// shared.
     pub fn has_left(&self, now: f64) -> bool {
         self.rollout.as_ref().is_none_or(|rollout| rollout.has_left(now))
@@ -126,7 +126,7 @@
     }
 
     /// A datagram from a member's address. What cannot be taken is counted and dropped.
-    pub fn receive(&mut self, now: f64, from: Member, bytes: &[u8]) -> Result<(), FrameError> {
+    pub fn receive(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> Result<(), FrameError> {
         let taken = self.node.receive(now, from, bytes);
         self.tell(now);
         taken
--- a/src/control_plane/tests.rs
+++ b/src/control_plane/tests.rs
@@ -21,18 +21,18 @@
 
 struct World {
     now: f64,
-    nodes: BTreeMap<Member, Shared>,
-    frozen: BTreeSet<Member>,
-    disks: BTreeMap<Member, Vec<u8>>,
-    under_way: Vec<(f64, u64, Member, Member, Vec<u8>)>,
+    nodes: BTreeMap<MemberId, Shared>,
+    frozen: BTreeSet<MemberId>,
+    disks: BTreeMap<MemberId, Vec<u8>>,
+    under_way: Vec<(f64, u64, MemberId, MemberId, Vec<u8>)>,
     sent: u64,
-    cut: BTreeSet<(Member, Member)>,
+    cut: BTreeSet<(MemberId, MemberId)>,
     loss: f64,
     dead: [bool; ZONES],
     draws: fastrand::Rng,
     /// The table of each epoch.
     decided: BTreeMap<u64, Table>,
-    epochs: BTreeMap<Member, u64>,
+    epochs: BTreeMap<MemberId, u64>,
     /// Clocks of members are apart by so much.
     skew: f64,
     late: bool,
@@ -60,15 +60,15 @@
             skew,
             late: false,
         };
-        (0..(ZONES * EACH) as Member).for_each(|member| world.start(member));
+        (0..(ZONES * EACH) as MemberId).for_each(|member| world.start(member));
         world
     }
 
-    fn clock(&self, member: Member) -> f64 {
+    fn clock(&self, member: MemberId) -> f64 {
         self.now + f64::from(member) * self.skew
     }
 
-    fn start(&mut self, own: Member) {
+    fn start(&mut self, own: MemberId) {
         let now = self.clock(own);
         let fleet = fleet::Setup {
             cluster: "test".into(),
@@ -84,13 +84,13 @@
         self.epochs.remove(&own);
     }
 
-    fn kill(&mut self, member: Member) {
+    fn kill(&mut self, member: MemberId) {
         self.nodes.remove(&member);
         self.frozen.remove(&member);
     }
 
     /// Cuts all links between members of two groups, both ways.
-    fn split(&mut self, one: &[Member], other: &[Member]) {
+    fn split(&mut self, one: &[MemberId], other: &[MemberId]) {
         for a in one {
             for b in other {
                 self.cut.extend([(*a, *b), (*b, *a)]);
@@ -100,7 +100,7 @@
 
     fn step(&mut self) {
         self.now += 10.0;
-        let live: Vec<Member> = self.nodes.keys().copied().filter(|m| !self.frozen.contains(m)).collect();
+        let live: Vec<MemberId> = self.nodes.keys().copied().filter(|m| !self.frozen.contains(m)).collect();
         let now = self.now;
         let mut due: Vec<_> = self.under_way.extract_if(.., |m| m.0 <= now && live.contains(&m.3)).collect();
         due.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -144,7 +144,7 @@
     }
 
     /// A request each 20 ms: near first, elsewhere as the shares say.
-    fn work(&mut self, member: Member) {
+    fn work(&mut self, member: MemberId) {
         if !(self.now as u64 / 10).is_multiple_of(2) {
             return;
         }
@@ -180,24 +180,24 @@
         self.now - began
     }
 
-    fn state(&self, member: Member, zone: usize) -> State {
+    fn state(&self, member: MemberId, zone: usize) -> State {
         self.nodes[&member].zones().newest().1.zones[zone].state
     }
 
-    fn shut(&self, zone: usize, members: &[Member]) -> bool {
+    fn shut(&self, zone: usize, members: &[MemberId]) -> bool {
         members.iter().all(|m| self.state(*m, zone) == State::Closed)
     }
 
-    fn leader(&self) -> Member {
+    fn leader(&self) -> MemberId {
         *self.nodes.iter().find(|(m, n)| n.node().leads() && !self.frozen.contains(m)).unwrap().0
     }
 }
 
-const A: [Member; 3] = [0, 1, 2];
-const B: [Member; 3] = [3, 4, 5];
-const C: [Member; 3] = [6, 7, 8];
-const ALL: [Member; 9] = [0, 1, 2, 3, 4, 5, 6, 7, 8];
-const AB: [Member; 6] = [0, 1, 2, 3, 4, 5];
+const A: [MemberId; 3] = [0, 1, 2];
+const B: [MemberId; 3] = [3, 4, 5];
+const C: [MemberId; 3] = [6, 7, 8];
+const ALL: [MemberId; 9] = [0, 1, 2, 3, 4, 5, 6, 7, 8];
+const AB: [MemberId; 6] = [0, 1, 2, 3, 4, 5];
 
 fn calm(seed: u64) -> World {
     let mut world = World::new(seed);
@@ -250,7 +250,7 @@
 #[test]
 fn one_dispatcher_cut_off_alone_changes_nothing_for_the_others() {
     let mut world = calm(3);
-    let others: Vec<Member> = ALL.into_iter().filter(|m| *m != 2).collect();
+    let others: Vec<MemberId> = ALL.into_iter().filter(|m| *m != 2).collect();
     world.split(&[2], &others);
     world.run(20_000.0);
     assert!(world.decided.is_empty(), "{:?}", world.decided);
@@ -270,7 +270,7 @@
     world.dead[zone] = true;
     world.run(900.0);
     world.kill(leader);
-    let rest: Vec<Member> = ALL.into_iter().filter(|m| *m != leader).collect();
+    let rest: Vec<MemberId> = ALL.into_iter().filter(|m| *m != leader).collect();
     world.until(4000.0, "closed by the rest", |w| w.shut(zone, &rest));
     world.start(leader);
     world.until(4000.0, "the one that was killed follows", |w| w.shut(zone, &[leader]));
@@ -285,7 +285,7 @@
     world.frozen.insert(leader);
     world.run(3000.0);
     world.dead[zone] = true;
-    let rest: Vec<Member> = ALL.into_iter().filter(|m| *m != leader).collect();
+    let rest: Vec<MemberId> = ALL.into_iter().filter(|m| *m != leader).collect();
     world.until(4000.0, "closed by the rest", |w| w.shut(zone, &rest));
     world.run(3000.0);
     world.frozen.clear();
@@ -452,8 +452,8 @@
                     world.cut.insert((member, other));
                 }
                 6 => {
-                    let zone: Vec<Member> = ALL.into_iter().filter(|m| m / 3 == member / 3).collect();
-                    let rest: Vec<Member> = ALL.into_iter().filter(|m| m / 3 != member / 3).collect();
+                    let zone: Vec<MemberId> = ALL.into_iter().filter(|m| m / 3 == member / 3).collect();
+                    let rest: Vec<MemberId> = ALL.into_iter().filter(|m| m / 3 != member / 3).collect();
                     world.split(&zone, &rest);
                 }
                 7 => world.loss = 0.3 - world.loss,
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -2,7 +2,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::routing::{Member, MemberState, WorkerId};
+use crate::routing::{Endpoint, EndpointId, EndpointStatus};
 
 /// Most backend servers that are remembered: twice the largest fleet that is planned for. A line beyond it is told by a
 /// line in the log and counted.
@@ -16,7 +16,7 @@
     /// Where its front finds it; the core only keeps it.
     pub address: String,
     /// What the module is told of it; its id is filled in here.
-    pub member: Member,
+    pub member: Endpoint,
 }
 
 /// A backend server.
@@ -29,17 +29,17 @@
 /// The server table.
 #[derive(Default)]
 pub struct ServerTable {
-    ids: FxHashMap<String, WorkerId>,
-    servers: FxHashMap<WorkerId, Server>,
+    ids: FxHashMap<String, EndpointId>,
+    servers: FxHashMap<EndpointId, Server>,
     /// Lines that there was no room for.
     dropped: u64,
 }
 
 impl ServerTable {
     /// Takes lines in and gives them as the module reads them.
-    pub fn apply(&mut self, lines: Vec<Line>, whole: bool) -> Vec<Member> {
+    pub fn apply(&mut self, lines: Vec<Line>, whole: bool) -> Vec<Endpoint> {
         if whole {
-            self.servers.values_mut().for_each(|s| s.line.member.state = MemberState::Gone);
+            self.servers.values_mut().for_each(|s| s.line.member.status = EndpointStatus::Gone);
         }
         let mut members = Vec::with_capacity(lines.len());
         for mut line in lines {
@@ -51,7 +51,7 @@
                 }
                 None => self.name(&line.name),
             };
-            line.member.worker = id;
+            line.member.id = id;
             members.push(line.member);
             self.servers.insert(id, Server { line });
         }
@@ -59,13 +59,13 @@
     }
 
     /// An id that every dispatcher makes of the same name, so that the fixed order is the same at all of them.
-    fn name(&mut self, name: &str) -> WorkerId {
+    fn name(&mut self, name: &str) -> EndpointId {
         let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
         });
-        let mut id = WorkerId(hash);
+        let mut id = EndpointId(hash);
         while self.servers.contains_key(&id) {
-            id = WorkerId(id.0.wrapping_add(1));
+            id = EndpointId(id.0.wrapping_add(1));
         }
         self.ids.insert(name.to_string(), id);
         id
@@ -73,7 +73,7 @@
 
     /// Makes room by forgetting a backend server that is gone.
     fn forget(&mut self) -> bool {
-        let gone = self.servers.iter().find(|(_, s)| s.line.member.state == MemberState::Gone);
+        let gone = self.servers.iter().find(|(_, s)| s.line.member.status == EndpointStatus::Gone);
         let Some((&id, _)) = gone else { return false };
         if let Some(server) = self.servers.remove(&id) {
             self.ids.remove(&server.line.name);
@@ -87,18 +87,18 @@
     }
 
     /// A backend server by its id.
-    pub fn get(&self, id: WorkerId) -> Option<&Server> {
+    pub fn get(&self, id: EndpointId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
     /// A backend server's id by its name.
-    pub fn id(&self, name: &str) -> Option<WorkerId> {
+    pub fn id(&self, name: &str) -> Option<EndpointId> {
         self.ids.get(name).copied()
     }
 
     /// All that are not gone, in the order of their names.
     pub fn listed(&self) -> Vec<&Server> {
-        let present = |s: &&Server| s.line.member.state != MemberState::Gone;
+        let present = |s: &&Server| s.line.member.status != EndpointStatus::Gone;
         let mut listed: Vec<&Server> = self.servers.values().filter(present).collect();
         listed.sort_unstable_by(|a, b| a.line.name.cmp(&b.line.name));
         listed
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,6 +1,6 @@
 //! Sessions and their dispatches.
 
-use crate::routing::WorkerId;
+use crate::routing::EndpointId;
 
 /// A session's id; the module's job carries the same.
 pub type SessionId = u64;
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Dispatch {
     /// The backend server.
-    pub server: WorkerId,
+    pub server: EndpointId,
     /// When it was sent; of a body that was relayed as it came, when the last of it was.
     pub sent: f64,
     /// When its answer began, where that is relayed as it comes.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -20,9 +20,11 @@
 pub use partition::{PoolId, Selector};
 pub use traffic_split::Happened;
 
-use crate::routing::Dispatcher;
-use crate::routing::Learned;
-use crate::routing::{Action, Event, JobId, Member, MemberState, Micros, Outcome, Report, WorkerId};
+use crate::routing::Router;
+use crate::routing::WarmState;
+use crate::routing::{
+    Action, Endpoint, EndpointId, EndpointStatus, Event, JobId, LoadReport, Micros, Outcome,
+};
 use crate::settings::Site;
 use crate::telemetry::{Gauges, Telemetry};
 use partition::Pool;
@@ -38,7 +40,7 @@
         /// Number of the dispatch.
         attempt: usize,
         /// The backend server.
-        server: WorkerId,
+        server: EndpointId,
     },
     /// Call a dispatch off; it has ended as far as the core goes.
     Cancel {
@@ -57,7 +59,7 @@
     /// Probe a backend server.
     Probe {
         /// The backend server.
-        server: WorkerId,
+        server: EndpointId,
     },
     /// Start a watch of the list.
     Subscribe,
@@ -67,7 +69,7 @@
 pub struct Core {
     clock: Clock,
     site: Site,
-    module: Dispatcher,
+    module: Router,
     table: ServerTable,
     sessions: FxHashMap<SessionId, Session>,
     limit: usize,
@@ -97,7 +99,7 @@
         let lanes = site.grades.iter().map(|g| g.name.clone()).collect();
         Core {
             telemetry: Telemetry::new(lanes),
-            module: Dispatcher::new(site.settings.clone(), seed),
+            module: Router::new(site.settings.clone(), seed),
             clock,
             site,
             table: ServerTable::default(),
@@ -132,7 +134,7 @@
 
     /// Takes over settings that fit, and a bound on sessions; what is open goes on under them.
     pub fn adopt(&mut self, site: Site, limit: usize) {
-        self.module.adopt(site.settings.clone());
+        self.module.reconfigure(site.settings.clone());
         self.pools.values_mut().for_each(|pool| pool.adopt(site.settings.clone()));
         (self.site, self.limit) = (site, limit);
     }
@@ -156,7 +158,7 @@
         session: SessionId,
         attempt: usize,
         outcome: Outcome,
-        report: Report,
+        report: LoadReport,
         result: Vec<u8>,
     ) -> bool {
         stages::complete::ended(self, session, attempt, outcome, report, result)
@@ -179,7 +181,7 @@
     }
 
     /// Takes lines into the server table, and gives members as the module is to see them.
-    fn take_lines(&mut self, lines: Vec<Line>, whole: bool) -> Vec<Member> {
+    fn take_lines(&mut self, lines: Vec<Line>, whole: bool) -> Vec<Endpoint> {
         let (before, mut members) = (self.table.dropped(), self.table.apply(lines, whole));
         let dropped = self.table.dropped() - before;
         if dropped > 0 {
@@ -207,14 +209,14 @@
             return;
         }
         steer.shares = shares;
-        let mut members: Vec<Member> = self.table.listed().iter().map(|s| s.line.member).collect();
+        let mut members: Vec<Endpoint> = self.table.listed().iter().map(|s| s.line.member).collect();
         steer.fit(&mut members);
         self.tell_list(&members, false);
     }
 
     /// Tells the modules of the list, or of its changes.
-    fn tell_list(&mut self, members: &[Member], whole: bool) {
-        fn event(members: &[Member], whole: bool) -> Event<'_> {
+    fn tell_list(&mut self, members: &[Endpoint], whole: bool) {
+        fn event(members: &[Endpoint], whole: bool) -> Event<'_> {
             if whole { Event::List(members) } else { Event::Changes(members) }
         }
         stages::route::drive(self, event(members, whole));
@@ -241,17 +243,17 @@
         }
         self.last_pool += 1;
         let (id, settings) = (self.last_pool, self.site.settings.clone());
-        let known: Vec<Learned> = self.pools.values().map(|pool| pool.module.learned()).collect();
+        let known: Vec<WarmState> = self.pools.values().map(|pool| pool.module.warm_state()).collect();
         let pool = Pool::new(selector.clone(), settings, self.seed ^ u64::from(id) << 32);
         self.pools.insert(id, pool);
-        let mut members: Vec<Member> = self.table.listed().iter().map(|s| s.line.member).collect();
+        let mut members: Vec<Endpoint> = self.table.listed().iter().map(|s| s.line.member).collect();
         if let Some(steer) = &self.steer {
             steer.fit(&mut members);
         }
         let own = self.pools[&id].own(&self.table, &members);
         stages::route::drive_in(self, id, Event::List(&own));
         // The whole's first; of those that have sent to the same servers the least budget counts.
-        let (now, learned) = (micros(self.clock.now()), self.module.learned());
+        let (now, learned) = (micros(self.clock.now()), self.module.warm_state());
         if let Some(pool) = self.pools.get_mut(&id) {
             [learned].into_iter().chain(known).for_each(|learned| pool.recall(now, learned));
         }
@@ -262,7 +264,7 @@
     fn drop_pools(&mut self) {
         let now = micros(self.clock.now());
         for (_, pool) in self.pools.extract_if(|_, pool| !pool.wanted && pool.open == 0) {
-            self.module.recall(now, pool.module.learned());
+            self.module.restore(now, pool.module.warm_state());
         }
     }
 
@@ -289,7 +291,7 @@
         for server in self.table.listed() {
             let member = &server.line.member;
             if let Some(load) = loads.get_mut(usize::from(member.zone))
-                && member.state == MemberState::Ready
+                && member.status == EndpointStatus::Ready
             {
                 load.1 += member.size;
             }
@@ -324,8 +326,8 @@
     }
 
     /// A probe has come back, or has not in good time.
-    pub fn probed(&mut self, worker: WorkerId, answered: bool, latency: f64, report: Report) {
-        let probed = Event::Probed { worker, answered, latency: micros(latency), report };
+    pub fn probed(&mut self, worker: EndpointId, answered: bool, latency: f64, report: LoadReport) {
+        let probed = Event::Probed { endpoint: worker, answered, latency: micros(latency), report };
         stages::route::drive(self, probed);
         for id in self.pools.keys().copied().collect::<Vec<_>>() {
             stages::route::drive_in(self, id, probed);
@@ -386,18 +388,18 @@
     }
 
     /// What the module has learned.
-    pub fn learned(&self) -> Learned {
-        self.module.learned()
+    pub fn learned(&self) -> WarmState {
+        self.module.warm_state()
     }
 
     /// Takes over the list and what was learned of a process that this one replaces. The list only where none has
     /// been read here; false where what was learned cannot be true here.
-    pub fn recall(&mut self, lines: Vec<Line>, learned: Learned) -> bool {
+    pub fn recall(&mut self, lines: Vec<Line>, learned: WarmState) -> bool {
         if self.counters.lists == 0 {
             let members = self.take_lines(lines, true);
             self.tell_list(&members, true);
         }
-        self.module.recall(micros(self.clock.now()), learned)
+        self.module.restore(micros(self.clock.now()), learned)
     }
 
     /// The clock.
@@ -416,7 +418,7 @@
         let Some(open) = self.sessions.get(&session).filter(|s| !s.over) else { return false };
         let module = self.pools.get(&open.request.pool).map_or(&self.module, |pool| &pool.module);
         let out = open.dispatches.get(attempt).is_some_and(|d| d.out);
-        out && module.stands(micros(self.clock.now()), JobId(session), attempt)
+        out && module.attempt_is_valid(micros(self.clock.now()), JobId(session), attempt)
     }
 
     /// A dispatch's request was written whole to its backend server, where its body was not relayed as it came.
@@ -433,7 +435,7 @@
     pub fn gauges(&self) -> Gauges {
         let now = micros(self.clock.now());
         let listed = self.table.listed();
-        let avoided = listed.iter().filter(|s| self.module.avoids(now, s.line.member.worker)).count();
+        let avoided = listed.iter().filter(|s| self.module.is_unavailable(now, s.line.member.id)).count();
         Gauges {
             pending: self.sessions.len() as u64,
             members: listed.len() as u64,
--- a/src/core/partition.rs
+++ b/src/core/partition.rs
@@ -2,9 +2,9 @@
 //! only its servers and chooses among them as over the whole list. Where no policy is set up there is none.
 
 use crate::core::endpoint_table::{Line, ServerTable};
-use crate::routing::Dispatcher;
-use crate::routing::Learned;
-use crate::routing::{Member, MemberState, Micros, Settings};
+use crate::routing::Router;
+use crate::routing::WarmState;
+use crate::routing::{Endpoint, EndpointStatus, Micros, Settings};
 
 /// A pool's number; 0 is the whole list.
 pub type PoolId = u32;
@@ -36,7 +36,7 @@
 /// A pool.
 pub(super) struct Pool {
     pub(super) selector: Selector,
-    pub(super) module: Dispatcher,
+    pub(super) module: Router,
     /// When the module is to be woken, on its own clock.
     pub(super) wake_at: Option<Micros>,
     /// New requests may be kept to it.
@@ -48,25 +48,25 @@
 impl Pool {
     /// A pool whose module knows no servers yet.
     pub(super) fn new(selector: Selector, settings: Settings, seed: u64) -> Pool {
-        let module = Dispatcher::new(quiet(settings), seed);
+        let module = Router::new(quiet(settings), seed);
         Pool { selector, module, wake_at: None, wanted: true, open: 0 }
     }
 
     /// Its own of some members.
-    pub(super) fn own(&self, table: &ServerTable, members: &[Member]) -> Vec<Member> {
-        let ours = |m: &&Member| table.get(m.worker).is_some_and(|server| self.selector.fits(&server.line));
+    pub(super) fn own(&self, table: &ServerTable, members: &[Endpoint]) -> Vec<Endpoint> {
+        let ours = |m: &&Endpoint| table.get(m.id).is_some_and(|server| self.selector.fits(&server.line));
         members.iter().filter(ours).copied().collect()
     }
 
     /// Takes over what another module has learned. Guards against a cold server that gets a new budget with each
     /// change of policy.
-    pub(super) fn recall(&mut self, now: Micros, learned: Learned) {
-        self.module.recall(now, learned);
+    pub(super) fn recall(&mut self, now: Micros, learned: WarmState) {
+        self.module.restore(now, learned);
     }
 
     /// Takes over settings that were read again.
     pub(super) fn adopt(&mut self, settings: Settings) {
-        self.module.adopt(quiet(settings));
+        self.module.reconfigure(quiet(settings));
     }
 }
 
@@ -78,5 +78,5 @@
 /// Whether any listed server that takes work is one of these.
 pub(super) fn has(table: &ServerTable, selector: &Selector) -> bool {
     let ready = table.listed();
-    ready.iter().any(|s| s.line.member.state == MemberState::Ready && selector.fits(&s.line))
+    ready.iter().any(|s| s.line.member.status == EndpointStatus::Ready && selector.fits(&s.line))
 }
--- a/src/core/stages/complete.rs
+++ b/src/core/stages/complete.rs
@@ -2,7 +2,7 @@
 
 use crate::core::stages::{answer, route};
 use crate::core::{Core, Happened, SessionId, Verdict, micros, millis, traffic_split};
-use crate::routing::{Ended, Event, JobId, Outcome, Report};
+use crate::routing::{AttemptEnd, Event, JobId, LoadReport, Outcome};
 
 /// The end of a dispatch. One that is over already is counted and changes nothing, so that news that repeat or
 /// come late cannot answer a session twice.
@@ -11,7 +11,7 @@
     id: SessionId,
     attempt: usize,
     outcome: Outcome,
-    report: Report,
+    report: LoadReport,
     result: Vec<u8>,
 ) -> bool {
     let now = core.clock.now();
@@ -46,7 +46,7 @@
     route::drive_of(
         core,
         id,
-        Event::Ended(Ended { job, attempt, worker, outcome, latency, finished, report }),
+        Event::Ended(AttemptEnd { job, attempt, endpoint: worker, outcome, latency, finished, report }),
     );
     true
 }
--- a/src/core/stages/route.rs
+++ b/src/core/stages/route.rs
@@ -11,7 +11,7 @@
         pool.open += 1;
     }
     let (due, work) = (micros(request.due), request.work.map(micros));
-    let job = Job { id: JobId(id), class: request.class, due, slots: request.slots, work };
+    let job = Job { id: JobId(id), class: request.class, deadline: due, slots: request.slots, work };
     drive_in(core, request.pool, Event::Job(job));
 }
 
@@ -40,14 +40,14 @@
     module.handle(now, event, &mut actions);
     for action in actions.drain(..) {
         match action {
-            Action::Send { job, worker } => send::send(core, job.0, worker),
+            Action::Send { job, endpoint: worker } => send::send(core, job.0, worker),
             Action::Cancel { job, attempt } => send::cancel(core, job.0, attempt),
-            Action::Refuse { job, retry_after } => {
+            Action::Reject { job, retry_after } => {
                 let retry_after = millis(retry_after).min(core.site.max_retry_after);
                 answer::answer(core, job.0, Verdict::Denied { retry_after });
             }
             Action::Fail { job } => answer::answer(core, job.0, Verdict::Failed),
-            Action::Probe { worker } => send::probe(core, worker),
+            Action::Probe { endpoint: worker } => send::probe(core, worker),
             Action::Subscribe => send::subscribe(core),
             Action::WakeAt(at) => {
                 let wake_at = core.pools.get_mut(&pool).map_or(&mut core.wake_at, |pool| &mut pool.wake_at);
--- a/src/core/stages/send.rs
+++ b/src/core/stages/send.rs
@@ -1,10 +1,10 @@
 //! Send: a decision becomes a dispatch, and a command for the front.
 
 use crate::core::{Command, Core, Dispatch, SessionId};
-use crate::routing::WorkerId;
+use crate::routing::EndpointId;
 
 /// Records a dispatch and has it sent.
-pub fn send(core: &mut Core, id: SessionId, server: WorkerId) {
+pub fn send(core: &mut Core, id: SessionId, server: EndpointId) {
     let sent = core.clock.now();
     let Some(session) = core.sessions.get_mut(&id).filter(|s| !s.over) else { return };
     let attempt = session.dispatches.len();
@@ -30,7 +30,7 @@
 }
 
 /// Has a backend server probed.
-pub fn probe(core: &mut Core, server: WorkerId) {
+pub fn probe(core: &mut Core, server: EndpointId) {
     core.counters.probes += 1;
     core.commands.push_back(Command::Probe { server });
 }
--- a/src/core/traffic_split.rs
+++ b/src/core/traffic_split.rs
@@ -1,7 +1,7 @@
 //! Steering: what each zone may get reaches the module through its list, and what zones did is kept for whoever
 //! steers. Off, it is not there.
 
-use crate::routing::{Member, MemberState, Outcome};
+use crate::routing::{Endpoint, EndpointStatus, Outcome};
 use crate::zones::{End, Gate, WHOLE};
 
 /// Most events that are kept between two looks.
@@ -56,10 +56,10 @@
     }
 
     /// Members as the module is to see them: a zone's share scales their size, and none is a drain.
-    pub(super) fn fit(&self, members: &mut [Member]) {
+    pub(super) fn fit(&self, members: &mut [Endpoint]) {
         for member in members {
             match self.shares.get(usize::from(member.zone)).copied().unwrap_or(WHOLE) {
-                0 if member.state == MemberState::Ready => member.state = MemberState::Draining,
+                0 if member.status == EndpointStatus::Ready => member.status = EndpointStatus::Draining,
                 0 | WHOLE => {}
                 share => member.size *= f64::from(share) / f64::from(WHOLE),
             }
--- a/src/fleet/documents.rs
+++ b/src/fleet/documents.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use super::Member;
+use super::MemberId;
 
 /// A document's name: the BLAKE3 hash of its bytes.
 pub type Hash = [u8; 32];
@@ -37,7 +37,7 @@
     asked: f64,
     tries: usize,
     /// A member that has it, as far as is known.
-    source: Option<Member>,
+    source: Option<MemberId>,
 }
 
 /// The documents of a member.
@@ -74,7 +74,7 @@
     }
 
     /// Has a document asked for until it is here, first of a member that should have it.
-    pub fn want(&mut self, hash: Hash, source: Option<Member>) {
+    pub fn want(&mut self, hash: Hash, source: Option<MemberId>) {
         if self.wanted.len() < WANTED && self.get(&hash).is_none() {
             let (length, pieces, asked) = (None, Vec::new(), f64::NEG_INFINITY);
             self.wanted.entry(hash).or_insert(Wanted { length, pieces, asked, tries: 0, source });
@@ -87,7 +87,7 @@
     }
 
     /// What to ask by now, of whom: `there` are the members that are there, but for this one.
-    pub fn due(&mut self, now: f64, there: &[Member]) -> Vec<(Member, Hash, u16)> {
+    pub fn due(&mut self, now: f64, there: &[MemberId]) -> Vec<(MemberId, Hash, u16)> {
         let mut asks = Vec::new();
         for (hash, wanted) in self.wanted.iter_mut().filter(|(_, w)| now >= w.asked + AGAIN) {
             let next = there.get(wanted.tries / 2 % there.len().max(1)).copied();
@@ -115,7 +115,7 @@
     }
 
     /// A piece has come. True where the document is whole now; one that is not what its name says begins anew.
-    pub fn take(&mut self, from: Member, hash: &Hash, length: u32, at: u16, bytes: Vec<u8>) -> bool {
+    pub fn take(&mut self, from: MemberId, hash: &Hash, length: u32, at: u16, bytes: Vec<u8>) -> bool {
         let Some(wanted) = self.wanted.get_mut(hash) else { return false };
         let length = length as usize;
         if length > LONGEST_DOCUMENT || wanted.length.is_some_and(|known| known != length) {
--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::Member;
+use super::MemberId;
 use super::documents::Hash;
 use crate::consensus::LeaderTerm;
 
@@ -90,7 +90,7 @@
 struct Head<'a> {
     cluster: &'a str,
     generation: u32,
-    from: Member,
+    from: MemberId,
     session: u64,
     number: u64,
     body: &'a [u8],
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
     /// The sender's place in the operator's file.
-    pub from: Member,
+    pub from: MemberId,
     /// When the sender's process started, by its clock.
     pub session: u64,
     /// The frame's number on its way from the one to the other.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -27,7 +27,7 @@
 use delivery::Newest;
 use documents::Documents;
 use swim::Swim;
-pub use types::{Counts, Effect, Member, News, Place, Setup};
+pub use types::{Counts, Effect, MemberId, News, Place, Setup};
 
 /// Most members of a fleet.
 pub const MOST_MEMBERS: usize = 4096;
@@ -44,7 +44,7 @@
 pub struct Node {
     setup: Setup,
     /// The members that vote, in order.
-    voters: Vec<Member>,
+    voters: Vec<MemberId>,
     /// Its number among them.
     voter: Option<Voter>,
     consensus: Option<Consensus>,
@@ -73,8 +73,8 @@
     /// A node, with what its voter's file says.
     pub fn new(setup: Setup, kept: Option<Kept>, now: f64) -> Result<Node, ConsensusError> {
         let members = setup.places.len();
-        let voters: Vec<Member> =
-            (0..members).filter(|&at| setup.places[at].voter).map(|at| at as Member).collect();
+        let voters: Vec<MemberId> =
+            (0..members).filter(|&at| setup.places[at].voter).map(|at| at as MemberId).collect();
         let voter = voters.iter().position(|&member| member == setup.own).map(|at| at as Voter + 1);
         let consensus = voter.map(|own| {
             let (voters, generation) = (voters.len() as u64, setup.generation);
@@ -140,21 +140,21 @@
     }
 
     /// The voters to ask for news now: the leader, and the others in turn. All of them where nobody is known to lead.
-    fn voters_to_ask(&mut self) -> Vec<Member> {
+    fn voters_to_ask(&mut self) -> Vec<MemberId> {
         let voters = self.others(&self.voters);
         let Some(leader) = self.leader() else { return voters };
         self.asks += 1;
         let turn = self.asks % voters.len().max(1);
-        let asked = |(at, voter): (usize, Member)| (at == turn || voter == leader).then_some(voter);
+        let asked = |(at, voter): (usize, MemberId)| (at == turn || voter == leader).then_some(voter);
         voters.into_iter().enumerate().filter_map(asked).collect()
     }
 
-    fn others(&self, members: &[Member]) -> Vec<Member> {
+    fn others(&self, members: &[MemberId]) -> Vec<MemberId> {
         members.iter().copied().filter(|member| *member != self.setup.own).collect()
     }
 
     /// A datagram from a member's address. What cannot be taken is counted and dropped.
-    pub fn receive(&mut self, now: f64, from: Member, bytes: &[u8]) -> Result<(), FrameError> {
+    pub fn receive(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> Result<(), FrameError> {
         self.counts.heard_bytes += bytes.len() as u64;
         let frame = Frame::decode(bytes, &self.setup.cluster, self.setup.generation);
         let frame = match frame {
@@ -180,7 +180,7 @@
         if taken { Ok(()) } else { Err(FrameError::Damaged) }
     }
 
-    fn take(&mut self, now: f64, from: Member, session: u64, body: Body) -> bool {
+    fn take(&mut self, now: f64, from: MemberId, session: u64, body: Body) -> bool {
         match body {
             Body::Swim(packet) => self.swim.receive(now, &packet),
             Body::Consensus(message) => {
@@ -265,7 +265,7 @@
 
     /// Tells all members who leads.
     fn announce(&mut self) {
-        for member in 0..self.setup.places.len() as Member {
+        for member in 0..self.setup.places.len() as MemberId {
             if member != self.setup.own {
                 self.send(member, Body::News { decisions: Vec::new(), term: self.term });
             }
@@ -289,7 +289,7 @@
         // What is new goes to all at once; voters alone have it first.
         if self.voter.is_some() {
             let decision = Decision { topic, epoch, body: body.to_vec() };
-            for member in 0..self.setup.places.len() as Member {
+            for member in 0..self.setup.places.len() as MemberId {
                 if member != self.setup.own {
                     let decisions = vec![decision.clone()];
                     self.send(member, Body::News { decisions, term: self.term });
@@ -299,7 +299,7 @@
     }
 
     /// Tells a member that knows these epochs what is newer.
-    fn send_news(&mut self, to: Member, known: &[(u8, u64)]) {
+    fn send_news(&mut self, to: MemberId, known: &[(u8, u64)]) {
         let old = |topic: u8, epoch: u64| {
             known.iter().find(|(t, _)| *t == topic).is_none_or(|(_, known)| *known < epoch)
         };
@@ -311,7 +311,7 @@
     }
 
     /// Sends a message to the same part of another member, or tells it the part of this one.
-    pub fn send_message(&mut self, to: Member, topic: u8, bytes: Vec<u8>) {
+    pub fn send_message(&mut self, to: MemberId, topic: u8, bytes: Vec<u8>) {
         if to == self.setup.own {
             let session = self.setup.session;
             return self.news.push_back(News::Message { topic, from: to, session, bytes });
@@ -343,13 +343,13 @@
     }
 
     /// Has a document asked for until it is here, or given up by `forget`, first of a member that should have it.
-    pub fn want(&mut self, now: f64, hash: Hash, source: Option<Member>) {
+    pub fn want(&mut self, now: f64, hash: Hash, source: Option<MemberId>) {
         self.documents.want(hash, source);
         self.ask_documents(now);
     }
 
     fn ask_documents(&mut self, now: f64) {
-        let there: Vec<Member> = (0..self.setup.places.len() as Member)
+        let there: Vec<MemberId> = (0..self.setup.places.len() as MemberId)
             .filter(|m| *m != self.setup.own && self.swim.up().get(usize::from(*m)) == Some(&true))
             .collect();
         for (member, hash, at) in self.documents.due(now, &there) {
@@ -387,24 +387,24 @@
 
     /// The voter that leads, as a member, as far as is known here: the one that a majority was last known to follow. A
     /// voter that was away may not know that by its own log for long.
-    pub fn leader(&self) -> Option<Member> {
+    pub fn leader(&self) -> Option<MemberId> {
         let leader = self.term.leader().or_else(|| self.consensus.as_ref()?.leader());
         self.voters.get((leader? as usize).checked_sub(1)?).copied()
     }
 
     /// The members whose votes carry this leader; none where it does not lead.
-    pub fn followers(&self) -> Vec<Member> {
+    pub fn followers(&self) -> Vec<MemberId> {
         let followers = self.consensus.as_ref().map(Consensus::followers).unwrap_or_default();
         followers.iter().filter_map(|voter| self.voters.get(*voter as usize - 1).copied()).collect()
     }
 
     /// The members that vote.
-    pub fn voters(&self) -> &[Member] {
+    pub fn voters(&self) -> &[MemberId] {
         &self.voters
     }
 
     /// This member.
-    pub fn own(&self) -> Member {
+    pub fn own(&self) -> MemberId {
         self.setup.own
     }
 
@@ -444,7 +444,7 @@
         }
     }
 
-    fn send(&mut self, to: Member, body: Body) {
+    fn send(&mut self, to: MemberId, body: Body) {
         let Some(number) = self.numbers.get_mut(usize::from(to)) else { return };
         *number += 1;
         let frame = Frame { from: self.setup.own, session: self.setup.session, number: *number, body };
--- a/src/fleet/swim.rs
+++ b/src/fleet/swim.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
-use super::Member;
+use super::MemberId;
 
 /// Longest packet of the protocol, in bytes.
 const PACKET: usize = 1200;
@@ -21,19 +21,19 @@
 /// is not goes on under the next number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Id {
-    member: Member,
+    member: MemberId,
     session: u64,
     renewed: u32,
 }
 
 impl Identity for Id {
-    type Addr = Member;
+    type Addr = MemberId;
 
     fn renew(&self) -> Option<Id> {
         Some(Id { renewed: self.renewed.wrapping_add(1), ..*self })
     }
 
-    fn addr(&self) -> Member {
+    fn addr(&self) -> MemberId {
         self.member
     }
 
@@ -75,7 +75,7 @@
 struct Asked {
     now: f64,
     number: u64,
-    send: Vec<(Member, Vec<u8>)>,
+    send: Vec<(MemberId, Vec<u8>)>,
     timers: BinaryHeap<Reverse<Due>>,
     changes: u64,
 }
@@ -105,7 +105,7 @@
     foca: Foca<Id, PostcardCodec, SmallRng, foca::NoCustomBroadcast>,
     asked: Asked,
     up: Vec<bool>,
-    own: Member,
+    own: MemberId,
     announced: f64,
 }
 
@@ -118,7 +118,7 @@
 const ANNOUNCE: f64 = 500.0;
 
 impl Swim {
-    pub(super) fn new(own: Member, members: usize, session: u64, seed: u64) -> Swim {
+    pub(super) fn new(own: MemberId, members: usize, session: u64, seed: u64) -> Swim {
         let some = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
         let each = |ms: u64, count: usize| {
             Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members: some(count) })
@@ -175,7 +175,7 @@
         if now >= self.announced + ANNOUNCE {
             self.announced = now;
             let missing = self.up.iter().enumerate().filter(|(_, up)| !**up);
-            let missing: Vec<Member> = missing.map(|(at, _)| at as Member).collect();
+            let missing: Vec<MemberId> = missing.map(|(at, _)| at as MemberId).collect();
             if !missing.is_empty() {
                 let member = missing[pick(missing.len()) % missing.len()];
                 let _ = self.foca.announce(Id { member, session: 0, renewed: 0 }, &mut self.asked);
@@ -203,7 +203,7 @@
     }
 
     /// What is to be sent.
-    pub(super) fn take(&mut self) -> Vec<(Member, Vec<u8>)> {
+    pub(super) fn take(&mut self) -> Vec<(MemberId, Vec<u8>)> {
         std::mem::take(&mut self.asked.send)
     }
 }
--- a/src/fleet/types.rs
+++ b/src/fleet/types.rs
@@ -4,7 +4,7 @@
 use crate::consensus::Write;
 
 /// A dispatcher's place among the members of the operator's file, from 0.
-pub type Member = u16;
+pub type MemberId = u16;
 
 /// What the operator's file says of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// All members.
     pub places: Vec<Place>,
     /// This one.
-    pub own: Member,
+    pub own: MemberId,
     /// When this process started, in milliseconds of its clock: it tells it from an earlier one.
     pub session: u64,
     /// For random numbers.
@@ -38,7 +38,7 @@
     /// Send a datagram to a member.
     Send {
         /// The member.
-        to: Member,
+        to: MemberId,
         /// The frame.
         bytes: Vec<u8>,
     },
@@ -54,7 +54,7 @@
         /// The part.
         topic: u8,
         /// Who sent it.
-        from: Member,
+        from: MemberId,
         /// The process that sent it, by its start.
         session: u64,
         /// What it says.
--- a/src/flow/admission.rs
+++ b/src/flow/admission.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::routing::{Report, WorkerId};
+use crate::routing::{EndpointId, LoadReport};
 
 /// Bounds on streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
 /// the bound, by going on to another server or by holding the request.
 pub struct Slots {
     each: usize,
-    out: FxHashMap<WorkerId, usize>,
+    out: FxHashMap<EndpointId, usize>,
 }
 
 impl Slots {
@@ -107,7 +107,7 @@
     }
 
     /// Takes a slot, if one is free.
-    pub fn take(&mut self, server: WorkerId) -> bool {
+    pub fn take(&mut self, server: EndpointId) -> bool {
         let out = self.out.entry(server).or_default();
         let free = *out < self.each;
         *out += usize::from(free);
@@ -115,7 +115,7 @@
     }
 
     /// Gives a slot back.
-    pub fn give_back(&mut self, server: WorkerId) {
+    pub fn give_back(&mut self, server: EndpointId) {
         if let Some(out) = self.out.get_mut(&server) {
             *out -= 1;
             if *out == 0 {
@@ -125,9 +125,9 @@
     }
 
     /// What the module is to know of a server.
-    pub fn report(&self, server: WorkerId) -> Report {
+    pub fn report(&self, server: EndpointId) -> LoadReport {
         let free = self.each.saturating_sub(self.out.get(&server).copied().unwrap_or(0));
         let queue = if free == 0 { Slots::FULL } else { 0.0 };
-        Report { free_slots: Some(free as f64), queue: Some(queue), held: None }
+        LoadReport { free_slots: Some(free as f64), queue: Some(queue), held: None }
     }
 }
--- a/src/flow/tests.rs
+++ b/src/flow/tests.rs
@@ -224,14 +224,14 @@
     assert_eq!(admission.enter("c"), Err(Full::Total));
     admission.leave("a");
     admission.enter("a").unwrap();
-    let (mut slots, server) = (Slots::new(1), WorkerId::default());
+    let (mut slots, server) = (Slots::new(1), EndpointId::default());
     assert!(slots.take(server) && !slots.take(server));
     assert_eq!(slots.report(server).free_slots, Some(0.0));
     slots.give_back(server);
     assert_eq!(slots.report(server).free_slots, Some(1.0));
 }
 
-use crate::routing::WorkerId;
+use crate::routing::EndpointId;
 
 proptest! {
     /// Whatever peers do: what is held stays within the pool and the least of each lane, no lane passes its window,
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -7,7 +7,7 @@
 use crate::json::{self, JsonValue, flag, number, text};
 use crate::net::ConnId;
 use crate::net::http;
-use crate::routing::{Member, MemberState, Settings, WorkerId};
+use crate::routing::{Endpoint, EndpointId, EndpointStatus, Settings};
 use crate::settings::Site;
 
 /// How long a call waits for news, in milliseconds: silence on it is noticed, and made good, before what it missed
@@ -65,7 +65,7 @@
 
 impl Heard {
     /// Tells a core, and gives the servers that were started again, or have moved: their old connections are gone.
-    pub fn tell(self, core: &mut Core) -> Vec<WorkerId> {
+    pub fn tell(self, core: &mut Core) -> Vec<EndpointId> {
         let Heard::List(lines, whole) = self else {
             core.list_failed();
             return Vec::new();
@@ -73,7 +73,7 @@
         let renewed = |line: &Line| {
             let id = core.table().id(&line.name)?;
             let old = &core.table().get(id)?.line;
-            ((old.member.born, &old.address) != (line.member.born, &line.address)).then_some(id)
+            ((old.member.started_at, &old.address) != (line.member.started_at, &line.address)).then_some(id)
         };
         let renewed = lines.iter().filter_map(renewed).collect();
         core.listed(lines, whole);
@@ -128,7 +128,7 @@
     pub fn call(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<Heard> {
         if let Watch::Calling { since, .. } = self.watch {
             // A call that is given up takes discovery's time all the same: many would only make the line longer.
-            if now < since + FRESH || settings.many() {
+            if now < since + FRESH || settings.is_large_fleet() {
                 return None;
             }
             self.hang_up(net);
@@ -142,10 +142,10 @@
         if !settings.must_subscribe {
             return AGENT_WAIT;
         }
-        if !settings.many() {
+        if !settings.is_large_fleet() {
             return WAIT;
         }
-        let all = f64::from(settings.dispatchers) * millis(Settings::CALL_EACH) * WAITS;
+        let all = f64::from(settings.dispatchers) * millis(Settings::POLL_COST) * WAITS;
         // Guards against many dispatchers that come back at one time as nothing has changed for long.
         all.min(LONG_WAIT) * (0.5 + 0.5 * self.rng.f64())
     }
@@ -156,7 +156,7 @@
         let takes = match (settings.must_subscribe, waits) {
             (false, _) => AGENT_SILENT,
             (true, true) => SILENT,
-            (true, false) if settings.many() => LONG_GRACE,
+            (true, false) if settings.is_large_fleet() => LONG_GRACE,
             (true, false) => GRACE,
         };
         let fresh = |id: &ConnId| net.conn(*id).is_some_and(|conn| conn.is_fresh());
@@ -295,18 +295,18 @@
     let line = |host: &JsonValue| {
         let name = text(host, "host").ok_or("a line of the list has no host")?;
         let state = match text(host, "health") {
-            Some("up") => MemberState::Ready,
-            Some("removed") => MemberState::Gone,
-            _ => MemberState::Draining,
+            Some("up") => EndpointStatus::Ready,
+            Some("removed") => EndpointStatus::Gone,
+            _ => EndpointStatus::Draining,
         };
-        let member = Member {
-            worker: WorkerId::default(),
+        let member = Endpoint {
+            id: EndpointId::default(),
             kind: place(&site.kinds, text(host, "class")),
             zone: place(&site.zones, text(host, "site")),
             cell: number(host, "block").unwrap_or(0.0) as u32,
             size: number(host, "share").unwrap_or(1.0),
-            born: micros(number(host, "born_ms").unwrap_or(0.0)),
-            state,
+            started_at: micros(number(host, "born_ms").unwrap_or(0.0)),
+            status: state,
         };
         let address = text(host, "dial").unwrap_or("").to_string();
         Ok(Line { name: name.to_string(), address, member })
--- a/src/frontend/fleet/log_lines.rs
+++ b/src/frontend/fleet/log_lines.rs
@@ -1,7 +1,7 @@
 //! Lines for operators: where the policy stands, and what was decided of zones.
 
 use super::config::Config;
-use crate::fleet::Member;
+use crate::fleet::MemberId;
 use crate::rollout;
 use crate::zones::{self, Sight, State, Table};
 
@@ -26,7 +26,7 @@
 /// Tells of a decision of zones in the log.
 pub(super) fn log(config: &Config, decided: &zones::Decided) {
     let zones::Decided { epoch, table, leader, own, voters, sights } = decided;
-    let name = |at: &Member| config.names.get(usize::from(*at)).map_or("", String::as_str);
+    let name = |at: &MemberId| config.names.get(usize::from(*at)).map_or("", String::as_str);
     let (leader, states) = (leader.as_ref().map_or("", name), states(&config.zones, table));
     let voters = voters.iter().map(name).collect::<Vec<_>>().join(",");
     let evidence = evidence(&config.zones, sights);
--- a/src/frontend/fleet/thread.rs
+++ b/src/frontend/fleet/thread.rs
@@ -21,7 +21,7 @@
 use crate::consensus::Write;
 use crate::control_plane::{Effect, Setup, Shared};
 use crate::core::Clock;
-use crate::fleet::{self, LONGEST, Member};
+use crate::fleet::{self, LONGEST, MemberId};
 use crate::rollout;
 use crate::zones::{self, End};
 
@@ -104,7 +104,7 @@
     /// What the fronts said of their serving as they went.
     serves: bool,
     clock: Clock,
-    members: FxHashMap<SocketAddr, Member>,
+    members: FxHashMap<SocketAddr, MemberId>,
     say: SyncSender<Said>,
     open: Option<Open>,
     /// When to try again for the address; none once it is held, or given up.
@@ -160,7 +160,7 @@
     // Leases count while the machine is suspended.
     let clock = Clock::boot();
     let members = config.addresses.iter().enumerate();
-    let members = members.map(|(at, address)| (*address, at as Member)).collect();
+    let members = members.map(|(at, address)| (*address, at as MemberId)).collect();
     let mut shared = Loop {
         handle: events.handle(),
         over: false,
@@ -225,7 +225,7 @@
     }
 
     /// Has the member's part of the policy do something.
-    fn policy(&mut self, with: impl FnOnce(&mut rollout::Member)) {
+    fn policy(&mut self, with: impl FnOnce(&mut rollout::Participant)) {
         let now = self.clock.now();
         if let Some(open) = &mut self.open {
             open.shared.policy(now, |member, _| with(member));
@@ -263,7 +263,7 @@
             );
         }
         let (Some(open), Some((version, text))) = (&mut self.open, &self.wanted) else { return };
-        let wants = |member: &mut rollout::Member, node: &mut fleet::Node| {
+        let wants = |member: &mut rollout::Participant, node: &mut fleet::Node| {
             member.wants(now, node, *version, text.as_bytes())
         };
         if let Some(Err(e)) = open.shared.policy(now, wants) {
@@ -301,7 +301,7 @@
             cluster: self.config.cluster.clone(),
             generation: self.config.generation,
             places: self.config.places.clone(),
-            own: own as Member,
+            own: own as MemberId,
             session: now as u64,
             seed: now as u64 ^ (own as u64) << 48,
         };
--- a/src/frontend/gearman/clients.rs
+++ b/src/frontend/gearman/clients.rs
@@ -6,7 +6,7 @@
 use crate::core::{Request, SessionId, Verdict};
 use crate::frontend::Sockets;
 use crate::net::ConnId;
-use crate::routing::Repeat;
+use crate::routing::Idempotency;
 
 /// Jobs that one connection may wait for. Beyond it a client's further packets are left unread, and a worker that
 /// submits as well, and must be read, is told so.
@@ -146,7 +146,8 @@
     pub(super) fn answer(&mut self, net: &mut Sockets, session: SessionId, verdict: Verdict) {
         let Some(job) = self.jobs.remove(&session) else { return };
         let handle = Self::handle(session);
-        let is_unsafe = self.config.site.settings.classes[job.function].repeat != Repeat::Safe;
+        let is_unsafe =
+            self.config.site.settings.classes[job.function].idempotency != Idempotency::Idempotent;
         // A safe job may make room at any time: it can run again.
         let keep = self.core.clock().now() + if is_unsafe { self.config.keep } else { 0.0 };
         if let Some(key) = &job.key {
--- a/src/frontend/gearman/config.rs
+++ b/src/frontend/gearman/config.rs
@@ -83,9 +83,10 @@
         let settings = &mut site.settings;
         (settings.number, settings.dispatchers, settings.zone) = (0, 1, 0);
         (settings.live_sizes, settings.must_subscribe, settings.zones_cost) = (false, false, false);
-        (settings.limits.probe, settings.reports, settings.tells_start) = (false, true, true);
+        (settings.capabilities.may_probe, settings.reports_load, settings.reports_start) =
+            (false, true, true);
         // What has not started waits in this program, not at a worker.
-        (settings.limits.cancel, settings.limits.cancel_frees) = (true, true);
+        (settings.capabilities.may_cancel, settings.capabilities.cancel_frees_slot) = (true, true);
         (settings.classes, site.grades) = (classes, grades);
         let record = field(file, "record").unwrap_or(&JsonValue::Null);
         let bound = |name, usual: f64| number(record, name).unwrap_or(usual).max(1.0) as usize;
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -18,7 +18,7 @@
 use super::{Leaving, Sockets};
 use crate::core::{Clock, Command, Core, SessionId};
 use crate::net::{ConnId, HELD};
-use crate::routing::WorkerId;
+use crate::routing::EndpointId;
 
 pub use config::{Config, Function};
 use identity::{Identity, Role};
@@ -79,7 +79,7 @@
     config: Config,
     listener: usize,
     peers: FxHashMap<ConnId, Peer>,
-    servers: FxHashMap<WorkerId, ConnId>,
+    servers: FxHashMap<EndpointId, ConnId>,
     jobs: FxHashMap<SessionId, Job>,
     record: Record,
     identity: Option<Identity>,
--- a/src/frontend/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -10,7 +10,7 @@
 use crate::core::{Line, SessionId};
 use crate::frontend::Sockets;
 use crate::net::ConnId;
-use crate::routing::{Member, MemberState, Outcome, Report, WorkerId};
+use crate::routing::{Endpoint, EndpointId, EndpointStatus, LoadReport, Outcome};
 
 /// Jobs that a worker may hold or be offered.
 const HELD: usize = 64;
@@ -26,7 +26,7 @@
 
 /// What is known of a worker.
 pub(super) struct Worker {
-    server: WorkerId,
+    server: EndpointId,
     /// Its place in the server table, free again when it leaves.
     place: usize,
     name: String,
@@ -36,7 +36,7 @@
     /// Dispatches that it was offered and has not fetched, with the time of the offer.
     offered: VecDeque<(FlightId, f64)>,
     assigned: FxHashMap<SessionId, Assigned>,
-    state: MemberState,
+    state: EndpointStatus,
     /// How long it may leave an offer while it has nothing else to do.
     patience: f64,
 }
@@ -54,7 +54,7 @@
     }
 
     pub fn takes_work(&self) -> bool {
-        self.state == MemberState::Ready
+        self.state == EndpointStatus::Ready
     }
 
     pub fn running(&self) -> impl Iterator<Item = SessionId> + '_ {
@@ -86,8 +86,8 @@
 
 /// A worker holds one job at a time as far as the module goes; what it holds are own dispatches all, which the
 /// module subtracts itself.
-fn one_slot() -> Report {
-    Report { free_slots: Some(1.0), ..Report::default() }
+fn one_slot() -> LoadReport {
+    LoadReport { free_slots: Some(1.0), ..LoadReport::default() }
 }
 
 impl Gearman {
@@ -166,14 +166,14 @@
         let place = (0..).find(|place| !taken.contains(place)).unwrap_or(0);
         if let Some(peer) = self.peers.get_mut(&id) {
             peer.worker.get_or_insert_with(|| Worker {
-                server: WorkerId::default(),
+                server: EndpointId::default(),
                 place,
                 name: format!("worker-{place}"),
                 functions: BTreeMap::new(),
                 sleeps: false,
                 offered: VecDeque::new(),
                 assigned: FxHashMap::default(),
-                state: MemberState::Gone,
+                state: EndpointStatus::Gone,
                 patience,
             });
         }
@@ -195,9 +195,9 @@
         };
         let busy = worker.assigned.values().any(|a| a.abandoned);
         let state = match kind {
-            Some(kind) if can_all(kind) && !busy => MemberState::Ready,
-            _ if worker.state == MemberState::Gone => return,
-            _ => MemberState::Draining,
+            Some(kind) if can_all(kind) && !busy => EndpointStatus::Ready,
+            _ if worker.state == EndpointStatus::Gone => return,
+            _ => EndpointStatus::Draining,
         };
         if state == worker.state {
             return;
@@ -206,13 +206,13 @@
         let kind = kind.map_or(member.kind, |kind| kind as u16);
         // Told apart from the one that had its place before by when it started, which is long ago: a worker
         // that fetches one job at a time cannot be pushed over, and is not held to be cold.
-        let member = Member { kind, size: 1.0, state, born: id, ..member };
+        let member = Endpoint { kind, size: 1.0, status: state, started_at: id, ..member };
         let line = Line { name: worker.name.clone(), address: String::new(), member };
         worker.state = state;
         let name = worker.name.clone();
         // Guards the drain: what it was offered and has not fetched goes elsewhere at once.
         let returned: Vec<FlightId> = match state {
-            MemberState::Ready => Vec::new(),
+            EndpointStatus::Ready => Vec::new(),
             _ => worker.offered.drain(..).map(|(flight, _)| flight).collect(),
         };
         self.core.listed(vec![line], false);
@@ -223,17 +223,17 @@
             }
         }
         for (session, attempt) in returned {
-            self.core.ended(session, attempt, Outcome::NotSent, Report::default(), Vec::new());
+            self.core.ended(session, attempt, Outcome::NotSent, LoadReport::default(), Vec::new());
         }
     }
 
     /// Offers a dispatch to a worker, and wakes it if it sleeps.
-    pub(super) fn offer(&mut self, net: &mut Sockets, flight: FlightId, server: WorkerId) {
+    pub(super) fn offer(&mut self, net: &mut Sockets, flight: FlightId, server: EndpointId) {
         let now = self.core.clock().now();
         let id = self.servers.get(&server).copied();
         let worker = id.and_then(|id| self.worker(id)).filter(|w| w.takes_work() && w.offered.len() < HELD);
         let (Some(id), Some(worker)) = (id, worker) else {
-            self.core.ended(flight.0, flight.1, Outcome::NotSent, Report::default(), Vec::new());
+            self.core.ended(flight.0, flight.1, Outcome::NotSent, LoadReport::default(), Vec::new());
             return;
         };
         worker.offered.push_back((flight, now));
@@ -322,16 +322,16 @@
     /// A worker has gone: what it had not fetched never ran, what it had may have.
     pub(super) fn worker_left(&mut self, worker: Worker) {
         self.servers.remove(&worker.server);
-        if worker.state != MemberState::Gone {
+        if worker.state != EndpointStatus::Gone {
             let member = self.core.table().get(worker.server).map(|s| s.line.member).unwrap_or_default();
-            let member = Member { state: MemberState::Gone, ..member };
+            let member = Endpoint { status: EndpointStatus::Gone, ..member };
             self.core.listed(vec![Line { name: worker.name, address: String::new(), member }], false);
         }
         for (flight, _) in worker.offered {
-            self.core.ended(flight.0, flight.1, Outcome::Unreachable, Report::default(), Vec::new());
+            self.core.ended(flight.0, flight.1, Outcome::Unreachable, LoadReport::default(), Vec::new());
         }
         for Assigned { flight, .. } in worker.assigned.into_values().filter(|a| !a.abandoned) {
-            self.core.ended(flight.0, flight.1, Outcome::Reset, Report::default(), Vec::new());
+            self.core.ended(flight.0, flight.1, Outcome::Reset, LoadReport::default(), Vec::new());
         }
     }
 
@@ -352,7 +352,7 @@
             }
             self.change(id, |_| ());
             for (flight, outcome) in ended {
-                self.core.ended(flight.0, flight.1, outcome, Report::default(), Vec::new());
+                self.core.ended(flight.0, flight.1, outcome, LoadReport::default(), Vec::new());
             }
         }
     }
--- a/src/frontend/http/callbacks.rs
+++ b/src/frontend/http/callbacks.rs
@@ -2,7 +2,7 @@
 
 use super::Platform;
 use crate::json::{self, JsonValue, field, text};
-use crate::routing::{Outcome, Report};
+use crate::routing::{LoadReport, Outcome};
 
 /// What a call is to this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
             "lost" => Outcome::Reset,
             _ => return Called::Taken,
         };
-        let report = field(&call, "load").map_or(Report::default(), |load| self.load(load));
+        let report = field(&call, "load").map_or(LoadReport::default(), |load| self.load(load));
         let result = match field(&call, "result") {
             Some(JsonValue::String(result)) => result.clone().into_bytes(),
             Some(other) => other.stringify().unwrap_or_default().into_bytes(),
@@ -59,16 +59,16 @@
     }
 
     /// A load report that is a JSON object.
-    pub(super) fn load(&self, load: &JsonValue) -> Report {
+    pub(super) fn load(&self, load: &JsonValue) -> LoadReport {
         let Some(fields) = load.get::<std::collections::HashMap<String, JsonValue>>() else {
-            return Report::default();
+            return LoadReport::default();
         };
         let numbers = fields.iter().filter_map(|(name, v)| Some((name.as_str(), *v.get::<f64>()?)));
         self.core.site().named_report(numbers)
     }
 
     /// A load report in the form `inflight=7,queue=2`.
-    pub(super) fn load_text(&self, text: &str) -> Report {
+    pub(super) fn load_text(&self, text: &str) -> LoadReport {
         let pair = |pair: &'_ str| {
             let (name, value) = pair.split_once('=')?;
             Some((name.trim().to_string(), value.trim().parse().ok()?))
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -20,7 +20,7 @@
 use super::{Leaving, Sockets};
 use crate::core::{Clock, Command, Core, SessionId};
 use crate::net::ConnId;
-use crate::routing::{Outcome, Report};
+use crate::routing::{LoadReport, Outcome};
 
 use clients::Clients;
 pub use config::Config;
@@ -169,7 +169,7 @@
     }
 
     /// Tells the core how a dispatch ended other than served.
-    fn unserved(&mut self, flight: (SessionId, usize), outcome: Outcome, report: Report) {
+    fn unserved(&mut self, flight: (SessionId, usize), outcome: Outcome, report: LoadReport) {
         self.backends.flights.remove(&flight);
         self.core.ended(flight.0, flight.1, outcome, report, Vec::new());
     }
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -11,10 +11,10 @@
 use crate::core::{Line, Server};
 use crate::frontend::{Sockets, handover};
 use crate::lifecycle::callback_forwarding::{Call, Seam, Step};
-use crate::lifecycle::warm_state::{LONGEST, Listed, Memory};
+use crate::lifecycle::warm_state::{LONGEST, StoredEndpoint, WarmStateFile};
 use crate::net::ConnId;
 use crate::net::http::{self, Message};
-use crate::routing::{Member, MemberState, WorkerId};
+use crate::routing::{Endpoint, EndpointId, EndpointStatus};
 
 /// Header in which a process names itself, and in which a call that is passed on names who has been asked.
 pub(super) const PROCESS: &str = "Lb-Process";
@@ -260,11 +260,11 @@
         let Some(links) = &self.links else { return };
         let listed = |s: &&Server| {
             let Line { name, address, member } = s.line.clone();
-            let Member { kind, zone, cell, size, born, state, .. } = member;
-            let draining = state != MemberState::Ready;
-            Listed { name, address, kind, zone, cell, size, born, draining }
+            let Endpoint { kind, zone, cell, size, started_at: born, status: state, .. } = member;
+            let draining = state != EndpointStatus::Ready;
+            StoredEndpoint { name, address, kind, zone, cell, size, born, draining }
         };
-        let memory = Memory {
+        let memory = WarmStateFile {
             pid: links.seam.own(),
             at: self.core.clock().now(),
             names: self.names(),
@@ -281,13 +281,15 @@
         let Some(links) = &self.links else { return };
         let read = handover::take_memory(&links.note, LONGEST).map_err(|e| e.to_string());
         let now = self.core.clock().now();
-        let memory =
-            read.and_then(|bytes| Memory::decode(&bytes, pid, &self.names(), now).map_err(|e| e.to_string()));
+        let memory = read.and_then(|bytes| {
+            WarmStateFile::decode(&bytes, pid, &self.names(), now).map_err(|e| e.to_string())
+        });
         let recalled = memory.map(|memory| {
-            let line = |l: Listed| {
-                let state = if l.draining { MemberState::Draining } else { MemberState::Ready };
-                let Listed { name, address, kind, zone, cell, size, born, .. } = l;
-                let member = Member { worker: WorkerId(0), kind, zone, cell, size, born, state };
+            let line = |l: StoredEndpoint| {
+                let state = if l.draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
+                let StoredEndpoint { name, address, kind, zone, cell, size, born, .. } = l;
+                let member =
+                    Endpoint { id: EndpointId(0), kind, zone, cell, size, started_at: born, status: state };
                 Line { name, address, member }
             };
             self.core.recall(memory.lines.into_iter().map(line).collect(), memory.learned)
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -11,7 +11,7 @@
 use crate::frontend::Sockets;
 use crate::net::http::{self, Message};
 use crate::net::{ConnId, Pool};
-use crate::routing::{Outcome, Report, WorkerId};
+use crate::routing::{EndpointId, LoadReport, Outcome};
 
 /// How long a probe may take, in milliseconds.
 pub(super) const PATIENCE: f64 = 500.0;
@@ -47,7 +47,7 @@
 }
 
 struct Backend {
-    server: WorkerId,
+    server: EndpointId,
     work: Work,
     until: f64,
     /// It has stood idle in the pool.
@@ -58,7 +58,7 @@
 
 /// A dispatch that has not ended: its connection until the job was taken, none after.
 pub(super) struct Flight {
-    pub server: WorkerId,
+    pub server: EndpointId,
     pub conn: Option<ConnId>,
     pub id: Rc<str>,
     /// Where its connection leads.
@@ -70,7 +70,7 @@
 /// All connections to backend servers.
 pub(super) struct Backends {
     conns: FxHashMap<ConnId, Backend>,
-    pool: Pool<WorkerId>,
+    pool: Pool<EndpointId>,
     pub flights: FxHashMap<FlightId, Flight>,
     most: usize,
 }
@@ -115,7 +115,7 @@
 }
 
 impl Platform {
-    pub(super) fn host(&self, server: WorkerId) -> String {
+    pub(super) fn host(&self, server: EndpointId) -> String {
         self.core.table().get(server).map(|s| s.line.address.clone()).unwrap_or_default()
     }
 
@@ -124,7 +124,7 @@
     pub(super) fn acquire(
         &mut self,
         net: &mut Sockets,
-        server: WorkerId,
+        server: EndpointId,
         work: Work,
     ) -> Result<ConnId, Outcome> {
         let now = self.core.clock().now();
@@ -145,7 +145,7 @@
     pub(super) fn open_backend(
         &mut self,
         net: &mut Sockets,
-        server: WorkerId,
+        server: EndpointId,
         work: Work,
     ) -> Result<ConnId, Outcome> {
         let now = self.core.clock().now();
@@ -167,14 +167,14 @@
     }
 
     /// Finds a connection for a dispatch. It is written once that is up, which may be much later.
-    pub(super) fn send(&mut self, net: &mut Sockets, session: SessionId, attempt: usize, server: WorkerId) {
+    pub(super) fn send(&mut self, net: &mut Sockets, session: SessionId, attempt: usize, server: EndpointId) {
         let flight = (session, attempt);
         if self.has_left(net, session) {
             return;
         }
         let conn = match self.acquire(net, server, Work::Decided(flight)) {
             Ok(conn) => conn,
-            Err(outcome) => return self.unserved(flight, outcome, Report::default()),
+            Err(outcome) => return self.unserved(flight, outcome, LoadReport::default()),
         };
         let (id, address) = (Rc::clone(&self.jobs[&session].id), self.host(server));
         self.backends.flights.insert(flight, Flight { server, conn: Some(conn), id, address, leaves: None });
@@ -206,7 +206,7 @@
         };
         if let Some(outcome) = outcome {
             self.close_backend(net, conn);
-            return self.unserved(flight, outcome, Report::default());
+            return self.unserved(flight, outcome, LoadReport::default());
         }
         let left = self.core.session(session).map_or(0.0, |s| s.request.due) - self.core.clock().now();
         let job = &self.jobs[&session];
@@ -245,7 +245,7 @@
         self.give_up(net, (session, attempt), server, &id);
     }
 
-    fn give_up(&mut self, net: &mut Sockets, flight: FlightId, server: WorkerId, id: &str) {
+    fn give_up(&mut self, net: &mut Sockets, flight: FlightId, server: EndpointId, id: &str) {
         let now = self.core.clock().now();
         let Ok(conn) = self.acquire(net, server, Work::GivesUp(flight)) else {
             return self.not_given_up(net, flight);
@@ -350,11 +350,11 @@
         }
     }
 
-    fn answered(&mut self, server: WorkerId, work: Work, message: &Message) {
+    fn answered(&mut self, server: EndpointId, work: Work, message: &Message) {
         match work {
             Work::Probe { up, .. } => self.probed(server, up, message),
             Work::Dispatch(flight) => {
-                let report = message.header("srv-load").map_or(Report::default(), |t| self.load_text(t));
+                let report = message.header("srv-load").map_or(LoadReport::default(), |t| self.load_text(t));
                 match message.status {
                     202 => {
                         if let Some(flight) = self.backends.flights.get_mut(&flight) {
@@ -388,11 +388,11 @@
         let (server, work, kept) = (backend.server, backend.work, backend.kept);
         self.close_backend(net, id);
         match work {
-            Work::Decided(flight) => self.unserved(flight, Outcome::Unreachable, Report::default()),
+            Work::Decided(flight) => self.unserved(flight, Outcome::Unreachable, LoadReport::default()),
             Work::GivesUp(flight) => self.not_given_up(net, flight),
             Work::Dispatch(flight) => {
                 let outcome = if written { Outcome::Reset } else { Outcome::Unreachable };
-                self.unserved(flight, outcome, Report::default());
+                self.unserved(flight, outcome, LoadReport::default());
             }
             // Guards against a healthy server that is held to have failed: a connection that broke after it stood
             // idle tells nothing of its server, and a probe does no harm twice.
@@ -402,7 +402,7 @@
             }
             Work::Probe { asked, .. } => {
                 let latency = self.core.clock().now() - asked;
-                self.core.probed(server, false, latency, Report::default());
+                self.core.probed(server, false, latency, LoadReport::default());
             }
             Work::Idle | Work::Rests | Work::Spent => {}
         }
@@ -430,7 +430,7 @@
     }
 
     /// Closes idle connections to a backend server that has moved or was started again.
-    pub(super) fn drop_idle(&mut self, net: &mut Sockets, server: WorkerId) {
+    pub(super) fn drop_idle(&mut self, net: &mut Sockets, server: EndpointId) {
         while let Some(id) = self.backends.pool.take(server, f64::NEG_INFINITY) {
             self.close_backend(net, id);
         }
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -8,7 +8,9 @@
 
 use crate::core::{Line, micros};
 use crate::flow::{Allowance, Bounds, Dispatch, LEAST, Pace};
-use crate::routing::{Class, Limits, Member, MemberState, Repeat, Rules, Settings, WorkerId};
+use crate::routing::{
+    Capabilities, Class, Endpoint, EndpointId, EndpointStatus, Idempotency, ServiceRules, Settings,
+};
 use crate::settings::{Grade, Site};
 
 /// Most of a body's prefix that can be held: it must fit a connection's buffer with its head.
@@ -407,11 +409,15 @@
 
     fn site(&self) -> Site {
         let class = |c: &ClassTable| Class {
-            aim: micros(c.wait_s * 1e3),
+            latency_objective: micros(c.wait_s * 1e3),
             stretch: 0.0,
-            gain: 1.0,
-            late_worth: 0.0,
-            repeat: if c.repeat == RepeatTable::Safe { Repeat::Safe } else { Repeat::Unsafe },
+            priority_weight: 1.0,
+            late_value: 0.0,
+            idempotency: if c.repeat == RepeatTable::Safe {
+                Idempotency::Idempotent
+            } else {
+                Idempotency::NotIdempotent
+            },
             kind: None,
         };
         let grade = |c: &ClassTable| Grade { name: c.name.clone(), hard_limit: c.longest_s * 1e3 };
@@ -424,17 +430,22 @@
             live_sizes: false,
             must_subscribe: self.discovery.is_some(),
             // A probe is answered by the front itself, out of its own count of streams.
-            limits: Limits { attempts: self.attempts, cancel: true, cancel_frees: true, probe: true },
+            capabilities: Capabilities {
+                max_attempts: self.attempts,
+                may_cancel: true,
+                cancel_frees_slot: true,
+                may_probe: true,
+            },
             zones_cost: false,
-            rules: Rules {
-                cold_from: self.cold.from,
-                cold: micros(self.cold.warm_s * 1e3),
-                fall_multiple: self.cold.multiple,
-                ask_within: micros(5_000.0),
+            rules: ServiceRules {
+                initial_capacity: self.cold.from,
+                warm_up: micros(self.cold.warm_s * 1e3),
+                overload_multiple: self.cold.multiple,
+                poll_within: micros(5_000.0),
             },
             // Nor does a server tell when it starts: its answer does.
-            tells_start: false,
-            reports: true,
+            reports_start: false,
+            reports_load: true,
         };
         let mut site = Site::plain(settings, self.class.iter().map(grade).collect());
         site.conn_idle = self.server_idle_s * 1e3;
@@ -466,8 +477,9 @@
 
 impl ServerTable {
     fn line(&self) -> Line {
-        let state = if self.draining { MemberState::Draining } else { MemberState::Ready };
-        let member = Member { worker: WorkerId::default(), size: self.share, state, ..Member::default() };
+        let state = if self.draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
+        let member =
+            Endpoint { id: EndpointId::default(), size: self.share, status: state, ..Endpoint::default() };
         Line { name: self.name.clone(), address: self.dial.to_string(), member }
     }
 }
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -15,7 +15,7 @@
 use crate::core::{Clock, Command, Core, SessionId, Verdict};
 use crate::flow::{Admission, Flow, Slots, StreamId};
 use crate::net::{ConnId, Pipes, Pool};
-use crate::routing::WorkerId;
+use crate::routing::EndpointId;
 
 use clients::Client;
 pub use config::{Config, ConfigError, Table};
@@ -33,7 +33,7 @@
     listener: usize,
     clients: FxHashMap<ConnId, Client>,
     servers: FxHashMap<ConnId, Server>,
-    pool: Pool<WorkerId>,
+    pool: Pool<EndpointId>,
     exchanges: FxHashMap<StreamId, Exchange>,
     sessions: FxHashMap<SessionId, StreamId>,
     flow: Flow,
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -9,7 +9,7 @@
 use crate::net::head::{self, AnswerHead, RequestHead};
 use crate::net::http;
 use crate::net::{Conn, ConnId, PIPED, Pipe, Pipes};
-use crate::routing::{Outcome, Report, WorkerId};
+use crate::routing::{EndpointId, LoadReport, Outcome};
 
 /// Interim answers that are passed on for one request.
 const INTERIM: u8 = 16;
@@ -63,7 +63,7 @@
     pipe: Option<Pipe>,
     pub session: Option<SessionId>,
     pub attempt: usize,
-    pub server: Option<(ConnId, WorkerId)>,
+    pub server: Option<(ConnId, EndpointId)>,
     pub down: Option<Down>,
     interim: u8,
     /// The answer is to begin by then.
@@ -550,9 +550,9 @@
     }
 
     /// Takes the backend server's connection off an exchange, and gives its slot back: to be used again, or closed.
-    pub(super) fn release(&mut self, net: &mut Sockets, stream: StreamId, keep: bool) -> Report {
+    pub(super) fn release(&mut self, net: &mut Sockets, stream: StreamId, keep: bool) -> LoadReport {
         let server = self.exchanges.get_mut(&stream).and_then(|e| e.server.take());
-        let Some((conn, worker)) = server else { return Report::default() };
+        let Some((conn, worker)) = server else { return LoadReport::default() };
         self.slots.give_back(worker);
         self.free_server(net, conn, keep);
         self.slots.report(worker)
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -10,11 +10,11 @@
 use crate::net::head;
 use crate::net::http::HEAD;
 use crate::net::{ConnId, HELD};
-use crate::routing::{Outcome, WorkerId};
+use crate::routing::{EndpointId, Outcome};
 
 /// A connection to a backend server.
 pub(super) struct Server {
-    worker: WorkerId,
+    worker: EndpointId,
     stream: Option<StreamId>,
     /// It is to have come up by then.
     pub until: f64,
@@ -24,7 +24,7 @@
 
 impl Stream {
     /// Sends a dispatch, as far as its body has come.
-    pub(super) fn send(&mut self, net: &mut Sockets, session: SessionId, attempt: usize, worker: WorkerId) {
+    pub(super) fn send(&mut self, net: &mut Sockets, session: SessionId, attempt: usize, worker: EndpointId) {
         let now = self.now();
         let Some(&stream) = self.sessions.get(&session) else { return };
         let opening = self.exchanges.get_mut(&stream).and_then(|e| e.opening());
@@ -53,13 +53,13 @@
     }
 
     /// Tells the core of a dispatch of which nothing was sent.
-    fn unsent(&mut self, session: SessionId, attempt: usize, outcome: Outcome, worker: WorkerId) {
+    fn unsent(&mut self, session: SessionId, attempt: usize, outcome: Outcome, worker: EndpointId) {
         let report = self.slots.report(worker);
         self.core.ended(session, attempt, outcome, report, Vec::new());
     }
 
     /// A connection to a backend server: an idle one that is whole, or a new one. None proves that nothing was sent.
-    fn acquire(&mut self, net: &mut Sockets, worker: WorkerId, stream: StreamId) -> Option<ConnId> {
+    fn acquire(&mut self, net: &mut Sockets, worker: EndpointId, stream: StreamId) -> Option<ConnId> {
         let now = self.now();
         while let Some(id) = self.pool.take(worker, now) {
             // Guards against a connection that the peer has closed: a request written there would be lost.
@@ -116,7 +116,7 @@
     }
 
     /// Closes idle connections to a backend server that has moved or was started again.
-    pub(super) fn drop_idle(&mut self, net: &mut Sockets, worker: WorkerId) {
+    pub(super) fn drop_idle(&mut self, net: &mut Sockets, worker: EndpointId) {
         while let Some(id) = self.pool.take(worker, f64::NEG_INFINITY) {
             self.close_server(net, id);
         }
--- a/src/lifecycle/warm_state.rs
+++ b/src/lifecycle/warm_state.rs
@@ -5,7 +5,7 @@
 //! 8   2  version, little-endian
 //! 10  4  length of the payload
 //! 14  4  CRC-32C of the payload
-//! 18  …  payload: `Memory` by postcard
+//! 18  …  payload: `WarmStateFile` by postcard
 //! ```
 //!
 //! A file that is torn, too old, of another process or settings, or of a version that this program does not know is
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::routing::Learned;
+use crate::routing::WarmState;
 
 const MAGIC: &[u8; 8] = b"micamem\n";
 /// The version that is written, and the only one that is read.
@@ -28,7 +28,7 @@
 
 /// A line of the list: what a front needs to find a server, and what the module is told of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct StoredEndpoint {
     /// Its name.
     pub name: String,
     /// Where it is.
@@ -49,7 +49,7 @@
 
 /// What is left.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Memory {
+pub struct WarmStateFile {
     /// The process that left it.
     pub pid: u32,
     /// When, in milliseconds since the Unix epoch.
@@ -57,14 +57,14 @@
     /// Names of classes, kinds and zones, by which what was learned is counted.
     pub names: Vec<String>,
     /// The list.
-    pub lines: Vec<Listed>,
+    pub lines: Vec<StoredEndpoint>,
     /// What was learned.
-    pub learned: Learned,
+    pub learned: WarmState,
 }
 
 /// Why bytes are no memory.
 #[derive(Debug, PartialEq, Eq, Error)]
-pub enum MemoryError {
+pub enum WarmStateError {
     /// Not of this form.
     #[error("it is no memory of a process")]
     Foreign,
@@ -82,7 +82,7 @@
     Other,
 }
 
-impl Memory {
+impl WarmStateFile {
     /// Its bytes.
     pub fn encode(&self) -> Vec<u8> {
         // Into a vector nothing can fail to fit.
@@ -96,28 +96,33 @@
     }
 
     /// Reads what the process `pid` has left under the same names, at `now`.
-    pub fn decode(bytes: &[u8], pid: u32, names: &[String], now: f64) -> Result<Memory, MemoryError> {
-        let (head, payload) = bytes.split_at_checked(HEAD).ok_or(MemoryError::Damaged)?;
+    pub fn decode(
+        bytes: &[u8],
+        pid: u32,
+        names: &[String],
+        now: f64,
+    ) -> Result<WarmStateFile, WarmStateError> {
+        let (head, payload) = bytes.split_at_checked(HEAD).ok_or(WarmStateError::Damaged)?;
         if &head[..8] != MAGIC {
-            return Err(MemoryError::Foreign);
+            return Err(WarmStateError::Foreign);
         }
         let version = u16::from_le_bytes([head[8], head[9]]);
         if version != VERSION {
-            return Err(MemoryError::Version(version));
+            return Err(WarmStateError::Version(version));
         }
         let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         if word(10) as usize != payload.len() || word(14) != crc32c::crc32c(payload) {
-            return Err(MemoryError::Damaged);
+            return Err(WarmStateError::Damaged);
         }
-        let Ok((memory, [])) = postcard::take_from_bytes::<Memory>(payload) else {
-            return Err(MemoryError::Damaged);
+        let Ok((memory, [])) = postcard::take_from_bytes::<WarmStateFile>(payload) else {
+            return Err(WarmStateError::Damaged);
         };
         if memory.pid != pid || memory.names != names {
-            return Err(MemoryError::Other);
+            return Err(WarmStateError::Other);
         }
         let age = now - memory.at;
         if !(-1000.0..=OLDEST).contains(&age) {
-            return Err(MemoryError::Stale(age as i64));
+            return Err(WarmStateError::Stale(age as i64));
         }
         Ok(memory)
     }
@@ -126,12 +131,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::routing::Dispatcher;
+    use crate::routing::Router;
     use crate::routing::Settings;
     use proptest::prelude::*;
 
-    fn memory() -> Memory {
-        let line = Listed {
+    fn memory() -> WarmStateFile {
+        let line = StoredEndpoint {
             name: "s-1".into(),
             address: "127.0.0.1:1".into(),
             kind: 0,
@@ -141,26 +146,26 @@
             born: 5,
             draining: true,
         };
-        let learned = Dispatcher::new(Settings::default(), 1).learned();
-        Memory { pid: 7, at: 1_000.0, names: vec!["a".into()], lines: vec![line], learned }
+        let learned = Router::new(Settings::default(), 1).warm_state();
+        WarmStateFile { pid: 7, at: 1_000.0, names: vec!["a".into()], lines: vec![line], learned }
     }
 
     #[test]
     fn only_whole_fresh_memory_of_the_process_replaced_is_believed() {
         let (memory, names) = (memory(), ["a".to_string()]);
         let bytes = memory.encode();
-        assert_eq!(Memory::decode(&bytes, 7, &names, 1_500.0), Ok(memory));
-        assert_eq!(Memory::decode(&bytes, 8, &names, 1_500.0), Err(MemoryError::Other));
-        assert_eq!(Memory::decode(&bytes, 7, &[], 1_500.0), Err(MemoryError::Other));
-        assert_eq!(Memory::decode(&bytes, 7, &names, 20_000.0), Err(MemoryError::Stale(19_000)));
-        assert_eq!(Memory::decode(&bytes, 7, &names, -9_000.0), Err(MemoryError::Stale(-10_000)));
+        assert_eq!(WarmStateFile::decode(&bytes, 7, &names, 1_500.0), Ok(memory));
+        assert_eq!(WarmStateFile::decode(&bytes, 8, &names, 1_500.0), Err(WarmStateError::Other));
+        assert_eq!(WarmStateFile::decode(&bytes, 7, &[], 1_500.0), Err(WarmStateError::Other));
+        assert_eq!(WarmStateFile::decode(&bytes, 7, &names, 20_000.0), Err(WarmStateError::Stale(19_000)));
+        assert_eq!(WarmStateFile::decode(&bytes, 7, &names, -9_000.0), Err(WarmStateError::Stale(-10_000)));
         for cut in 0..bytes.len() {
-            assert!(Memory::decode(&bytes[..cut], 7, &names, 1_500.0).is_err(), "cut at {cut}");
+            assert!(WarmStateFile::decode(&bytes[..cut], 7, &names, 1_500.0).is_err(), "cut at {cut}");
         }
         let mut newer = bytes.clone();
         newer[8] = 2;
-        assert_eq!(Memory::decode(&newer, 7, &names, 1_500.0), Err(MemoryError::Version(2)));
-        assert_eq!(Memory::decode(&[b'x'; 64], 7, &names, 1_500.0), Err(MemoryError::Foreign));
+        assert_eq!(WarmStateFile::decode(&newer, 7, &names, 1_500.0), Err(WarmStateError::Version(2)));
+        assert_eq!(WarmStateFile::decode(&[b'x'; 64], 7, &names, 1_500.0), Err(WarmStateError::Foreign));
     }
 
     proptest! {
@@ -170,7 +175,7 @@
             let mut bytes = memory().encode();
             let at = at % bytes.len();
             bytes[at] ^= flip;
-            prop_assert!(Memory::decode(&bytes, 7, &["a".to_string()], 1_500.0).is_err());
+            prop_assert!(WarmStateFile::decode(&bytes, 7, &["a".to_string()], 1_500.0).is_err());
         }
     }
 }
--- a/src/rollout/coordinator.rs
+++ b/src/rollout/coordinator.rs
@@ -222,7 +222,7 @@
         let newer = wanted.filter(|(_, p)| p.version > decision.highest);
         let Some((at, policy)) = newer.min_by_key(|(_, p)| p.version) else { return };
         if node.document(&policy.hash).is_none() {
-            return node.want(now, policy.hash, Some(at as fleet::Member));
+            return node.want(now, policy.hash, Some(at as fleet::MemberId));
         }
         let next = Decision { staged: Some(policy), highest: policy.version, ..decision };
         if node.propose(now, TOPIC, next.encode()) {
@@ -240,7 +240,7 @@
     }
 
     fn to_all(&self, node: &mut Node, message: &Message) {
-        for member in 0..self.slots.len() as fleet::Member {
+        for member in 0..self.slots.len() as fleet::MemberId {
             node.send_message(member, TOPIC, message.encode());
         }
     }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -8,7 +8,7 @@
 //! its lease is over, so that the dead, the frozen and the cut off cannot go on under the old version.
 //! `docs/design/rollout.md` has the ways weighed.
 //!
-//! `Member` is every dispatcher's part; `Lead` is the part of the consensus's leader.
+//! `Participant` is every dispatcher's part; `Lead` is the part of the consensus's leader.
 
 mod coordinator;
 mod participant;
@@ -18,7 +18,7 @@
 mod wire_tests;
 
 pub use coordinator::Lead;
-pub use participant::{Effect, Member, Standing};
+pub use participant::{Effect, Participant, Standing};
 
 use serde::{Deserialize, Serialize};
 
@@ -178,18 +178,18 @@
 /// The part: a member's, and the leader's while this node leads.
 pub struct Rollout {
     rules: Rules,
-    member: Member,
+    member: Participant,
     lead: Option<Lead>,
 }
 
 impl Rollout {
     /// The part of a node that has just started.
     pub fn new(rules: Rules) -> Rollout {
-        Rollout { rules, member: Member::new(rules), lead: None }
+        Rollout { rules, member: Participant::new(rules), lead: None }
     }
 
     /// The member's part.
-    pub fn member(&mut self) -> &mut Member {
+    pub fn member(&mut self) -> &mut Participant {
         &mut self.member
     }
 
@@ -226,7 +226,7 @@
         &mut self,
         now: f64,
         node: &mut Node,
-        from: fleet::Member,
+        from: fleet::MemberId,
         session: u64,
         bytes: &[u8],
     ) -> bool {
--- a/src/rollout/participant.rs
+++ b/src/rollout/participant.rs
@@ -49,7 +49,7 @@
 }
 
 /// The part.
-pub struct Member {
+pub struct Participant {
     rules: Rules,
     /// The newest decision, and its epoch.
     decision: Decision,
@@ -66,7 +66,7 @@
     nonce: u64,
     asked: VecDeque<(u64, f64)>,
     /// The leader that it knew last.
-    leader: Option<fleet::Member>,
+    leader: Option<fleet::MemberId>,
     tells: f64,
     wants: Option<Policy>,
     /// It leaves: whether it goes on serving, and whether the leader knows.
@@ -77,10 +77,10 @@
     effects: Vec<Effect>,
 }
 
-impl Member {
+impl Participant {
     /// A member that knows nothing yet, and serves nothing.
-    pub fn new(rules: Rules) -> Member {
-        Member {
+    pub fn new(rules: Rules) -> Participant {
+        Participant {
             rules,
             decision: Decision::default(),
             epoch: 0,
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::consensus::{Write, file};
 use crate::control_plane::{self, Shared};
-use crate::fleet::{Member as At, Place};
+use crate::fleet::{MemberId as At, Place};
 
 const MEMBERS: usize = 5;
 const LEASE: f64 = 2000.0;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -6,6 +6,6 @@
 mod types;
 mod warm_state;
 
-pub use router::Dispatcher;
+pub use router::Router;
 pub use types::*;
-pub use warm_state::Learned;
+pub use warm_state::WarmState;
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -49,15 +49,15 @@
 
 /// One dispatcher.
 #[derive(Default)]
-pub struct Dispatcher {
+pub struct Router {
     settings: Settings,
     rng: fastrand::Rng,
-    pub(crate) workers: Vec<Worker>,
-    pub(crate) index: FxHashMap<WorkerId, usize>,
+    pub(crate) workers: Vec<EndpointState>,
+    pub(crate) index: FxHashMap<EndpointId, usize>,
     /// The first is over workers of all kinds.
     cycles: Vec<Cycle>,
-    jobs: FxHashMap<JobId, Pending>,
-    wakes: BinaryHeap<Reverse<(Micros, Wake)>>,
+    jobs: FxHashMap<JobId, PendingJob>,
+    wakes: BinaryHeap<Reverse<(Micros, Timer)>>,
     armed: Micros,
     /// Running median of how long a probe takes, by zone.
     pub(crate) prompt: Vec<f64>,
@@ -66,14 +66,14 @@
     /// Running mean of the work of a job, by class, where clients do not tell.
     pub(crate) usual: Vec<f64>,
     /// How long a unit of work takes anywhere, and running mean of the wait beyond that for own attempts.
-    pub(crate) pace: Pace,
+    pub(crate) pace: ServiceTime,
     pub(crate) lag: f64,
     pub(crate) seen: Micros,
     /// Running mean of how far workers are past k.
     pub(crate) typical: f64,
     /// Running mean of jobs held, to size.
     pub(crate) pressure: f64,
-    pub(crate) kinds: Vec<Kind>,
+    pub(crate) kinds: Vec<KindEstimate>,
     /// Jobs held here as all workers met were too far past k, by the time they came.
     held: BTreeSet<(Micros, JobId)>,
     call_failures: u32,
@@ -81,24 +81,24 @@
     doubt: Micros,
 }
 
-impl Dispatcher {
+impl Router {
     /// A dispatcher that knows no workers yet. All its randomness comes from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let kinds: BTreeSet<_> = settings.classes.iter().map(|c| c.kind).chain([None]).collect();
         let cycles = kinds.into_iter().map(|kind| Cycle { kind, ..Cycle::default() }).collect();
-        Dispatcher {
-            run: settings.classes.iter().map(|c| c.aim).max().unwrap_or(0).max(1) as f64,
-            usual: settings.classes.iter().map(|c| c.aim.max(1) as f64).collect(),
+        Router {
+            run: settings.classes.iter().map(|c| c.latency_objective).max().unwrap_or(0).max(1) as f64,
+            usual: settings.classes.iter().map(|c| c.latency_objective.max(1) as f64).collect(),
             rng: fastrand::Rng::with_seed(seed),
             armed: Micros::MAX,
             settings,
             cycles,
-            ..Dispatcher::default()
+            ..Router::default()
         }
     }
 
     /// Takes over settings that were read again. The classes are the same ones.
-    pub fn adopt(&mut self, settings: Settings) {
+    pub fn reconfigure(&mut self, settings: Settings) {
         self.settings = settings;
         self.rebuild();
     }
@@ -121,14 +121,14 @@
             Event::Job(job) => self.arrive(now, job, out),
             Event::ClientLeft(id) => self.end(id, out),
             Event::Ended(ended) => {
-                self.read(now, ended.worker, &ended.report);
+                self.read(now, ended.endpoint, &ended.report);
                 self.ended(now, &ended, out);
             }
             Event::Started { job, attempt } => self.started(now, job, attempt),
             Event::Streaming(id) => {
                 self.jobs.entry(id).and_modify(|p| p.streaming = true);
             }
-            Event::Probed { worker, answered, latency, report } => {
+            Event::Probed { endpoint: worker, answered, latency, report } => {
                 self.read(now, worker, &report);
                 self.probed(now, worker, answered, latency, out)
             }
@@ -149,64 +149,65 @@
         }
     }
 
-    /// Has discovery called at this dispatcher's own next time: one in every `TOLD`; where few call, six
+    /// Has discovery called at this dispatcher's own next time: one in every `NOTIFICATION_BOUND`; where few call, six
     /// before any failed and two after one. Guards against calls that come together, and late ones.
     fn call(&mut self, now: Micros) {
         let few = [6, 2, 1][self.call_failures.min(2) as usize];
-        let period = Settings::TOLD / if self.settings.many() { 1 } else { few };
-        let own = ((f64::from(self.settings.number) * GOLDEN).fract() * Settings::TOLD as f64) as Micros;
-        let slot = now + period - (now + Settings::TOLD - own) % period;
-        self.wakes.push(Reverse((slot, Wake::Subscribe)));
+        let period = Settings::NOTIFICATION_BOUND / if self.settings.is_large_fleet() { 1 } else { few };
+        let own = ((f64::from(self.settings.number) * GOLDEN).fract() * Settings::NOTIFICATION_BOUND as f64)
+            as Micros;
+        let slot = now + period - (now + Settings::NOTIFICATION_BOUND - own) % period;
+        self.wakes.push(Reverse((slot, Timer::Subscribe)));
     }
 
-    fn wake(&mut self, now: Micros, wake: Wake, out: &mut Vec<Action>) {
+    fn wake(&mut self, now: Micros, wake: Timer, out: &mut Vec<Action>) {
         match wake {
-            Wake::Subscribe => out.push(Action::Subscribe),
-            Wake::Step(id, walk) if self.jobs.get(&id).is_some_and(|p| p.walk == walk) => {
+            Timer::Subscribe => out.push(Action::Subscribe),
+            Timer::Step(id, walk) if self.jobs.get(&id).is_some_and(|p| p.walk == walk) => {
                 self.step(now, id, out)
             }
-            Wake::Unheard(id, attempt) => self.unheard(now, id, attempt, out),
-            Wake::Due(id) if self.jobs.get(&id).is_some_and(|p| !p.streaming) => self.give_up(id, out),
+            Timer::Unheard(id, attempt) => self.unheard(now, id, attempt, out),
+            Timer::Due(id) if self.jobs.get(&id).is_some_and(|p| !p.streaming) => self.give_up(id, out),
             // Worth little now, and waiting.
-            Wake::Stale(id) if self.jobs.get(&id).is_some_and(|p| p.waits) => self.give_up(id, out),
+            Timer::Stale(id) if self.jobs.get(&id).is_some_and(|p| p.waits) => self.give_up(id, out),
             _ => {}
         }
     }
 
-    fn list(&mut self, now: Micros, members: &[Member], whole: bool) {
+    fn list(&mut self, now: Micros, members: &[Endpoint], whole: bool) {
         self.call_failures = 0;
         let mut changed = false;
         if whole {
-            let named: BTreeSet<WorkerId> = members.iter().map(|m| m.worker).collect();
-            for w in self.workers.iter_mut().filter(|w| w.ready && !named.contains(&w.member.worker)) {
+            let named: BTreeSet<EndpointId> = members.iter().map(|m| m.id).collect();
+            for w in self.workers.iter_mut().filter(|w| w.ready && !named.contains(&w.member.id)) {
                 (w.ready, changed) = (false, true);
             }
         }
         for m in members {
-            let ready = m.state == MemberState::Ready;
-            let budget = head_start(self.settings.number, m.worker);
-            let at = *self.index.entry(m.worker).or_insert_with(|| {
-                self.workers.push(Worker::new(Member { size: 0.0, ..*m }, budget));
+            let ready = m.status == EndpointStatus::Ready;
+            let budget = head_start(self.settings.number, m.id);
+            let at = *self.index.entry(m.id).or_insert_with(|| {
+                self.workers.push(EndpointState::new(Endpoint { size: 0.0, ..*m }, budget));
                 self.workers.len() - 1
             });
             let kind = usize::from(m.kind);
             if self.kinds.len() <= kind {
-                self.kinds.resize_with(kind + 1, Kind::default);
+                self.kinds.resize_with(kind + 1, KindEstimate::default);
             }
             let (w, k) = (&mut self.workers[at], &mut self.kinds[kind]);
             let mut size = if m.size > 0.0 { m.size.min(1e6) } else { 1.0 };
             if self.settings.live_sizes {
                 size = k.live(size, w.report.held.filter(|_| w.report.free_slots.is_none()));
             }
-            if m.born != w.member.born {
+            if m.started_at != w.member.started_at {
                 (w.failures, w.rest, w.budget) = (0, 0, budget);
-                (w.report, w.drift) = (Report::default(), 0.0);
+                (w.report, w.drift) = (LoadReport::default(), 0.0);
             }
             // A listed size that wavers does not rebuild the cycle.
             let resized = (size - w.member.size).abs() > size / TURNS;
             changed |= resized || w.ready != ready;
             let size = if resized { size } else { w.member.size };
-            (w.member, w.ready) = (Member { size, ..*m }, ready);
+            (w.member, w.ready) = (Endpoint { size, ..*m }, ready);
         }
         if changed {
             let bare: Vec<bool> = self.cycles.iter().map(|c| c.order.is_empty()).collect();
@@ -214,7 +215,7 @@
             // Guards against jobs that wait out their time while the first worker for them stands idle.
             for (_, id) in &self.held {
                 if let Some(p) = self.jobs.get(id).filter(|p| bare[p.cycle]) {
-                    self.wakes.push(Reverse((now, Wake::Step(*id, p.walk))));
+                    self.wakes.push(Reverse((now, Timer::Step(*id, p.walk))));
                 }
             }
         }
@@ -224,12 +225,12 @@
     /// spread by the golden section so that neighbours in the order do not bunch.
     fn rebuild(&mut self) {
         let (number, zone) = (self.settings.number, self.settings.zone);
-        let many = self.settings.many();
+        let many = self.settings.is_large_fleet();
         for cycle in &mut self.cycles {
-            let fits = |w: &Worker| w.ready && cycle.kind.is_none_or(|kind| kind == w.member.kind);
+            let fits = |w: &EndpointState| w.ready && cycle.kind.is_none_or(|kind| kind == w.member.kind);
             cycle.order = (0..self.workers.len()).filter(|&i| fits(&self.workers[i])).collect();
             let order = &mut cycle.order;
-            order.sort_unstable_by_key(|&i| self.workers[i].member.worker);
+            order.sort_unstable_by_key(|&i| self.workers[i].member.id);
             // Dispatchers start spread over the order by the golden section, which stays even for any number
             // of them: so that neither parts nor overflow gather on the same workers.
             let n = order.len();
@@ -258,10 +259,14 @@
     }
 
     /// The part of its capacity that a worker has for sure: one that has just started warms up evenly.
-    fn warmth(&self, now: Micros, w: &Worker) -> f64 {
+    fn warmth(&self, now: Micros, w: &EndpointState) -> f64 {
         let rules = &self.settings.rules;
-        let age = now.saturating_sub(w.member.born) as f64 / rules.cold.max(1) as f64;
-        if w.member.born == 0 { 1.0 } else { (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0) }
+        let age = now.saturating_sub(w.member.started_at) as f64 / rules.warm_up.max(1) as f64;
+        if w.member.started_at == 0 {
+            1.0
+        } else {
+            (rules.initial_capacity + (1.0 - rules.initial_capacity) * age).min(1.0)
+        }
     }
 
     /// Whether a worker can be given its turn now. A warming one has to have saved up for it.
@@ -274,17 +279,17 @@
         job.class = job.class.min(self.settings.classes.len().saturating_sub(1));
         let class = &self.settings.classes[job.class];
         let cycle = self.cycles.iter().position(|c| c.kind == class.kind).unwrap_or(0);
-        let due = job.due.saturating_sub(self.settings.quantum);
-        self.wakes.push(Reverse((due, Wake::Due(job.id))));
-        let (late_worth, least) = (class.late_worth, (now + class.aim) as f64);
+        let due = job.deadline.saturating_sub(self.settings.quantum);
+        self.wakes.push(Reverse((due, Timer::Due(job.id))));
+        let (late_worth, least) = (class.late_value, (now + class.latency_objective) as f64);
         let next = self.turn(now, cycle);
-        let mut pending = Pending { job, came: now, cycle, next, waits: true, ..Pending::default() };
+        let mut pending = PendingJob { job, came: now, cycle, next, waits: true, ..PendingJob::default() };
         // By then no machine does it in time any more.
         let quickest = self.cycles[cycle].order.iter().map(|&i| self.pace(i)).fold(f64::MAX, f64::min);
         let latest = (self.aim(&pending) - self.work(&job) * quickest).max(least) as Micros;
-        pending.key = if self.settings.blind() { latest } else { now };
+        pending.key = if self.settings.lacks_load_reports() { latest } else { now };
         if late_worth < LATE {
-            self.wakes.push(Reverse((latest, Wake::Stale(job.id))));
+            self.wakes.push(Reverse((latest, Timer::Stale(job.id))));
         }
         self.jobs.insert(job.id, pending);
         self.step(now, job.id, out);
@@ -320,15 +325,15 @@
         let (mut next, mut steps, mut best) = (p.next, p.steps, p.best);
         let (length, part) = (self.cycles[cycle].order.len(), self.cycles[cycle].part);
         // Past this a job is held here: it would wait there until it is late.
-        let (blind, of) = (self.settings.blind(), &self.settings.classes[p.job.class]);
-        let aim = (came + of.aim).saturating_sub(now) as f64;
+        let (blind, of) = (self.settings.lacks_load_reports(), &self.settings.classes[p.job.class]);
+        let aim = (came + of.latency_objective).saturating_sub(now) as f64;
         let (bound, most) = if blind { (LATE_THERE, MOST) } else { (aim, STEPS) };
         // A safe job that meets a bad worker of many goes on, and tells of it: only others look first.
-        let looks = !self.settings.many() || of.repeat != Repeat::Safe;
-        let looks = looks && self.settings.limits.probe && self.settings.reports;
+        let looks = !self.settings.is_large_fleet() || of.idempotency != Idempotency::Idempotent;
+        let looks = looks && self.settings.capabilities.may_probe && self.settings.reports_load;
         let slowest = self.prompt.iter().fold(0.0, |a: f64, &b| a.max(b));
         let mut wait = self.settings.quantum * 2 + slowest as Micros * 2;
-        let (mut left, many) = (length, self.settings.many());
+        let (mut left, many) = (length, self.settings.is_large_fleet());
         if many {
             steps = steps.max(p.attempts.len());
         }
@@ -366,7 +371,7 @@
             // A probe is a call too, which one that warms up could not bear.
             if looks && self.warmth(now, &self.workers[i]) == 1.0 && now > self.workers[i].read + fresh {
                 self.workers[i].asked = Some(id);
-                out.push(Action::Probe { worker: self.workers[i].member.worker });
+                out.push(Action::Probe { endpoint: self.workers[i].member.id });
                 break;
             }
             let past = self.past(now, i, &self.jobs[&id]);
@@ -377,14 +382,14 @@
         }
         let p = self.jobs.get_mut(&id).expect("it waits");
         (p.next, p.steps, p.best, p.walk) = (next, steps, best, p.walk + 1);
-        self.wakes.push(Reverse((now + wait, Wake::Step(id, p.walk))));
+        self.wakes.push(Reverse((now + wait, Timer::Step(id, p.walk))));
     }
 
     /// Gives the place of an attempt that has ended to the newest job held here: that it is free is surer
     /// than any report, and keeps all dispatchers from running after the one slot that an old report shows.
     /// Without reports the one that must start first looks again: others' jobs may wait there.
     fn replace(&mut self, now: Micros, i: usize, out: &mut Vec<Action>) {
-        let blind = self.settings.blind();
+        let blind = self.settings.lacks_load_reports();
         let next = if blind { self.held.pop_first() } else { self.held.pop_last() };
         let Some((_, id)) = next else { return };
         if !blind && self.may_send(now, id, i) {
@@ -395,9 +400,9 @@
     }
 
     /// How far a worker's queue is past k, as a wait: 0 or less if a job that takes `slots` can start.
-    fn past(&self, now: Micros, i: usize, p: &Pending) -> f64 {
+    fn past(&self, now: Micros, i: usize, p: &PendingJob) -> f64 {
         let (w, r, slots) = (&self.workers[i], &self.workers[i].report, p.job.slots);
-        if self.settings.blind() {
+        if self.settings.lacks_load_reports() {
             let ((own, held), lag) = (self.own_wait(now, i), self.lag(now, i));
             // Guards against short jobs behind long ones: what would wait for own jobs waits here instead.
             let ends = now as f64 + own + lag + self.work(&p.job) * self.pace(i);
@@ -427,7 +432,7 @@
             (None, None, None) => w.waiting - 3.0,
         };
         // What others sent outweighs an old report, and one that warms up is not probed: own jobs are sure.
-        let own = self.settings.many() || self.warmth(now, w) < 1.0;
+        let own = self.settings.is_large_fleet() || self.warmth(now, w) < 1.0;
         let queue = if own { w.waiting - slots.max(1.0) } else { queue };
         // Guards against a report that is too old to show what is out there: own attempts take their slots
         // whatever it says.
@@ -438,11 +443,11 @@
     }
 
     /// By when a job is wanted. Guards against hints in another unit: no machine is so unlike speed 1.
-    fn aim(&self, p: &Pending) -> f64 {
+    fn aim(&self, p: &PendingJob) -> f64 {
         let class = &self.settings.classes[p.job.class];
         let pace = self.pace.beside(1.0, self.run);
         let stretch = class.stretch * pace / pace.clamp(0.4, 2.5);
-        (p.came + class.aim) as f64 + stretch * self.work(&p.job)
+        (p.came + class.latency_objective) as f64 + stretch * self.work(&p.job)
     }
 
     /// How long own attempts at a worker keep a job waiting that is sent now: they take its slots in order.
@@ -470,8 +475,8 @@
     }
 
     /// Takes in a worker's report.
-    fn read(&mut self, now: Micros, id: WorkerId, report: &Report) {
-        let Some(&i) = self.index.get(&id).filter(|_| *report != Report::default()) else { return };
+    fn read(&mut self, now: Micros, id: EndpointId, report: &LoadReport) {
+        let Some(&i) = self.index.get(&id).filter(|_| *report != LoadReport::default()) else { return };
         let w = &mut self.workers[i];
         if *report != w.report {
             w.drift = 0.0;
@@ -485,7 +490,14 @@
         }
     }
 
-    fn probed(&mut self, now: Micros, id: WorkerId, answered: bool, latency: Micros, out: &mut Vec<Action>) {
+    fn probed(
+        &mut self,
+        now: Micros,
+        id: EndpointId,
+        answered: bool,
+        latency: Micros,
+        out: &mut Vec<Action>,
+    ) {
         let Some(&i) = self.index.get(&id) else { return };
         let asked = self.workers[i].asked.take();
         if answered {
@@ -519,9 +531,10 @@
         let rest = self.run * f64::from(1u32 << w.failures.min(4)) * (0.5 + self.rng.f64());
         w.rest = now + rest as Micros;
         // Guards against a watch that has fallen silent: a worker that fails may have left the list.
-        if self.settings.must_subscribe && self.doubt <= now && !self.settings.many() {
-            self.doubt = now + Settings::TOLD;
-            self.wakes.push(Reverse((now + self.rng.u64(0..=Settings::TOLD / 12), Wake::Subscribe)));
+        if self.settings.must_subscribe && self.doubt <= now && !self.settings.is_large_fleet() {
+            self.doubt = now + Settings::NOTIFICATION_BOUND;
+            self.wakes
+                .push(Reverse((now + self.rng.u64(0..=Settings::NOTIFICATION_BOUND / 12), Timer::Subscribe)));
         }
     }
 
@@ -536,26 +549,26 @@
 
     /// Whether an attempt stands now that its connection is up: until its first byte is written it can be
     /// taken back, and then it never ran.
-    pub fn stands(&self, now: Micros, id: JobId, attempt: usize) -> bool {
-        let in_time = |p: &&Pending| now + self.settings.quantum < p.job.due;
+    pub fn attempt_is_valid(&self, now: Micros, id: JobId, attempt: usize) -> bool {
+        let in_time = |p: &&PendingJob| now + self.settings.quantum < p.job.deadline;
         let Some(p) = self.jobs.get(&id).filter(in_time) else { return false };
         let Some(a) = p.attempts.get(attempt).filter(|a| a.out) else { return false };
         let w = &self.workers[a.worker];
-        w.ready && w.member.born == a.born && self.repeats(now, p, attempt, w)
+        w.ready && w.member.started_at == a.born && self.repeats(now, p, attempt, w)
     }
 
     /// Whether a job may run at a worker after so many of its attempts.
-    fn repeats(&self, now: Micros, p: &Pending, after: usize, w: &Worker) -> bool {
+    fn repeats(&self, now: Micros, p: &PendingJob, after: usize, w: &EndpointState) -> bool {
         let Some(first) = p.attempts[..after].iter().find(|a| !a.never_ran) else { return true };
-        match self.settings.classes[p.job.class].repeat {
-            Repeat::Safe => true,
-            Repeat::Unsafe => false,
-            Repeat::Keyed { scope, window } => {
+        match self.settings.classes[p.job.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::Keyed { scope, window } => {
                 let there = &self.workers[first.worker].member;
                 let same = match scope {
-                    Scope::All => true,
-                    Scope::Zone => there.zone == w.member.zone,
-                    Scope::Cell => there.cell == w.member.cell,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => there.zone == w.member.zone,
+                    DeduplicationScope::Cell => there.cell == w.member.cell,
                 };
                 same && now < first.sent + window
             }
@@ -569,24 +582,27 @@
         p.waits = false;
         self.held.remove(&(p.key, id));
         let class = &self.settings.classes[p.job.class];
-        let frees = self.settings.limits.cancel && self.settings.limits.cancel_frees;
-        if self.settings.tells_start && frees && class.repeat == Repeat::Safe {
-            let patience =
-                if self.settings.many() && p.attempts.len() < QUICK { class.aim / 10 } else { class.aim };
-            self.wakes.push(Reverse((now + patience, Wake::Unheard(id, p.attempts.len()))));
+        let frees = self.settings.capabilities.may_cancel && self.settings.capabilities.cancel_frees_slot;
+        if self.settings.reports_start && frees && class.idempotency == Idempotency::Idempotent {
+            let patience = if self.settings.is_large_fleet() && p.attempts.len() < QUICK {
+                class.latency_objective / 10
+            } else {
+                class.latency_objective
+            };
+            self.wakes.push(Reverse((now + patience, Timer::Unheard(id, p.attempts.len()))));
         }
         let (w, attempt) = (&mut self.workers[i], p.attempts.len());
-        p.attempts.push(Attempt::new(i, now, w.member.born, free));
-        w.out.push(Out { job: id, attempt, sent: now, since: None, work, expected });
+        p.attempts.push(Attempt::new(i, now, w.member.started_at, free));
+        w.out.push(InFlightAttempt { job: id, attempt, sent: now, since: None, work, expected });
         w.waiting += 1.0;
         w.drift += p.job.slots.max(1.0);
         w.own += p.job.slots.max(1.0);
         w.budget -= 1.0;
-        out.push(Action::Send { job: id, worker: w.member.worker });
+        out.push(Action::Send { job: id, endpoint: w.member.id });
     }
 
-    fn ended(&mut self, now: Micros, e: &Ended, out: &mut Vec<Action>) {
-        let Some(&i) = self.index.get(&e.worker) else { return };
+    fn ended(&mut self, now: Micros, e: &AttemptEnd, out: &mut Vec<Action>) {
+        let Some(&i) = self.index.get(&e.endpoint) else { return };
         match e.outcome {
             Outcome::Served => self.workers[i].failures = 0,
             // Guards against sending on and on to a worker whose report, still old, shows room.
@@ -617,10 +633,10 @@
                     out.push(Action::Fail { job: e.job });
                     return self.end(e.job, out);
                 }
-                let repeat = self.settings.classes[p.job.class].repeat;
-                let unsafe_now = repeat == Repeat::Unsafe && p.may_have_run().is_some();
-                let spent = p.attempts.len() >= self.settings.limits.attempts;
-                if unsafe_now || spent || now + self.settings.quantum >= p.job.due {
+                let repeat = self.settings.classes[p.job.class].idempotency;
+                let unsafe_now = repeat == Idempotency::NotIdempotent && p.may_have_run().is_some();
+                let spent = p.attempts.len() >= self.settings.capabilities.max_attempts;
+                if unsafe_now || spent || now + self.settings.quantum >= p.job.deadline {
                     self.give_up(e.job, out);
                 } else {
                     (p.waits, p.steps, p.best) = (true, 0, None);
@@ -638,7 +654,7 @@
     fn unheard(&mut self, now: Micros, id: JobId, attempt: usize, out: &mut Vec<Action>) {
         let Some(p) = self.jobs.get_mut(&id).filter(|p| !p.streaming) else { return };
         let others = self.cycles[p.cycle].order.len() > 1;
-        let spent = p.attempts.len() >= self.settings.limits.attempts || !others;
+        let spent = p.attempts.len() >= self.settings.capabilities.max_attempts || !others;
         let Some(a) = p.attempts.get_mut(attempt).filter(|a| a.out && !a.started && !spent) else { return };
         self.workers[a.worker].leave(a, id, attempt, p.job.slots);
         (a.left, p.waits, p.steps, p.best) = (true, true, 0, None);
@@ -655,17 +671,17 @@
         let runs = w.start(now, id, attempt);
         (self.lag, self.seen) = (self.lag + GAIN * (w.lag - self.lag), now);
         let kind = &mut self.kinds[usize::from(w.member.kind)];
-        kind.slots = if self.settings.blind() { kind.slots.max(runs) } else { kind.slots };
+        kind.slots = if self.settings.lacks_load_reports() { kind.slots.max(runs) } else { kind.slots };
     }
 
     /// Ends a job unserved: by a refusal where that is allowed, else by a failure.
     fn give_up(&mut self, id: JobId, out: &mut Vec<Action>) {
         let Some(p) = self.jobs.get(&id) else { return };
-        let harmless = match self.settings.classes[p.job.class].repeat {
-            Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. } => true,
+        let harmless = match self.settings.classes[p.job.class].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
             _ => p.may_have_run().is_none(),
         };
-        let refusal = Action::Refuse { job: id, retry_after: COME_BACK };
+        let refusal = Action::Reject { job: id, retry_after: COME_BACK };
         out.push(if harmless { refusal } else { Action::Fail { job: id } });
         self.end(id, out);
     }
@@ -676,7 +692,7 @@
         self.held.remove(&(p.key, id));
         for (attempt, a) in p.attempts.iter_mut().enumerate().filter(|(_, a)| a.out) {
             self.workers[a.worker].give_back(a, id, attempt, p.job.slots);
-            if self.settings.limits.cancel {
+            if self.settings.capabilities.may_cancel {
                 out.push(Action::Cancel { job: id, attempt });
             }
         }
--- a/src/routing/state.rs
+++ b/src/routing/state.rs
@@ -6,14 +6,14 @@
 use super::types::*;
 
 #[derive(Default)]
-pub struct Worker {
-    pub member: Member,
+pub struct EndpointState {
+    pub member: Endpoint,
     pub ready: bool,
     /// What a warming worker may be sent, in jobs.
     pub budget: f64,
     /// The job for which a probe is out.
     pub asked: Option<JobId>,
-    pub report: Report,
+    pub report: LoadReport,
     pub read: Micros,
     /// Slots that own attempts took, less those that they gave back, since the report last changed: what it
     /// does not show yet.
@@ -25,8 +25,8 @@
     /// How long its last probe took, as a multiple of the usual.
     pub slowness: f64,
     /// Own attempts out there, in the order they were sent.
-    pub out: Vec<Out>,
-    pub pace: Pace,
+    pub out: Vec<InFlightAttempt>,
+    pub pace: ServiceTime,
     /// Wait beyond that for own attempts, as it was last seen, and when.
     pub lag: f64,
     pub lag_at: Micros,
@@ -35,10 +35,10 @@
     pub rest: Micros,
 }
 
-impl Worker {
+impl EndpointState {
     /// One that is met for the first time.
-    pub fn new(member: Member, budget: f64) -> Worker {
-        Worker { member, budget, slowness: 1.0, ..Worker::default() }
+    pub fn new(member: Endpoint, budget: f64) -> EndpointState {
+        EndpointState { member, budget, slowness: 1.0, ..EndpointState::default() }
     }
 
     /// An attempt is over, or nobody waits for it any more.
@@ -82,7 +82,7 @@
 /// What a process has saved up for a worker as it meets it, in calls. Spread over processes by their numbers: drawn, all
 /// of a fleet that starts at once would now and then have much of it together. The root of 2 has nothing in common with
 /// the golden section, by which processes take their turns.
-pub fn head_start(number: u32, worker: WorkerId) -> f64 {
+pub fn head_start(number: u32, worker: EndpointId) -> f64 {
     const GOLDEN: f64 = 0.618_033_988_75;
     (f64::from(number) * std::f64::consts::SQRT_2 + (worker.0 % 997) as f64 * GOLDEN).fract()
 }
@@ -104,7 +104,7 @@
 }
 
 /// An own attempt that is out at a worker, as far as it has been heard of.
-pub struct Out {
+pub struct InFlightAttempt {
     pub job: JobId,
     pub attempt: usize,
     pub sent: Micros,
@@ -118,12 +118,12 @@
 
 /// How long runs took, against the work that they were expected to be.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct ServiceTime {
     run: f64,
     work: f64,
 }
 
-impl Pace {
+impl ServiceTime {
     /// What of older runs still counts at each new one: some twenty are remembered, so that a machine that has
     /// slowed down shows.
     const FADES: f64 = 0.95;
@@ -135,7 +135,7 @@
 
     /// Takes in one run.
     pub fn add(&mut self, run: f64, work: f64) {
-        (self.run, self.work) = (self.run * Pace::FADES + run, self.work * Pace::FADES + work);
+        (self.run, self.work) = (self.run * ServiceTime::FADES + run, self.work * ServiceTime::FADES + work);
     }
 
     /// Time that a unit of work takes, where so much work at the usual pace counts as seen beside it.
@@ -146,17 +146,17 @@
 
 /// What is known of the workers of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kind {
+pub struct KindEstimate {
     /// Slots of each, as far as reports have shown, or own jobs that ran at once.
     pub slots: f64,
-    pub pace: Pace,
+    pub pace: ServiceTime,
     /// Nominal size, and sums of what workers held, in all and a core, where sizes are live.
     pub nominal: f64,
     pub held: f64,
     pub held_a_core: f64,
 }
 
-impl Kind {
+impl KindEstimate {
     /// Whether it can come of reports and runs.
     pub fn holds(&self) -> bool {
         let figures = [self.slots, self.nominal, self.held, self.held_a_core];
@@ -212,7 +212,7 @@
 }
 
 #[derive(Default)]
-pub struct Pending {
+pub struct PendingJob {
     pub job: Job,
     pub came: Micros,
     /// Its place among jobs held.
@@ -230,7 +230,7 @@
     pub streaming: bool,
 }
 
-impl Pending {
+impl PendingJob {
     /// The first attempt that is not known never to have run.
     pub fn may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.never_ran)
@@ -238,7 +238,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wake {
+pub enum Timer {
     Subscribe,
     Step(JobId, u32),
     Unheard(JobId, usize),
--- a/src/routing/types.rs
+++ b/src/routing/types.rs
@@ -8,7 +8,7 @@
 
 /// A worker, under an id that survives restarts of its process. Ids are only compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct WorkerId(pub u64);
+pub struct EndpointId(pub u64);
 
 /// A job, under an id that this dispatcher sees once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -32,38 +32,38 @@
     /// True where the worker list has to be subscribed to.
     pub must_subscribe: bool,
     /// What is allowed.
-    pub limits: Limits,
+    pub capabilities: Capabilities,
     /// True where it costs something to send a job to another zone.
     pub zones_cost: bool,
     /// Figures of the rules.
-    pub rules: Rules,
+    pub rules: ServiceRules,
     /// True where workers tell when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// True where workers report their load. Without, a probe tells nothing that a job would not.
-    pub reports: bool,
+    pub reports_load: bool,
 }
 
 impl Settings {
     /// Dispatchers beyond which what the others do between two reports of a worker outweighs what a report says.
-    pub const MANY: u32 = 16;
+    pub const LARGE_FLEET: u32 = 16;
     /// Time that discovery has for one call, of all dispatchers together.
-    pub const CALL_EACH: Micros = 80_000;
+    pub const POLL_COST: Micros = 80_000;
     /// A change of the list counts as told so long after discovery had it and could be reached, whatever call failed:
     /// the period in which each of many dispatchers calls once. Discovery gets through the calls of all in little more.
-    pub const TOLD: Micros = 6_000_000;
+    pub const NOTIFICATION_BOUND: Micros = 6_000_000;
     /// Whether dispatchers are many.
-    pub fn many(&self) -> bool {
-        self.dispatchers > Settings::MANY
+    pub fn is_large_fleet(&self) -> bool {
+        self.dispatchers > Settings::LARGE_FLEET
     }
 
     /// Whether what a worker reports, if anything, says little of what it holds now.
     pub fn stale_reports(&self) -> bool {
-        self.many() || self.blind()
+        self.is_large_fleet() || self.lacks_load_reports()
     }
 
     /// Whether own starts and ends are the only evidence of what workers hold.
-    pub fn blind(&self) -> bool {
-        self.tells_start && !self.reports
+    pub fn lacks_load_reports(&self) -> bool {
+        self.reports_start && !self.reports_load
     }
 }
 
@@ -71,38 +71,38 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// How long a job may wait for its worker and still be in time.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the job's own work.
     pub stretch: f64,
     /// Worth of its jobs; only comparisons count.
-    pub gain: f64,
+    pub priority_weight: f64,
     /// Part of its worth that a late answer still has; 0: none.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// Whether it may run twice.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// The one kind of worker that runs it; none: any.
     pub kind: Option<u16>,
 }
 
 /// Whether a job may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Any number of times.
-    Safe,
+    Idempotent,
     /// Only within a group of workers that drops repeats, and only for a time from the first such attempt.
     Keyed {
         /// Which workers drop each other's repeats.
-        scope: Scope,
+        scope: DeduplicationScope,
         /// For how long.
         window: Micros,
     },
     /// Never.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A group of workers that drops repeats of a keyed job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// All workers.
     All,
     /// The workers of one zone.
@@ -113,35 +113,35 @@
 
 /// What a dispatcher may do.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Limits {
+pub struct Capabilities {
     /// Attempts for one job.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// Attempts may be called off.
-    pub cancel: bool,
+    pub may_cancel: bool,
     /// Calling an attempt off that waits is believed to free its place.
-    pub cancel_frees: bool,
+    pub cancel_frees_slot: bool,
     /// Workers may be probed.
-    pub probe: bool,
+    pub may_probe: bool,
 }
 
 /// Figures of the rules that a dispatcher keeps.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rules {
+pub struct ServiceRules {
     /// Part of its capacity that a worker has when it starts.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Time by which it has all of it.
-    pub cold: Micros,
+    pub warm_up: Micros,
     /// Multiple of its present capacity that pushes a cold worker over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Where the list must be subscribed to: the time within which it must be asked.
-    pub ask_within: Micros,
+    pub poll_within: Micros,
 }
 
 /// A line of the worker list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Member {
+pub struct Endpoint {
     /// Which worker.
-    pub worker: WorkerId,
+    pub id: EndpointId,
     /// Its kind.
     pub kind: u16,
     /// Its zone.
@@ -151,14 +151,14 @@
     /// Its listed size; only comparisons count.
     pub size: f64,
     /// When it last started; 0: long ago.
-    pub born: Micros,
+    pub started_at: Micros,
     /// Whether it takes new work.
-    pub state: MemberState,
+    pub status: EndpointStatus,
 }
 
 /// State of a worker on the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum MemberState {
+pub enum EndpointStatus {
     /// Takes work.
     #[default]
     Ready,
@@ -176,7 +176,7 @@
     /// Its class.
     pub class: usize,
     /// When its client gives this try up.
-    pub due: Micros,
+    pub deadline: Micros,
     /// Slots that it takes.
     pub slots: f64,
     /// Work that the client expects it to be, as time on a core of speed 1; none: not told.
@@ -185,7 +185,7 @@
 
 /// A worker's own figures; what is not reported is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Slots free.
     pub free_slots: Option<f64>,
     /// Requests held.
@@ -228,13 +228,13 @@
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The job.
     pub job: JobId,
     /// Number of the attempt, from 0 in order of `Send`.
     pub attempt: usize,
     /// The worker.
-    pub worker: WorkerId,
+    pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
@@ -242,18 +242,18 @@
     /// The job is over: answered by this outcome or before.
     pub finished: bool,
     /// The worker's figures.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What a dispatcher is told.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// The whole list; workers absent from it are gone.
-    List(&'a [Member]),
+    List(&'a [Endpoint]),
     /// Lines of the list that have changed.
-    Changes(&'a [Member]),
+    Changes(&'a [Endpoint]),
     /// The list as this dispatcher last held it before it was started again.
-    Cached(&'a [Member]),
+    Cached(&'a [Endpoint]),
     /// A subscription failed or broke.
     ListFailed,
     /// A job has come in.
@@ -261,7 +261,7 @@
     /// The client of this job has left; nothing is owed for it any more.
     ClientLeft(JobId),
     /// An attempt has ended.
-    Ended(Ended),
+    Ended(AttemptEnd),
     /// An attempt's job has been started by its worker.
     Started {
         /// The job.
@@ -274,13 +274,13 @@
     /// A probe has come back.
     Probed {
         /// The worker.
-        worker: WorkerId,
+        endpoint: EndpointId,
         /// It answered.
         answered: bool,
         /// Time since it was sent.
         latency: Micros,
         /// The worker's figures.
-        report: Report,
+        report: LoadReport,
     },
     /// The time asked for by `WakeAt` has come.
     Wake,
@@ -294,7 +294,7 @@
         /// The job.
         job: JobId,
         /// The worker.
-        worker: WorkerId,
+        endpoint: EndpointId,
     },
     /// Call an attempt off.
     Cancel {
@@ -304,7 +304,7 @@
         attempt: usize,
     },
     /// Final answer: not done, a retry does no harm.
-    Refuse {
+    Reject {
         /// The job.
         job: JobId,
         /// Advice when to come back; 0: none.
@@ -318,7 +318,7 @@
     /// Probe a worker.
     Probe {
         /// The worker.
-        worker: WorkerId,
+        endpoint: EndpointId,
     },
     /// Subscribe to the worker list.
     Subscribe,
--- a/src/routing/warm_state.rs
+++ b/src/routing/warm_state.rs
@@ -6,21 +6,21 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::router::Dispatcher;
-use super::state::{Kind, Pace};
-use super::types::{Job, Micros, WorkerId};
+use super::router::Router;
+use super::state::{KindEstimate, ServiceTime};
+use super::types::{EndpointId, Job, Micros};
 
 /// Most workers, kinds, zones and classes that are recalled: as many as the server table holds.
 const MOST: usize = crate::core::MOST_SERVERS;
 
 /// What was learned of one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct OfWorker {
+struct EndpointWarmState {
     id: u64,
     born: Micros,
     /// What it may be sent while it warms up, in jobs.
     budget: f64,
-    pace: Pace,
+    pace: ServiceTime,
     lag: f64,
     lag_at: Micros,
     slowness: f64,
@@ -30,20 +30,20 @@
 
 /// All that was learned. Times are microseconds of the clock that both processes read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct WarmState {
     run: f64,
     usual: Vec<f64>,
-    pace: Pace,
+    pace: ServiceTime,
     lag: f64,
     seen: Micros,
     typical: f64,
     pressure: f64,
     prompt: Vec<f64>,
-    kinds: Vec<Kind>,
-    workers: Vec<OfWorker>,
+    kinds: Vec<KindEstimate>,
+    workers: Vec<EndpointWarmState>,
 }
 
-impl Learned {
+impl WarmState {
     /// Whether it can be true of these classes: each figure is one, and none is negative that cannot be.
     fn holds(&self, classes: usize) -> bool {
         let figure = |f: f64| f.is_finite() && f >= 0.0;
@@ -63,14 +63,14 @@
             && self.run >= 1.0
             && self.typical.is_finite()
             && self.pace.holds()
-            && self.kinds.iter().all(Kind::holds)
+            && self.kinds.iter().all(KindEstimate::holds)
             && workers
     }
 }
 
-impl Dispatcher {
+impl Router {
     /// Whether a worker is given no turns now: draining, off the list, or resting after failures.
-    pub fn avoids(&self, now: Micros, worker: WorkerId) -> bool {
+    pub fn is_unavailable(&self, now: Micros, worker: EndpointId) -> bool {
         self.index.get(&worker).is_none_or(|&i| !self.workers[i].ready || self.workers[i].rest > now)
     }
 
@@ -87,10 +87,10 @@
     }
 
     /// What it has learned so far.
-    pub fn learned(&self) -> Learned {
-        let workers = self.workers.iter().filter(|w| w.ready).take(MOST).map(|w| OfWorker {
-            id: w.member.worker.0,
-            born: w.member.born,
+    pub fn warm_state(&self) -> WarmState {
+        let workers = self.workers.iter().filter(|w| w.ready).take(MOST).map(|w| EndpointWarmState {
+            id: w.member.id.0,
+            born: w.member.started_at,
             budget: w.budget,
             pace: w.pace,
             lag: w.lag,
@@ -99,7 +99,7 @@
             failures: w.failures,
             rest: w.rest,
         });
-        Learned {
+        WarmState {
             run: self.run,
             usual: self.usual.clone(),
             pace: self.pace,
@@ -114,13 +114,14 @@
     }
 
     /// Takes over what the process before has learned. False, and nothing is changed, where it cannot be true here.
-    pub fn recall(&mut self, now: Micros, learned: Learned) -> bool {
+    pub fn restore(&mut self, now: Micros, learned: WarmState) -> bool {
         if !learned.holds(self.usual.len()) {
             return false;
         }
         for known in learned.workers {
-            let at = self.index.get(&WorkerId(known.id)).copied();
-            let Some(w) = at.map(|at| &mut self.workers[at]).filter(|w| w.member.born == known.born) else {
+            let at = self.index.get(&EndpointId(known.id)).copied();
+            let Some(w) = at.map(|at| &mut self.workers[at]).filter(|w| w.member.started_at == known.born)
+            else {
                 continue;
             };
             // Both send for a moment: one that warms up has what it was owed once, not twice.
@@ -132,7 +133,7 @@
         }
         let kinds = self.kinds.len().max(learned.kinds.len());
         self.kinds = learned.kinds;
-        self.kinds.resize_with(kinds, Kind::default);
+        self.kinds.resize_with(kinds, KindEstimate::default);
         (self.run, self.usual, self.pace) = (learned.run, learned.usual, learned.pace);
         (self.lag, self.seen) = (learned.lag, learned.seen.min(now));
         (self.typical, self.pressure, self.prompt) = (learned.typical, learned.pressure, learned.prompt);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,7 +2,9 @@
 //! dispatcher both read them here.
 
 use crate::json::{self, JsonValue, field, flag, number, text, texts};
-use crate::routing::{Class, Limits, Micros, Repeat, Report, Rules, Scope, Settings};
+use crate::routing::{
+    Capabilities, Class, DeduplicationScope, Idempotency, LoadReport, Micros, ServiceRules, Settings,
+};
 
 /// What a value of a load report says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -111,21 +113,21 @@
             classes,
             live_sizes: text(facts, "weightSource") == Some("live"),
             must_subscribe: text(facts, "membershipMode") == Some("subscribe"),
-            limits: Limits {
-                attempts: need(caps, "sendCap")? as usize,
-                cancel: flag(caps, "mayCancel"),
-                cancel_frees: reports,
-                probe: flag(caps, "probing"),
+            capabilities: Capabilities {
+                max_attempts: need(caps, "sendCap")? as usize,
+                may_cancel: flag(caps, "mayCancel"),
+                cancel_frees_slot: reports,
+                may_probe: flag(caps, "probing"),
             },
             zones_cost: number(fees, "crossZone").is_some_and(|fee| fee > 0.0),
-            rules: Rules {
-                cold_from: need(rules, "coldFrom")?,
-                cold: need(rules, "cold")? as Micros,
-                fall_multiple: need(rules, "tipMultiple")?,
-                ask_within: micros(rules, "askWithin"),
+            rules: ServiceRules {
+                initial_capacity: need(rules, "coldFrom")?,
+                warm_up: need(rules, "cold")? as Micros,
+                overload_multiple: need(rules, "tipMultiple")?,
+                poll_within: micros(rules, "askWithin"),
             },
-            tells_start: flag(info, "tellsStart"),
-            reports,
+            reports_start: flag(info, "tellsStart"),
+            reports_load: reports,
         };
         Ok(Site {
             settings,
@@ -145,8 +147,8 @@
     }
 
     /// A load report from values in the order of the fields; further ones are passed over.
-    pub fn report(&self, values: impl IntoIterator<Item = f64>) -> Report {
-        let mut report = Report::default();
+    pub fn report(&self, values: impl IntoIterator<Item = f64>) -> LoadReport {
+        let mut report = LoadReport::default();
         for ((_, says), value) in self.fields.iter().zip(values) {
             put(&mut report, *says, value);
         }
@@ -154,8 +156,8 @@
     }
 
     /// A load report from names and values; unknown names are passed over.
-    pub fn named_report<'a>(&self, pairs: impl IntoIterator<Item = (&'a str, f64)>) -> Report {
-        let mut report = Report::default();
+    pub fn named_report<'a>(&self, pairs: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
+        let mut report = LoadReport::default();
         for (name, value) in pairs {
             if let Some((_, says)) = self.fields.iter().find(|(known, _)| known == name) {
                 put(&mut report, *says, value);
@@ -165,7 +167,7 @@
     }
 }
 
-fn put(report: &mut Report, says: Field, value: f64) {
+fn put(report: &mut LoadReport, says: Field, value: f64) {
     match says {
         Field::FreeSlots => report.free_slots = Some(value),
         Field::Held => report.held = Some(value),
@@ -180,16 +182,16 @@
 
 fn class(at: usize, grade: &JsonValue, kind: Option<u16>, stretch: Option<f64>) -> Result<Class, String> {
     let repeat = match text(grade, "semantics").unwrap_or("") {
-        "retryable" => Repeat::Safe,
-        "fragile" => Repeat::Unsafe,
+        "retryable" => Idempotency::Idempotent,
+        "fragile" => Idempotency::NotIdempotent,
         "dedup" => {
             let scope = match text(grade, "keyScope").unwrap_or("") {
-                "all" => Scope::All,
-                "zone" => Scope::Zone,
-                "cell" => Scope::Cell,
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Cell,
                 other => return Err(format!("settings: grade {at}: unknown keyScope \"{other}\"")),
             };
-            Repeat::Keyed { scope, window: number(grade, "window").unwrap_or(0.0) as Micros }
+            Idempotency::Keyed { scope, window: number(grade, "window").unwrap_or(0.0) as Micros }
         }
         other => return Err(format!("settings: grade {at}: unknown semantics \"{other}\"")),
     };
@@ -197,5 +199,12 @@
     let aim = need(grade, "aim")? as Micros;
     let stretch = number(grade, "aimStretch").or(stretch).unwrap_or(0.0).clamp(0.0, 100.0);
     let gain = number(grade, "gain").unwrap_or(1.0).max(0.0);
-    Ok(Class { aim, stretch, gain, late_worth, repeat, kind })
+    Ok(Class {
+        latency_objective: aim,
+        stretch,
+        priority_weight: gain,
+        late_value: late_worth,
+        idempotency: repeat,
+        kind,
+    })
 }
--- a/src/zones/zone_failover.rs
+++ b/src/zones/zone_failover.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Decider, Digest, Evidence, Follower, Rules, Seen, Sight, TOPIC, Table, Tally, View};
-use crate::fleet::{Member, Node};
+use crate::fleet::{MemberId, Node};
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,11 +23,11 @@
     /// What it says.
     pub table: Table,
     /// The voter that leads, as a member.
-    pub leader: Option<Member>,
+    pub leader: Option<MemberId>,
     /// Whether this node proposed it.
     pub own: bool,
     /// The members whose votes are known to have carried its leader; at the leader alone.
-    pub voters: Vec<Member>,
+    pub voters: Vec<MemberId>,
     /// What the fleet's dispatchers saw of each zone, at a voter.
     pub sights: Vec<Sight>,
 }
@@ -93,7 +93,7 @@
     }
 
     /// A message of another member. False where it is none that this part can take.
-    pub fn receive(&mut self, now: f64, node: &Node, from: Member, bytes: &[u8]) -> bool {
+    pub fn receive(&mut self, now: f64, node: &Node, from: MemberId, bytes: &[u8]) -> bool {
         let Ok((DigestMessage(digest), [])) = postcard::take_from_bytes(bytes) else { return false };
         let home = node.places().get(usize::from(from)).map(|place| place.zone);
         let fits = node.votes().is_some() && home == Some(usize::from(digest.zone));
@@ -136,7 +136,7 @@
         // Into a vector nothing can fail to fit.
         let bytes = postcard::to_stdvec(&DigestMessage(digest)).unwrap_or_default();
         let (own, leader, voters) = (node.own(), node.leader(), node.voters().to_vec());
-        let due = |(at, voter): &(usize, Member)| {
+        let due = |(at, voter): &(usize, MemberId)| {
             let turn = (number + *at as u64).is_multiple_of(FOLLOWERS_EVERY);
             *voter != own && (turn || leader.is_none_or(|leader| leader == *voter))
         };
--- a/tests/blind.rs
+++ b/tests/blind.rs
@@ -6,12 +6,12 @@
 use micabeam::routing::*;
 
 fn blind() -> Settings {
-    let mut settings = Settings { tells_start: true, reports: false, ..probing() };
-    settings.limits.cancel_frees = false;
+    let mut settings = Settings { reports_start: true, reports_load: false, ..probing() };
+    settings.capabilities.cancel_frees_slot = false;
     settings
 }
 
-fn fleet(count: u64) -> Vec<Member> {
+fn fleet(count: u64) -> Vec<Endpoint> {
     (1..=count).map(|id| member(id, 1.0)).collect()
 }
 
@@ -124,7 +124,7 @@
         let id = JobId(self.next);
         self.sums.jobs += 1.0;
         self.jobs.insert((at, id), (work, now + 250 * MS + (2.0 * work) as Micros));
-        let job = Job { id, class, due: now + 5 * SECOND, slots: 1.0, work: Some(hint as Micros) };
+        let job = Job { id, class, deadline: now + 5 * SECOND, slots: 1.0, work: Some(hint as Micros) };
         let actions = self.worlds[at].handle(Event::Job(job));
         self.follow(at, actions);
     }
@@ -153,14 +153,14 @@
         {
             self.sums.in_time += f64::from(u8::from(now <= wanted));
         }
-        let actions = self.worlds[at].ended(job, attempt, WorkerId(n as u64 + 1), outcome);
+        let actions = self.worlds[at].ended(job, attempt, EndpointId(n as u64 + 1), outcome);
         self.follow(at, actions);
     }
 
     fn follow(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { job, worker } => {
+                Action::Send { job, endpoint: worker } => {
                     self.sums.sent += 1.0;
                     let (n, attempt) = (worker.0 as usize - 1, self.worlds[at].attempts(job));
                     if self.nodes[n].dead {
@@ -172,7 +172,7 @@
                         self.nodes[n].queue.push_back((at, job, attempt, work));
                     }
                 }
-                Action::Refuse { job, .. } | Action::Fail { job } => {
+                Action::Reject { job, .. } | Action::Fail { job } => {
                     self.jobs.remove(&(at, job));
                     self.sums.refused += 1.0;
                 }
@@ -226,7 +226,7 @@
         world.ended(job, 0, worker, Outcome::Served);
     }
     world.wait(30 * SECOND);
-    assert_eq!(sent(&world.job(2).1), Some(WorkerId(1)), "nobody has been seen waiting for half a minute");
+    assert_eq!(sent(&world.job(2).1), Some(EndpointId(1)), "nobody has been seen waiting for half a minute");
 }
 
 /// The list is pushed seconds late: until then a dead worker shows by its refusals alone.
@@ -258,24 +258,27 @@
         old.now += 10 * MS;
         let (job, actions) = old.job(2);
         if let Some(worker) = sent(&actions) {
-            let outcome = if worker == WorkerId(1) { Outcome::Error } else { Outcome::Served };
+            let outcome = if worker == EndpointId(1) { Outcome::Error } else { Outcome::Served };
             old.ended(job, 0, worker, outcome);
         }
     }
-    assert!(old.dispatcher.avoids(old.now, WorkerId(1)));
-    let learned = old.dispatcher.learned();
+    assert!(old.dispatcher.is_unavailable(old.now, EndpointId(1)));
+    let learned = old.dispatcher.warm_state();
     let mut new = World::new(blind(), &fleet(2));
-    assert!(!new.dispatcher.avoids(old.now, WorkerId(1)));
-    assert!(new.dispatcher.recall(old.now, learned.clone()));
-    assert!(new.dispatcher.avoids(old.now, WorkerId(1)) && !new.dispatcher.avoids(old.now, WorkerId(2)));
+    assert!(!new.dispatcher.is_unavailable(old.now, EndpointId(1)));
+    assert!(new.dispatcher.restore(old.now, learned.clone()));
+    assert!(
+        new.dispatcher.is_unavailable(old.now, EndpointId(1))
+            && !new.dispatcher.is_unavailable(old.now, EndpointId(2))
+    );
     // One that has started anew is not the one that failed.
-    let born = Member { born: old.now, ..member(1, 1.0) };
+    let born = Endpoint { started_at: old.now, ..member(1, 1.0) };
     let mut renewed = World::new(blind(), &[born, member(2, 1.0)]);
-    assert!(renewed.dispatcher.recall(old.now, learned.clone()));
-    assert!(!renewed.dispatcher.avoids(old.now, WorkerId(1)));
+    assert!(renewed.dispatcher.restore(old.now, learned.clone()));
+    assert!(!renewed.dispatcher.is_unavailable(old.now, EndpointId(1)));
     let mut fewer = blind();
     fewer.classes.pop();
     let mut other = World::new(fewer, &fleet(2));
-    assert!(!other.dispatcher.recall(old.now, learned), "of other classes");
-    assert!(!other.dispatcher.avoids(old.now, WorkerId(1)));
+    assert!(!other.dispatcher.restore(old.now, learned), "of other classes");
+    assert!(!other.dispatcher.is_unavailable(old.now, EndpointId(1)));
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -13,8 +13,8 @@
 
 use micabeam::core::{Clock, Core, Line};
 use micabeam::frontend::handover::Note;
-use micabeam::lifecycle::warm_state::Memory;
-use micabeam::routing::{Member, MemberState, WorkerId};
+use micabeam::lifecycle::warm_state::WarmStateFile;
+use micabeam::routing::{Endpoint, EndpointId, EndpointStatus};
 use micabeam::settings::Site;
 use net::*;
 
@@ -139,22 +139,22 @@
     let names: Vec<String> =
         ["avail-search", "confirm-booking", "short-hold"].into_iter().map(String::from).collect();
     let left_at = f64::from_le_bytes(bytes[18 + PID_BYTES..][..8].try_into().unwrap());
-    let memory = Memory::decode(bytes, note.pid, &names, left_at + 500.0).expect("it reads");
+    let memory = WarmStateFile::decode(bytes, note.pid, &names, left_at + 500.0).expect("it reads");
     assert_eq!(memory.encode(), bytes, "it is written as it was read");
     assert_eq!(memory.lines.len(), 2);
     let site = Site::parse(SETTINGS.as_bytes()).unwrap();
     let mut core = Core::new(site, 1, Clock::manual(left_at + 500.0), 64);
-    let line = |line: &micabeam::lifecycle::warm_state::Listed| Line {
+    let line = |line: &micabeam::lifecycle::warm_state::StoredEndpoint| Line {
         name: line.name.clone(),
         address: line.address.clone(),
-        member: Member {
-            worker: WorkerId(0),
+        member: Endpoint {
+            id: EndpointId(0),
             kind: line.kind,
             zone: line.zone,
             cell: line.cell,
             size: line.size,
-            born: line.born,
-            state: if line.draining { MemberState::Draining } else { MemberState::Ready },
+            started_at: line.born,
+            status: if line.draining { EndpointStatus::Draining } else { EndpointStatus::Ready },
         },
     };
     assert!(core.recall(memory.lines.iter().map(line).collect(), memory.learned.clone()));
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -6,7 +6,7 @@
 use micabeam::core::{
     Clock, Command, Core, Line, MOST_SERVERS, PoolId, Request, Selector, SessionId, Verdict,
 };
-use micabeam::routing::{Member, MemberState, Outcome, Report};
+use micabeam::routing::{Endpoint, EndpointStatus, LoadReport, Outcome};
 use micabeam::settings::Site;
 
 const START: f64 = 1_700_000_000_000.0;
@@ -18,7 +18,7 @@
     let line = |name: &&str| Line {
         name: name.to_string(),
         address: String::new(),
-        member: Member { size: 1.0, ..Member::default() },
+        member: Endpoint { size: 1.0, ..Endpoint::default() },
     };
     core.listed(servers.iter().map(line).collect(), true);
     (core, clock)
@@ -45,9 +45,9 @@
     let (mut core, _) = core(10, &["a"]);
     let id = core.request(request(1, 4000.0)).unwrap();
     assert!(matches!(commands(&mut core)[..], [Command::Send { session, attempt: 0, .. }] if session == id));
-    assert!(core.ended(id, 0, Outcome::Served, Report::default(), b"ok".to_vec()));
-    assert!(!core.ended(id, 0, Outcome::Served, Report::default(), b"again".to_vec()));
-    assert!(!core.ended(id, 0, Outcome::Reset, Report::default(), Vec::new()));
+    assert!(core.ended(id, 0, Outcome::Served, LoadReport::default(), b"ok".to_vec()));
+    assert!(!core.ended(id, 0, Outcome::Served, LoadReport::default(), b"again".to_vec()));
+    assert!(!core.ended(id, 0, Outcome::Reset, LoadReport::default(), Vec::new()));
     assert_eq!(answers(&commands(&mut core)), [(id, Verdict::Served(b"ok".to_vec()))]);
     let counters = core.counters();
     assert_eq!((counters.served, counters.stray, core.open()), (1, 2, 0));
@@ -153,7 +153,7 @@
     clock.set(START + 5000.0);
     core.tick();
     assert_eq!(commands(&mut core), []);
-    core.ended(id, 0, Outcome::Reset, Report::default(), Vec::new());
+    core.ended(id, 0, Outcome::Reset, LoadReport::default(), Vec::new());
     assert_eq!(commands(&mut core), [Command::Answer { session: id, verdict: Verdict::Failed }]);
     assert!(!core.streaming(id, 0), "it is over");
     assert_eq!((core.open(), core.counters().sent), (0, 1));
@@ -177,9 +177,9 @@
     }
     core.written_whole(failed, 0);
     assert_eq!(core.telemetry().upstream(), 2);
-    core.ended(served, 0, Outcome::Served, Report::default(), b"ok".to_vec());
+    core.ended(served, 0, Outcome::Served, LoadReport::default(), b"ok".to_vec());
     // An error on a job that may not run twice fails it.
-    core.ended(failed, 0, Outcome::Error, Report::default(), Vec::new());
+    core.ended(failed, 0, Outcome::Error, LoadReport::default(), Vec::new());
     clock.set(clock.now() + 1.0);
     core.tick();
     let answered = answers(&commands(&mut core));
@@ -203,7 +203,7 @@
         for command in commands(core) {
             if let Command::Send { server, .. } = command {
                 names.push(core.table().get(server).unwrap().line.name.clone());
-                core.ended(id, 0, Outcome::Served, Report::default(), Vec::new());
+                core.ended(id, 0, Outcome::Served, LoadReport::default(), Vec::new());
             }
         }
         commands(core);
@@ -229,7 +229,7 @@
     let line = |name: &str| Line {
         name: name.into(),
         address: String::new(),
-        member: Member { size: 1.0, ..Member::default() },
+        member: Endpoint { size: 1.0, ..Endpoint::default() },
     };
     core.listed(vec![line("b-1"), line("b-2"), line("a-1")], true);
     assert_eq!(servers_of(&mut core, a, 8), ["a-1"], "a server that left the list");
@@ -257,7 +257,7 @@
     let b = core.repool(&[prefix("b-")])[0];
     assert_eq!(core.pools(), 2);
     // Its first dispatch never ran: the next one goes to the same pool, which has no other server, and not to the new one.
-    core.ended(id, 0, Outcome::Full, Report::default(), Vec::new());
+    core.ended(id, 0, Outcome::Full, LoadReport::default(), Vec::new());
     let sent: Vec<String> = commands(&mut core)
         .iter()
         .filter_map(|command| match command {
@@ -281,7 +281,7 @@
     let line = |name: &str, born| Line {
         name: name.into(),
         address: String::new(),
-        member: Member { size: 1.0, born, ..Member::default() },
+        member: Endpoint { size: 1.0, started_at: born, ..Endpoint::default() },
     };
     core.listed(vec![line("a-cold", born), line("b-warm", 0)], true);
     let mut sent = 0;
@@ -306,10 +306,10 @@
     assert_eq!((core.table().listed().len(), core.counters().lines_dropped), (MOST_SERVERS, 3));
     assert!(core.counters().to_string().contains("lines_dropped 3\n"));
     let line = |name: &str, state| {
-        let member = Member { size: 1.0, state, ..Member::default() };
+        let member = Endpoint { size: 1.0, status: state, ..Endpoint::default() };
         Line { name: name.into(), address: String::new(), member }
     };
-    core.listed(vec![line("w0", MemberState::Gone), line("late", MemberState::Ready)], false);
+    core.listed(vec![line("w0", EndpointStatus::Gone), line("late", EndpointStatus::Ready)], false);
     assert!(core.table().id("late").is_some_and(|id| core.table().get(id).is_some()));
     assert_eq!(core.counters().lines_dropped, 3);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use micabeam::routing::Dispatcher;
+use micabeam::routing::Router;
 use micabeam::routing::*;
 
 const DISPATCHERS: u32 = 100;
@@ -14,17 +14,17 @@
 fn fleet_settings(number: u32) -> Settings {
     let mut settings = probing();
     (settings.number, settings.dispatchers) = (number, DISPATCHERS);
-    (settings.zone, settings.zones_cost, settings.tells_start) = ((number % 5) as u16, true, true);
+    (settings.zone, settings.zones_cost, settings.reports_start) = ((number % 5) as u16, true, true);
     settings
 }
 
-fn members() -> Vec<Member> {
-    (1..=WORKERS).map(|id| Member { zone: (id % 5) as u16, ..member(id * 7919 % 10_007, 1.0) }).collect()
+fn members() -> Vec<Endpoint> {
+    (1..=WORKERS).map(|id| Endpoint { zone: (id % 5) as u16, ..member(id * 7919 % 10_007, 1.0) }).collect()
 }
 
-fn fleet(members: &[Member], now: Micros) -> Vec<Dispatcher> {
+fn fleet(members: &[Endpoint], now: Micros) -> Vec<Router> {
     let one = |number| {
-        let mut dispatcher = Dispatcher::new(fleet_settings(number), u64::from(number));
+        let mut dispatcher = Router::new(fleet_settings(number), u64::from(number));
         dispatcher.handle(now, Event::List(members), &mut Vec::new());
         dispatcher
     };
@@ -32,7 +32,7 @@
 }
 
 fn job(id: u64, class: usize, now: Micros) -> Event<'static> {
-    Event::Job(Job { id: JobId(id), class, due: now + 5 * SECOND, slots: 1.0, work: None })
+    Event::Job(Job { id: JobId(id), class, deadline: now + 5 * SECOND, slots: 1.0, work: None })
 }
 
 /// A report is a second old by the time it is read, and all dispatchers read the same one. Guards against a hundred
@@ -40,8 +40,8 @@
 #[test]
 fn an_old_report_does_not_gather_all_dispatchers_on_a_few_workers() {
     let (members, mut now) = (members(), 100 * SECOND);
-    let free: Vec<WorkerId> = members.iter().take(6).map(|m| m.worker).collect();
-    let mut met: BTreeMap<WorkerId, u32> = BTreeMap::new();
+    let free: Vec<EndpointId> = members.iter().take(6).map(|m| m.id).collect();
+    let mut met: BTreeMap<EndpointId, u32> = BTreeMap::new();
     let mut probes = 0;
     for mut dispatcher in fleet(&members, now) {
         for id in 1..=5 {
@@ -52,11 +52,11 @@
                 (probes, now) = (probes + 1, now + 5 * MS);
                 let some = f64::from(u8::from(free.contains(&worker)));
                 let report =
-                    Report { free_slots: Some(3.0 * some), queue: Some(2.0 - 2.0 * some), held: None };
+                    LoadReport { free_slots: Some(3.0 * some), queue: Some(2.0 - 2.0 * some), held: None };
                 out.clear();
                 dispatcher.handle(
                     now,
-                    Event::Probed { worker, answered: true, latency: 5 * MS, report },
+                    Event::Probed { endpoint: worker, answered: true, latency: 5 * MS, report },
                     &mut out,
                 );
             }
@@ -94,10 +94,10 @@
 fn a_hundred_dispatchers_that_start_together_all_get_the_list() {
     let (members, start) = (members(), 100 * SECOND);
     let mut roster = Roster { busy: start, calls: Vec::new() };
-    let mut fleet: Vec<Dispatcher> = (0..DISPATCHERS)
+    let mut fleet: Vec<Router> = (0..DISPATCHERS)
         .map(|number| {
             let settings = Settings { must_subscribe: true, ..fleet_settings(number) };
-            Dispatcher::new(settings, u64::from(number))
+            Router::new(settings, u64::from(number))
         })
         .collect();
     // What happens next at each: a wake-up, an answer, or a failure.
@@ -143,14 +143,15 @@
     let mut calls = 0;
     for number in 0..DISPATCHERS {
         let settings = Settings { must_subscribe: true, ..fleet_settings(number) };
-        let mut dispatcher = Dispatcher::new(settings, u64::from(number));
+        let mut dispatcher = Router::new(settings, u64::from(number));
         let mut out = Vec::new();
         dispatcher.handle(now, Event::List(&members), &mut out);
         dispatcher.handle(now, job(1, 0, now), &mut out);
         let worker = sent(&out).expect("all are idle");
-        let report = Report::default();
+        let report = LoadReport::default();
         let (job, outcome) = (JobId(1), Outcome::Unreachable);
-        let end = Ended { job, attempt: 0, worker, outcome, latency: MS, finished: false, report };
+        let end =
+            AttemptEnd { job, attempt: 0, endpoint: worker, outcome, latency: MS, finished: false, report };
         dispatcher.handle(now + MS, Event::Ended(end), &mut out);
         out.clear();
         dispatcher.handle(now + SECOND, Event::Wake, &mut out);
@@ -161,7 +162,7 @@
 
 /// Sixty workers of three slots, jobs of 300 ms: 180 at a time, 600 a second. So many jobs a second come for 6 s, 13 % of
 /// them to one dispatcher, and little to most. When each worker was sent its jobs, and how many there were.
-fn sends(members: &[Member], start: Micros, rate: f64) -> (BTreeMap<WorkerId, Vec<Micros>>, usize) {
+fn sends(members: &[Endpoint], start: Micros, rate: f64) -> (BTreeMap<EndpointId, Vec<Micros>>, usize) {
     let mut fleet = fleet(members, start);
     let mut jobs: Vec<(Micros, usize)> = Vec::new();
     for n in 0..100_usize {
@@ -171,15 +172,23 @@
     }
     jobs.sort_unstable();
     let total = jobs.len();
-    let mut taken: BTreeMap<WorkerId, Vec<Micros>> = BTreeMap::new();
-    let mut ends: Vec<(Micros, usize, u64, WorkerId)> = Vec::new();
+    let mut taken: BTreeMap<EndpointId, Vec<Micros>> = BTreeMap::new();
+    let mut ends: Vec<(Micros, usize, u64, EndpointId)> = Vec::new();
     for (id, (now, n)) in jobs.into_iter().enumerate() {
         ends.sort_unstable();
         while let Some(&(at, n, id, worker)) = ends.first().filter(|end| end.0 <= now) {
             ends.remove(0);
-            let (job, report) = (JobId(id), Report::default());
+            let (job, report) = (JobId(id), LoadReport::default());
             let outcome = Outcome::Served;
-            let end = Ended { job, attempt: 0, worker, outcome, latency: 300 * MS, finished: true, report };
+            let end = AttemptEnd {
+                job,
+                attempt: 0,
+                endpoint: worker,
+                outcome,
+                latency: 300 * MS,
+                finished: true,
+                report,
+            };
             fleet[n].handle(at, Event::Ended(end), &mut Vec::new());
         }
         let (id, mut out) = (id as u64 + 1, Vec::new());
@@ -213,8 +222,8 @@
 #[test]
 fn a_worker_just_born_gets_its_part_from_a_hundred_unlike_dispatchers() {
     let (mut members, start) = (members(), 100 * SECOND);
-    let cold = members[7].worker;
-    members[7].born = start;
+    let cold = members[7].id;
+    members[7].started_at = start;
     // 55 % of what all can do.
     let (all, total) = sends(&members, start, 330.0);
     let taken = all.get(&cold).cloned().unwrap_or_default();
@@ -236,7 +245,7 @@
 #[test]
 fn a_fleet_that_is_all_cold_is_not_pushed_over() {
     let (mut members, start) = (members(), 100 * SECOND);
-    members.iter_mut().for_each(|member| member.born = start);
+    members.iter_mut().for_each(|member| member.started_at = start);
     let (all, total) = sends(&members, start, 600.0);
     let sent: usize = all.values().map(Vec::len).sum();
     assert!(sent * 10 > total, "it is used: {sent} of {total}");
@@ -251,7 +260,7 @@
 #[test]
 fn a_bad_worker_costs_the_fleet_no_job_that_may_not_run_twice() {
     let (members, now) = (members(), 100 * SECOND);
-    let bad = members[0].worker;
+    let bad = members[0].id;
     let (mut lost, mut probes) = (0, 0);
     for mut dispatcher in fleet(&members, now) {
         for id in 1..=30 {
@@ -261,16 +270,17 @@
             while let Some(worker) = asked(&out) {
                 probes += 1;
                 let (answered, report) =
-                    (worker != bad, Report { free_slots: Some(1.0), ..Report::default() });
+                    (worker != bad, LoadReport { free_slots: Some(1.0), ..LoadReport::default() });
                 out.clear();
-                let probed = Event::Probed { worker, answered, latency: 4 * MS, report };
+                let probed = Event::Probed { endpoint: worker, answered, latency: 4 * MS, report };
                 dispatcher.handle(at + 5 * MS, probed, &mut out);
             }
             let worker = sent(&out).expect("others are idle");
             lost += u32::from(worker == bad && !safe);
             let (job, outcome) = (JobId(id), if worker == bad { Outcome::Error } else { Outcome::Served });
-            let (finished, report) = (worker != bad, Report::default());
-            let end = Ended { job, attempt: 0, worker, outcome, latency: 50 * MS, finished, report };
+            let (finished, report) = (worker != bad, LoadReport::default());
+            let end =
+                AttemptEnd { job, attempt: 0, endpoint: worker, outcome, latency: 50 * MS, finished, report };
             dispatcher.handle(at + 60 * MS, Event::Ended(end), &mut out);
         }
     }
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -8,11 +8,11 @@
 use std::collections::BinaryHeap;
 
 use common::{MS, SECOND, member, settings};
-use micabeam::routing::Dispatcher;
+use micabeam::routing::Router;
 use micabeam::routing::*;
 
 /// A change counts as told so long after discovery is back, and a drain has to be followed so long after that.
-const TOLD: Micros = 6 * SECOND;
+const NOTIFICATION_BOUND: Micros = 6 * SECOND;
 const GRACE: Micros = 2 * SECOND;
 /// A call that has waited so long fails, and takes its time all the same.
 const PATIENCE: Micros = 3 * SECOND;
@@ -47,18 +47,18 @@
 
     /// After which a silent call is given up, as `front/discovery.rs` does.
     fn given_up(&self) -> Micros {
-        if self.dispatchers > Settings::MANY { 3500 * MS } else { 2500 * MS }
+        if self.dispatchers > Settings::LARGE_FLEET { 3500 * MS } else { 2500 * MS }
     }
 
     /// When each dispatcher had its list again after discovery was back, and the most calls in a second.
     fn play(&self, seed: u64) -> (Vec<Micros>, usize) {
         let members = [member(1, 1.0), member(2, 1.0)];
-        let mut fleet: Vec<Dispatcher> = (0..self.dispatchers)
+        let mut fleet: Vec<Router> = (0..self.dispatchers)
             .map(|number| {
                 let mut settings = settings();
                 (settings.number, settings.dispatchers) = (number, self.dispatchers);
                 settings.must_subscribe = true;
-                Dispatcher::new(settings, seed << 16 | u64::from(number))
+                Router::new(settings, seed << 16 | u64::from(number))
             })
             .collect();
         // All watches end as it goes down.
@@ -117,7 +117,7 @@
     let (mut in_time, mut count, mut latest, mut most) = (0, 0, 0, 0);
     for seed in 0..10 {
         let (told, calls) = outage.play(seed);
-        in_time += told.iter().filter(|&&at| at <= TOLD + GRACE).count();
+        in_time += told.iter().filter(|&&at| at <= NOTIFICATION_BOUND + GRACE).count();
         (count, most) = (count + told.len(), most.max(calls));
         latest = latest.max(told.into_iter().max().unwrap_or(0));
     }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use common::{MS, SECOND, member, probing};
-use micabeam::routing::Dispatcher;
+use micabeam::routing::Router;
 use micabeam::routing::*;
 
 const START: Micros = 100 * SECOND;
@@ -37,34 +37,36 @@
     Job,
     Wake,
     Restart,
-    Probed(WorkerId),
-    Ended(u64, usize, WorkerId, bool),
+    Probed(EndpointId),
+    Ended(u64, usize, EndpointId, bool),
 }
 
 impl Day {
     fn settings(&self, number: u32) -> Settings {
         let mut settings = probing();
-        (settings.number, settings.dispatchers, settings.tells_start) = (number, self.processes, true);
-        (settings.rules.cold, settings.rules.cold_from) = (RAMP, FROM);
-        settings.rules.fall_multiple = MULTIPLE;
+        (settings.number, settings.dispatchers, settings.reports_start) = (number, self.processes, true);
+        (settings.rules.warm_up, settings.rules.initial_capacity) = (RAMP, FROM);
+        settings.rules.overload_multiple = MULTIPLE;
         settings
     }
 
-    fn members(&self) -> Vec<Member> {
+    fn members(&self) -> Vec<Endpoint> {
         let born = |id: u64| if id.is_multiple_of(self.cold) { START } else { 0 };
-        (1..=self.servers).map(|id| Member { born: born(id), ..member(id * 7919 % 10_007, 1.0) }).collect()
+        (1..=self.servers)
+            .map(|id| Endpoint { started_at: born(id), ..member(id * 7919 % 10_007, 1.0) })
+            .collect()
     }
 
     /// When each cold server was called, and the part of the jobs that was served.
-    fn play(&self) -> (BTreeMap<WorkerId, Vec<Micros>>, f64) {
+    fn play(&self) -> (BTreeMap<EndpointId, Vec<Micros>>, f64) {
         let (members, mut rng) = (self.members(), fastrand::Rng::with_seed(self.seed));
-        let born: BTreeMap<WorkerId, Micros> = members.iter().map(|m| (m.worker, m.born)).collect();
+        let born: BTreeMap<EndpointId, Micros> = members.iter().map(|m| (m.id, m.started_at)).collect();
         let new = |number: u32, life: u64, now: Micros| {
-            let mut new = Dispatcher::new(self.settings(number), self.seed ^ life << 32 | u64::from(number));
+            let mut new = Router::new(self.settings(number), self.seed ^ life << 32 | u64::from(number));
             new.handle(now, Event::Cached(&members), &mut Vec::new());
             new
         };
-        let mut fleet: Vec<Dispatcher> = (0..self.processes).map(|n| new(n, 0, START)).collect();
+        let mut fleet: Vec<Router> = (0..self.processes).map(|n| new(n, 0, START)).collect();
         let mut attempts: Vec<BTreeMap<u64, usize>> = vec![BTreeMap::new(); fleet.len()];
         let mut due: BinaryHeap<Reverse<(Micros, usize, Next)>> = BinaryHeap::new();
         // Shares unlike by ten; a third of the processes are replaced within the ramp.
@@ -80,7 +82,7 @@
             }
         }
         let (mut calls, mut id, mut came, mut served) =
-            (BTreeMap::<WorkerId, Vec<Micros>>::new(), 0u64, 0, 0);
+            (BTreeMap::<EndpointId, Vec<Micros>>::new(), 0u64, 0, 0);
         let mut lives = 0;
         let mut odds = fastrand::Rng::with_seed(self.seed ^ 77);
         while let Some(Reverse((now, n, next))) = due.pop() {
@@ -91,7 +93,8 @@
             match next {
                 Next::Job => {
                     (id, came) = (id + 1, came + 1);
-                    let job = Job { id: JobId(id), class: 0, due: now + 5 * SECOND, slots: 1.0, work: None };
+                    let job =
+                        Job { id: JobId(id), class: 0, deadline: now + 5 * SECOND, slots: 1.0, work: None };
                     fleet[n].handle(now, Event::Job(job), &mut out);
                     due.push(Reverse((now + gap(n), n, Next::Job)));
                 }
@@ -102,10 +105,10 @@
                     attempts[n].clear();
                 }
                 Next::Probed(worker) => {
-                    let report = Report { free_slots: Some(1.0), ..Report::default() };
+                    let report = LoadReport { free_slots: Some(1.0), ..LoadReport::default() };
                     fleet[n].handle(
                         now,
-                        Event::Probed { worker, answered: true, latency: 5 * MS, report },
+                        Event::Probed { endpoint: worker, answered: true, latency: 5 * MS, report },
                         &mut out,
                     );
                 }
@@ -115,19 +118,27 @@
                     }
                     served += u32::from(!fails);
                     let outcome = if fails { Outcome::Reset } else { Outcome::Served };
-                    let (job, report, finished) = (JobId(id), Report::default(), !fails);
-                    let ended = Ended { job, attempt, worker, outcome, latency: TAKES, finished, report };
+                    let (job, report, finished) = (JobId(id), LoadReport::default(), !fails);
+                    let ended = AttemptEnd {
+                        job,
+                        attempt,
+                        endpoint: worker,
+                        outcome,
+                        latency: TAKES,
+                        finished,
+                        report,
+                    };
                     fleet[n].handle(now, Event::Ended(ended), &mut out);
                 }
             }
             for action in out {
                 match action {
                     Action::WakeAt(at) => due.push(Reverse((at, n, Next::Wake))),
-                    Action::Probe { worker } => {
+                    Action::Probe { endpoint: worker } => {
                         calls.entry(worker).or_default().push(now);
                         due.push(Reverse((now + 5 * MS, n, Next::Probed(worker))));
                     }
-                    Action::Send { job, worker } => {
+                    Action::Send { job, endpoint: worker } => {
                         calls.entry(worker).or_default().push(now);
                         let attempt = attempts[n].entry(job.0).and_modify(|a| *a += 1).or_insert(0);
                         fleet[n].handle(now, Event::Started { job, attempt: *attempt }, &mut Vec::new());
