--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::*;
-use micabeam::routing::Dispatcher;
+use micabeam::routing::Router;
 use micabeam::routing::*;
 use std::collections::BTreeMap;
 
-fn fleet(count: u64) -> Vec<Member> {
+fn fleet(count: u64) -> Vec<Endpoint> {
     (1..=count).map(|id| member(id, 1.0)).collect()
 }
 
@@ -89,8 +89,8 @@
     let mut world = World::new(probing(), &members);
     let (_, actions) = world.job(0);
     let draining = asked(&actions).unwrap();
-    let line = *members.iter().find(|m| m.worker == draining).unwrap();
-    world.handle(Event::Changes(&[Member { state: MemberState::Draining, ..line }]));
+    let line = *members.iter().find(|m| m.id == draining).unwrap();
+    world.handle(Event::Changes(&[Endpoint { status: EndpointStatus::Draining, ..line }]));
     // Its answer to the probe comes after the news.
     let after = world.probed(draining, 4.0);
     assert_ne!(sent(&after), Some(draining));
@@ -104,8 +104,8 @@
     world.handle(Event::List(&members[1..]));
     for _ in 0..4 {
         let (job, actions) = world.job(0);
-        assert_eq!(sent(&actions), Some(WorkerId(2)));
-        world.ended(job, 0, WorkerId(2), Outcome::Served);
+        assert_eq!(sent(&actions), Some(EndpointId(2)));
+        world.ended(job, 0, EndpointId(2), Outcome::Served);
     }
 }
 
@@ -116,17 +116,17 @@
 fn sends_to_a_cold_worker(settings: &Settings, upgrades: &[Micros]) -> Vec<Micros> {
     let start = 100 * SECOND;
     let mut members = fleet(9);
-    members.push(Member { born: start, ..member(10, 1.0) });
+    members.push(Endpoint { started_at: start, ..member(10, 1.0) });
     let world = |number| World::new(Settings { number, ..settings.clone() }, &members);
     let mut worlds: Vec<World> = (0..20).map(world).collect();
     let mut sends: Vec<Micros> = Vec::new();
-    let mut ending: Vec<(Micros, usize, JobId, WorkerId)> = Vec::new();
+    let mut ending: Vec<(Micros, usize, JobId, EndpointId)> = Vec::new();
     for tick in 0..10_000u64 {
         let now = start + tick * MS;
         if upgrades.contains(&(tick * MS)) {
             for at in worlds.len() - 20..worlds.len() {
                 let mut new = world(at as u32 % 20);
-                assert!(new.dispatcher.recall(now, worlds[at].dispatcher.learned()));
+                assert!(new.dispatcher.restore(now, worlds[at].dispatcher.warm_state()));
                 worlds.push(new);
             }
         }
@@ -157,7 +157,7 @@
 /// Whether the rule holds: no second holds more than the multiple of what the worker can do by then.
 fn keeps_the_cold_rule(settings: &Settings, sends: &[Micros]) {
     let (multiple, from, cold) =
-        (settings.rules.fall_multiple, settings.rules.cold_from, settings.rules.cold as f64);
+        (settings.rules.overload_multiple, settings.rules.initial_capacity, settings.rules.warm_up as f64);
     assert!(sends.len() > 20, "it is used: {} jobs", sends.len());
     for (at, &first) in sends.iter().enumerate() {
         let within = sends[at..].iter().take_while(|&&t| t < first + SECOND).count() as f64;
@@ -192,13 +192,13 @@
     at: usize,
     actions: &mut Vec<Action>,
     sends: &mut Vec<Micros>,
-    ending: &mut Vec<(Micros, usize, JobId, WorkerId)>,
+    ending: &mut Vec<(Micros, usize, JobId, EndpointId)>,
 ) {
     while let Some(action) = actions.pop() {
         match action {
-            Action::Probe { worker } => actions.extend(world.probed(worker, 4.0)),
-            Action::Send { job, worker } => {
-                if worker == WorkerId(10) {
+            Action::Probe { endpoint: worker } => actions.extend(world.probed(worker, 4.0)),
+            Action::Send { job, endpoint: worker } => {
+                if worker == EndpointId(10) {
                     sends.push(world.now);
                 }
                 ending.push((world.now + 100 * MS, at, job, worker));
@@ -212,7 +212,7 @@
 #[test]
 fn a_safe_job_that_does_not_start_by_its_aim_goes_on_and_others_stay() {
     for (class, starts, goes_on) in [(0, false, true), (0, true, false), (2, false, false)] {
-        let mut world = World::new(Settings { tells_start: true, ..settings() }, &fleet(3));
+        let mut world = World::new(Settings { reports_start: true, ..settings() }, &fleet(3));
         let (job, actions) = world.job(class);
         let first = sent(&actions).unwrap();
         if starts {
@@ -252,8 +252,8 @@
         world.now += 10 * MS;
         let (job, actions) = world.job(2);
         let worker = sent(&actions).unwrap();
-        met += usize::from(worker == WorkerId(3));
-        let outcome = if worker == WorkerId(3) { Outcome::Error } else { Outcome::Served };
+        met += usize::from(worker == EndpointId(3));
+        let outcome = if worker == EndpointId(3) { Outcome::Error } else { Outcome::Served };
         world.ended(job, 0, worker, outcome);
     }
     assert!((1..=6).contains(&met), "the failing worker had {met} of 80 jobs");
@@ -277,26 +277,26 @@
 fn a_job_held_takes_the_place_of_an_attempt_that_ends() {
     let mut world = World::new(probing(), &fleet(1));
     let (running, _) = world.job(2);
-    assert_eq!(sent(&world.probed(WorkerId(1), 1.0)), Some(WorkerId(1)));
+    assert_eq!(sent(&world.probed(EndpointId(1), 1.0)), Some(EndpointId(1)));
     world.now += 10 * MS;
     let (held, _) = world.job(2);
-    let report = Report { free_slots: Some(0.0), queue: Some(50.0), ..Report::default() };
-    let full = Event::Probed { worker: WorkerId(1), answered: true, latency: MS, report };
+    let report = LoadReport { free_slots: Some(0.0), queue: Some(50.0), ..LoadReport::default() };
+    let full = Event::Probed { endpoint: EndpointId(1), answered: true, latency: MS, report };
     assert_eq!(sent(&world.handle(full)), None, "it would wait there past its aim");
-    let actions = world.ended(running, 0, WorkerId(1), Outcome::Served);
-    assert!(actions.contains(&Action::Send { job: held, worker: WorkerId(1) }), "{actions:?}");
+    let actions = world.ended(running, 0, EndpointId(1), Outcome::Served);
+    assert!(actions.contains(&Action::Send { job: held, endpoint: EndpointId(1) }), "{actions:?}");
 }
 
 #[test]
 fn a_job_too_late_to_be_worth_much_is_refused_at_once_with_when_to_come_back() {
     for (late_worth, expected) in [(0.0, 250), (0.4, 250), (0.5, 4999)] {
         let mut settings = probing();
-        settings.classes[2].late_worth = late_worth;
+        settings.classes[2].late_value = late_worth;
         let mut world = World::new(settings, &fleet(1));
         let (job, actions) = world.job(2);
-        assert_eq!(asked(&actions), Some(WorkerId(1)));
-        let report = Report { free_slots: Some(0.0), queue: Some(50.0), ..Report::default() };
-        let full = Event::Probed { worker: WorkerId(1), answered: true, latency: MS, report };
+        assert_eq!(asked(&actions), Some(EndpointId(1)));
+        let report = LoadReport { free_slots: Some(0.0), queue: Some(50.0), ..LoadReport::default() };
+        let full = Event::Probed { endpoint: EndpointId(1), answered: true, latency: MS, report };
         let mut actions = world.handle(full);
         let start = world.now;
         while answer(&actions).is_none() && world.now < start + 6 * SECOND {
@@ -305,7 +305,7 @@
                 actions.extend(world.handle(full));
             }
         }
-        let end = Action::Refuse { job, retry_after: 2 * SECOND };
+        let end = Action::Reject { job, retry_after: 2 * SECOND };
         assert_eq!(((world.now - start) / MS, answer(&actions)), (expected, Some(end)), "{late_worth}");
     }
 }
@@ -314,7 +314,7 @@
 fn a_list_that_must_be_subscribed_to_is_asked_for_and_again_after_a_failure() {
     let mut settings = settings();
     settings.must_subscribe = true;
-    let within = settings.rules.ask_within;
+    let within = settings.rules.poll_within;
     let mut world = World::new(settings, &[]);
     let members = fleet(2);
     world.handle(Event::Cached(&members));
@@ -330,11 +330,11 @@
 #[test]
 fn odd_calls_are_passed_over() {
     let mut world = World::new(settings(), &fleet(2));
-    let worker = WorkerId(1);
-    assert!(world.ended(JobId(99), 5, WorkerId(77), Outcome::Served).is_empty());
+    let worker = EndpointId(1);
+    assert!(world.ended(JobId(99), 5, EndpointId(77), Outcome::Served).is_empty());
     assert!(world.handle(Event::ClientLeft(JobId(99))).is_empty());
     assert!(world.handle(Event::Started { job: JobId(99), attempt: 3 }).is_empty());
-    assert!(world.probed(WorkerId(77), 1.0).is_empty());
+    assert!(world.probed(EndpointId(77), 1.0).is_empty());
     let (job, actions) = world.job(57);
     assert!(sent(&actions).is_some(), "a class past the last is taken for the last");
     world.ended(job, 9, worker, Outcome::Served);
@@ -349,7 +349,7 @@
 struct Watched {
     class: usize,
     due: Micros,
-    attempts: Vec<(WorkerId, Micros, Option<Outcome>)>,
+    attempts: Vec<(EndpointId, Micros, Option<Outcome>)>,
     over: bool,
 }
 
@@ -358,19 +358,19 @@
 fn script(number: u32, steps: usize, probe: bool) -> Vec<Action> {
     let mut rng = fastrand::Rng::with_seed(u64::from(number) + 17);
     let mut settings = Settings { number, dispatchers: 4, ..settings() };
-    settings.limits.probe = probe;
-    let (classes, cap) = (settings.classes.clone(), settings.limits.attempts);
-    let mut dispatcher = Dispatcher::new(settings, 5);
+    settings.capabilities.may_probe = probe;
+    let (classes, cap) = (settings.classes.clone(), settings.capabilities.max_attempts);
+    let mut dispatcher = Router::new(settings, 5);
     let mut members = fleet(6);
-    let mut told_ready: BTreeMap<WorkerId, bool> = members.iter().map(|m| (m.worker, true)).collect();
+    let mut told_ready: BTreeMap<EndpointId, bool> = members.iter().map(|m| (m.id, true)).collect();
     let mut jobs: BTreeMap<JobId, Watched> = BTreeMap::new();
-    let mut probes: Vec<WorkerId> = Vec::new();
+    let mut probes: Vec<EndpointId> = Vec::new();
     let (mut now, mut next, mut all) = (50 * SECOND, 1, Vec::new());
     let mut actions = Vec::new();
     dispatcher.handle(now, Event::List(&members), &mut actions);
     for _ in 0..steps {
         now += rng.u64(1..20) * MS;
-        let report = Report { free_slots: Some(f64::from(rng.u32(0..4))), ..Report::default() };
+        let report = LoadReport { free_slots: Some(f64::from(rng.u32(0..4))), ..LoadReport::default() };
         let out: Vec<(JobId, usize)> = jobs
             .iter()
             .flat_map(|(id, w)| w.attempts.iter().enumerate().map(move |(n, a)| (*id, n, a.2.is_none())))
@@ -384,7 +384,7 @@
                 jobs.insert(id, Watched { class, due, attempts: Vec::new(), over: false });
                 dispatcher.handle(
                     now,
-                    Event::Job(Job { id, class, due, slots: 1.0, work: None }),
+                    Event::Job(Job { id, class, deadline: due, slots: 1.0, work: None }),
                     &mut actions,
                 );
             }
@@ -405,15 +405,19 @@
                 w.attempts[attempt].2 = Some(outcome);
                 w.over |= outcome == Outcome::Served;
                 let (worker, latency, finished) = (w.attempts[attempt].0, 50 * MS, w.over);
-                let ended = Ended { job, attempt, worker, outcome, latency, finished, report };
+                let ended = AttemptEnd { job, attempt, endpoint: worker, outcome, latency, finished, report };
                 dispatcher.handle(now, Event::Ended(ended), &mut actions);
             }
             7 => {
                 let at = rng.usize(0..members.len());
-                let states =
-                    [MemberState::Ready, MemberState::Ready, MemberState::Draining, MemberState::Gone];
-                members[at].state = states[rng.usize(0..4)];
-                told_ready.insert(members[at].worker, members[at].state == MemberState::Ready);
+                let states = [
+                    EndpointStatus::Ready,
+                    EndpointStatus::Ready,
+                    EndpointStatus::Draining,
+                    EndpointStatus::Gone,
+                ];
+                members[at].status = states[rng.usize(0..4)];
+                told_ready.insert(members[at].id, members[at].status == EndpointStatus::Ready);
                 dispatcher.handle(now, Event::Changes(&members[at..=at]), &mut actions);
             }
             8 if rng.u32(0..4) == 0 => {
@@ -426,14 +430,14 @@
             _ if !probes.is_empty() => {
                 let worker = probes.swap_remove(rng.usize(0..probes.len()));
                 let answered = rng.u32(0..6) > 0;
-                let probed = Event::Probed { worker, answered, latency: MS, report };
+                let probed = Event::Probed { endpoint: worker, answered, latency: MS, report };
                 dispatcher.handle(now, probed, &mut actions);
             }
             _ => dispatcher.handle(now, Event::Wake, &mut actions),
         }
         for action in actions.drain(..) {
             match &action {
-                Action::Send { job, worker } => {
+                Action::Send { job, endpoint: worker } => {
                     let w = jobs.get_mut(job).expect("a job that was given");
                     assert!(!w.over, "sent for {job:?}, which is over");
                     assert!(told_ready[worker], "sent to {worker:?}, which drains or is gone");
@@ -442,27 +446,32 @@
                     if let Some((first, sent, _)) =
                         w.attempts.iter().find(|a| !a.2.is_some_and(Outcome::never_ran))
                     {
-                        match classes[w.class].repeat {
-                            Repeat::Safe => {}
-                            Repeat::Unsafe => panic!("unsafe work that may have run is sent again"),
-                            Repeat::Keyed { window, .. } => {
+                        match classes[w.class].idempotency {
+                            Idempotency::Idempotent => {}
+                            Idempotency::NotIdempotent => {
+                                panic!("unsafe work that may have run is sent again")
+                            }
+                            Idempotency::Keyed { window, .. } => {
                                 assert!(first.0 % 2 == worker.0 % 2 && now < sent + window);
                             }
                         }
                     }
                     w.attempts.push((*worker, now, None));
                 }
-                Action::Refuse { job, .. } | Action::Fail { job } => {
+                Action::Reject { job, .. } | Action::Fail { job } => {
                     let w = jobs.get_mut(job).expect("a job that was given");
                     assert!(!w.over, "{job:?} is answered twice");
                     let ran = w.attempts.iter().any(|a| !a.2.is_some_and(Outcome::never_ran));
-                    if matches!(action, Action::Refuse { .. }) && ran {
-                        assert!(classes[w.class].repeat == Repeat::Safe, "a refusal of what may have run");
+                    if matches!(action, Action::Reject { .. }) && ran {
+                        assert!(
+                            classes[w.class].idempotency == Idempotency::Idempotent,
+                            "a refusal of what may have run"
+                        );
                     }
                     w.over = true;
                 }
                 Action::Cancel { job, attempt } => assert!(*attempt < jobs[job].attempts.len()),
-                Action::Probe { worker } => probes.push(*worker),
+                Action::Probe { endpoint: worker } => probes.push(*worker),
                 _ => {}
             }
             all.push(action);
@@ -473,7 +482,7 @@
     }
     assert!(
         jobs.len() > steps / 10
-            && all.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+            && all.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
     );
     all
 }
@@ -500,13 +509,13 @@
     let mut world = World::new(settings(), &[]);
     let (_, actions) = world.job(2);
     assert_eq!(sent(&actions), None);
-    assert_eq!(sent(&world.handle(Event::Changes(&[member(1, 1.0)]))), Some(WorkerId(1)));
+    assert_eq!(sent(&world.handle(Event::Changes(&[member(1, 1.0)]))), Some(EndpointId(1)));
 }
 
 /// Sends to a worker that warms up, of sixty jobs, where it starts them at once or never.
 fn sends_to_a_warming_worker(starts: bool) -> usize {
-    let settings = Settings { tells_start: true, ..settings() };
-    let cold = Member { born: 100 * SECOND, ..member(3, 1.0) };
+    let settings = Settings { reports_start: true, ..settings() };
+    let cold = Endpoint { started_at: 100 * SECOND, ..member(3, 1.0) };
     let mut world = World::new(settings, &[member(1, 1.0), member(2, 1.0), cold]);
     world.now = 108 * SECOND;
     let mut sends = 0;
@@ -514,8 +523,8 @@
         let (job, mut actions) = world.job(0);
         let mut attempt = 0;
         while let Some(worker) = sent(&actions) {
-            sends += usize::from(worker == cold.worker);
-            if worker != cold.worker || starts {
+            sends += usize::from(worker == cold.id);
+            if worker != cold.id || starts {
                 actions = world.handle(Event::Started { job, attempt });
                 actions.extend(world.ended(job, attempt, worker, Outcome::Served));
                 break;
