--- a/benches/lists.rs
+++ b/benches/lists.rs
@@ -4,14 +4,14 @@
 use std::hint::black_box;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use micabeam::core::{Clock, Command, Core, Line, Request};
+use micabeam::core::{Clock, Command, Core, JobRequest, ListedEndpoint};
 use micabeam::routing::{Endpoint, EndpointStatus, LoadReport, Outcome};
 use micabeam::settings::Site;
 
 /// Lines of a list.
 const SIZES: [usize; 4] = [200, 1000, 4000, 16_000];
 
-fn line(number: usize, state: EndpointStatus) -> Line {
+fn line(number: usize, state: EndpointStatus) -> ListedEndpoint {
     let member = Endpoint {
         size: 1.0,
         zone: (number % 3) as u16,
@@ -19,10 +19,10 @@
         status: state,
         ..Endpoint::default()
     };
-    Line { name: format!("worker-{number:06}"), address: "127.0.0.1:8081".into(), member }
+    ListedEndpoint { name: format!("worker-{number:06}"), address: "127.0.0.1:8081".into(), member }
 }
 
-fn lines(count: usize) -> Vec<Line> {
+fn lines(count: usize) -> Vec<ListedEndpoint> {
     (0..count).map(|number| line(number, EndpointStatus::Ready)).collect()
 }
 
@@ -73,7 +73,7 @@
             b.iter(|| {
                 clock.set(clock.now() + 1.0);
                 let due = clock.now() + 4000.0;
-                let _ = core.request(Request { class: 2, due, slots: 1.0, work: None, pool: 0 });
+                let _ = core.request(JobRequest { class: 2, due, slots: 1.0, work: None, pool: 0 });
                 while let Some(command) = core.next_command() {
                     if let Command::Send { session, attempt, .. } = command {
                         core.ended(session, attempt, Outcome::Served, LoadReport::default(), Vec::new());
--- a/rig/src/scale/lists.rs
+++ b/rig/src/scale/lists.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use micabeam::core::{Clock, Command, Core, Request};
+use micabeam::core::{Clock, Command, Core, JobRequest};
 use micabeam::frontend::discovery::read_list;
 use micabeam::json;
 use micabeam::routing::{LoadReport, Outcome};
@@ -139,7 +139,7 @@
     let mut out = 0;
     for _ in 0..jobs {
         let due = clock.now() + LONG;
-        let _ = core.request(Request { class: 2, due, slots: 1.0, work: None, pool: 0 });
+        let _ = core.request(JobRequest { class: 2, due, slots: 1.0, work: None, pool: 0 });
         while let Some(command) = core.next_command() {
             match command {
                 Command::Send { session, attempt, .. } => {
@@ -160,7 +160,7 @@
     for number in 0..JOBS {
         clock.set(clock.now() + 1.0);
         let due = clock.now() + PATIENCE;
-        let _ = core.request(Request { class: number % 3, due, slots: 1.0, work: None, pool: 0 });
+        let _ = core.request(JobRequest { class: number % 3, due, slots: 1.0, work: None, pool: 0 });
         while let Some(command) = core.next_command() {
             match command {
                 Command::Send { session, attempt, .. } => {
--- a/rig/tests/scale.rs
+++ b/rig/tests/scale.rs
@@ -1,6 +1,6 @@
 //! Hollow dispatchers at small sizes: counts are exact, so that a message too many shows.
 
-use micabeam::core::MOST_SERVERS;
+use micabeam::core::MAX_ENDPOINTS;
 use micabeam_rig::scale::{Figures, Plan, experiment};
 
 fn play(plan: &Plan) -> Figures {
@@ -95,7 +95,7 @@
 fn a_list_of_the_planned_size_fits_and_one_beyond_the_bound_fails_the_proof() {
     let small = Plan { members: 15, seconds: 5, changes: false, ..Plan::default() };
     assert_eq!(play(&Plan { workers: 16_000, ..small.clone() }).dropped_workers, 0);
-    let beyond = play(&Plan { workers: MOST_SERVERS + 10, ..small });
+    let beyond = play(&Plan { workers: MAX_ENDPOINTS + 10, ..small });
     assert_eq!(beyond.dropped_workers, 10);
     assert!(beyond.proves().is_err());
 }
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -6,11 +6,11 @@
 
 /// Most backend servers that are remembered: twice the largest fleet that is planned for. A line beyond it is told by a
 /// line in the log and counted.
-pub const MOST_SERVERS: usize = 32_768;
+pub const MAX_ENDPOINTS: usize = 32_768;
 
 /// A line of the list, as a front reads it.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct ListedEndpoint {
     /// Name of the backend server, the same after a restart.
     pub name: String,
     /// Where its front finds it; the core only keeps it.
@@ -21,23 +21,23 @@
 
 /// A backend server.
 #[derive(Clone, Debug)]
-pub struct Server {
+pub struct EndpointEntry {
     /// Its line as last read.
-    pub line: Line,
+    pub line: ListedEndpoint,
 }
 
 /// The server table.
 #[derive(Default)]
-pub struct ServerTable {
+pub struct EndpointTable {
     ids: FxHashMap<String, EndpointId>,
-    servers: FxHashMap<EndpointId, Server>,
+    servers: FxHashMap<EndpointId, EndpointEntry>,
     /// Lines that there was no room for.
     dropped: u64,
 }
 
-impl ServerTable {
+impl EndpointTable {
     /// Takes lines in and gives them as the module reads them.
-    pub fn apply(&mut self, lines: Vec<Line>, whole: bool) -> Vec<Endpoint> {
+    pub fn apply(&mut self, lines: Vec<ListedEndpoint>, whole: bool) -> Vec<Endpoint> {
         if whole {
             self.servers.values_mut().for_each(|s| s.line.member.status = EndpointStatus::Gone);
         }
@@ -45,7 +45,7 @@
         for mut line in lines {
             let id = match self.id(&line.name) {
                 Some(id) => id,
-                None if self.ids.len() >= MOST_SERVERS && !self.forget() => {
+                None if self.ids.len() >= MAX_ENDPOINTS && !self.forget() => {
                     self.dropped += 1;
                     continue;
                 }
@@ -53,7 +53,7 @@
             };
             line.member.id = id;
             members.push(line.member);
-            self.servers.insert(id, Server { line });
+            self.servers.insert(id, EndpointEntry { line });
         }
         members
     }
@@ -87,7 +87,7 @@
     }
 
     /// A backend server by its id.
-    pub fn get(&self, id: EndpointId) -> Option<&Server> {
+    pub fn get(&self, id: EndpointId) -> Option<&EndpointEntry> {
         self.servers.get(&id)
     }
 
@@ -97,9 +97,9 @@
     }
 
     /// All that are not gone, in the order of their names.
-    pub fn listed(&self) -> Vec<&Server> {
-        let present = |s: &&Server| s.line.member.status != EndpointStatus::Gone;
-        let mut listed: Vec<&Server> = self.servers.values().filter(present).collect();
+    pub fn listed(&self) -> Vec<&EndpointEntry> {
+        let present = |s: &&EndpointEntry| s.line.member.status != EndpointStatus::Gone;
+        let mut listed: Vec<&EndpointEntry> = self.servers.values().filter(present).collect();
         listed.sort_unstable_by(|a, b| a.line.name.cmp(&b.line.name));
         listed
     }
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -2,12 +2,9 @@
 
 use crate::routing::EndpointId;
 
-/// A session's id; the module's job carries the same.
-pub type SessionId = u64;
-
 /// What a front hands in.
 #[derive(Clone, Copy, Debug)]
-pub struct Request {
+pub struct JobRequest {
     /// Its class, by index.
     pub class: usize,
     /// When its client gives up.
@@ -17,16 +14,16 @@
     /// Work that the client expects it to be, in milliseconds on a core of speed 1; none: not told.
     pub work: Option<f64>,
     /// The pool of servers that it is kept to; 0: all.
-    pub pool: super::PoolId,
+    pub pool: super::PartitionId,
 }
 
 /// A final answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum FinalAnswer {
     /// Served, with the backend server's result.
     Served(Vec<u8>),
     /// Denied: trying again does no harm. Advice when to come back in milliseconds; 0: none.
-    Denied {
+    Rejected {
         /// The advice.
         retry_after: f64,
     },
@@ -36,7 +33,7 @@
 
 /// One dispatch of a session.
 #[derive(Clone, Copy, Debug)]
-pub struct Dispatch {
+pub struct Attempt {
     /// The backend server.
     pub server: EndpointId,
     /// When it was sent; of a body that was relayed as it came, when the last of it was.
@@ -53,11 +50,11 @@
 
 /// A request from the time it was taken until its one final answer.
 #[derive(Debug)]
-pub struct Session {
+pub struct ActiveJob {
     /// What was asked.
-    pub request: Request,
+    pub request: JobRequest,
     /// Its dispatches; the module counts them in the same order.
-    pub dispatches: Vec<Dispatch>,
+    pub dispatches: Vec<Attempt>,
     /// It has had its answer, or its client left.
     pub over: bool,
     /// Its answer has begun to be relayed: what becomes of the dispatch is what becomes of the session.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -15,10 +15,10 @@
 
 pub use clock::{Clock, boot_ms, micros, millis};
 pub use counters::Counters;
-pub use endpoint_table::{Line, MOST_SERVERS, Server, ServerTable};
-pub use job::{Dispatch, Request, Session, SessionId, Verdict};
-pub use partition::{PoolId, Selector};
-pub use traffic_split::Happened;
+pub use endpoint_table::{EndpointEntry, EndpointTable, ListedEndpoint, MAX_ENDPOINTS};
+pub use job::{ActiveJob, Attempt, FinalAnswer, JobRequest};
+pub use partition::{EndpointSelector, PartitionId};
+pub use traffic_split::TrafficEvent;
 
 use crate::routing::Router;
 use crate::routing::WarmState;
@@ -27,8 +27,8 @@
 };
 use crate::settings::Site;
 use crate::telemetry::{Gauges, Telemetry};
-use partition::Pool;
-use traffic_split::Steer;
+use partition::PartitionRouter;
+use traffic_split::TrafficSplit;
 
 /// What a front is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -36,7 +36,7 @@
     /// Send a dispatch to a backend server.
     Send {
         /// The session.
-        session: SessionId,
+        session: JobId,
         /// Number of the dispatch.
         attempt: usize,
         /// The backend server.
@@ -45,16 +45,16 @@
     /// Call a dispatch off; it has ended as far as the core goes.
     Cancel {
         /// The session.
-        session: SessionId,
+        session: JobId,
         /// Number of the dispatch.
         attempt: usize,
     },
     /// Give a session its one final answer.
     Answer {
         /// The session.
-        session: SessionId,
+        session: JobId,
         /// The answer.
-        verdict: Verdict,
+        verdict: FinalAnswer,
     },
     /// Probe a backend server.
     Probe {
@@ -70,14 +70,14 @@
     clock: Clock,
     site: Site,
     module: Router,
-    table: ServerTable,
-    sessions: FxHashMap<SessionId, Session>,
+    table: EndpointTable,
+    sessions: FxHashMap<JobId, ActiveJob>,
     limit: usize,
-    last: SessionId,
+    last: JobId,
     /// When the module is to be woken, on its own clock.
     wake_at: Option<Micros>,
     /// Sessions that ended while the module's present answer is carried out.
-    ended: Vec<SessionId>,
+    ended: Vec<JobId>,
     actions: Vec<Action>,
     commands: VecDeque<Command>,
     counters: Counters,
@@ -86,10 +86,10 @@
     /// Since when, and by when all that came since is to be over.
     hurry: Option<(f64, f64)>,
     /// What each zone may get, where that is steered.
-    steer: Option<Box<Steer>>,
+    steer: Option<Box<TrafficSplit>>,
     /// Parts of the servers that some requests are kept to.
-    pools: FxHashMap<PoolId, Pool>,
-    last_pool: PoolId,
+    pools: FxHashMap<PartitionId, PartitionRouter>,
+    last_pool: PartitionId,
     seed: u64,
 }
 
@@ -102,10 +102,10 @@
             module: Router::new(site.settings.clone(), seed),
             clock,
             site,
-            table: ServerTable::default(),
+            table: EndpointTable::default(),
             sessions: FxHashMap::default(),
             limit,
-            last: 0,
+            last: JobId(0),
             wake_at: None,
             ended: Vec::new(),
             actions: Vec::new(),
@@ -140,7 +140,7 @@
     }
 
     /// Takes a request in. Without an id it was turned away, and the verdict is its answer.
-    pub fn request(&mut self, request: Request) -> Result<SessionId, Verdict> {
+    pub fn request(&mut self, request: JobRequest) -> Result<JobId, FinalAnswer> {
         let id = stages::accept::accept(self);
         let request = stages::admit::admit(self, request)?;
         stages::route::arrive(self, id, request);
@@ -148,14 +148,14 @@
     }
 
     /// A session's client has left.
-    pub fn client_left(&mut self, session: SessionId) {
+    pub fn client_left(&mut self, session: JobId) {
         stages::complete::client_left(self, session);
     }
 
     /// A dispatch has ended; `result` is what it served. False if it was over already.
     pub fn ended(
         &mut self,
-        session: SessionId,
+        session: JobId,
         attempt: usize,
         outcome: Outcome,
         report: LoadReport,
@@ -165,29 +165,29 @@
     }
 
     /// A dispatch's job was started by its backend server.
-    pub fn started(&mut self, session: SessionId, attempt: usize) {
+    pub fn started(&mut self, session: JobId, attempt: usize) {
         stages::complete::started(self, session, attempt);
     }
 
     /// All of a dispatch's request, relayed as it came, is with its server.
-    pub fn written(&mut self, session: SessionId, attempt: usize) {
+    pub fn written(&mut self, session: JobId, attempt: usize) {
         stages::complete::written(self, session, attempt);
     }
 
     /// The answer of a dispatch has begun, and is relayed as it comes: from now on the session has no deadline, and
     /// ends as the dispatch does. False if the dispatch is over already, and its answer must not be passed on.
-    pub fn streaming(&mut self, session: SessionId, attempt: usize) -> bool {
+    pub fn streaming(&mut self, session: JobId, attempt: usize) -> bool {
         stages::complete::streaming(self, session, attempt)
     }
 
     /// Takes lines into the server table, and gives members as the module is to see them.
-    fn take_lines(&mut self, lines: Vec<Line>, whole: bool) -> Vec<Endpoint> {
+    fn take_lines(&mut self, lines: Vec<ListedEndpoint>, whole: bool) -> Vec<Endpoint> {
         let (before, mut members) = (self.table.dropped(), self.table.apply(lines, whole));
         let dropped = self.table.dropped() - before;
         if dropped > 0 {
             self.counters.lines_dropped += dropped;
             crate::say(format_args!(
-                "the list has {dropped} servers more than the {MOST_SERVERS} that are held"
+                "the list has {dropped} servers more than the {MAX_ENDPOINTS} that are held"
             ));
         }
         if let Some(steer) = &self.steer {
@@ -198,7 +198,7 @@
 
     /// From now on its zones are steered, and what they do is kept for `seen`.
     pub fn steered(&mut self) {
-        self.steer = Some(Box::new(Steer::new(self.site.zones.len())));
+        self.steer = Some(Box::new(TrafficSplit::new(self.site.zones.len())));
     }
 
     /// What each zone may get from now on, in thousandths, and what of the requests is taken.
@@ -228,7 +228,10 @@
 
     /// Pools of these servers, in order, and no others from now on: those there are and are not among them end with
     /// their last requests.
-    pub fn repool<'a>(&mut self, selectors: impl IntoIterator<Item = &'a Selector>) -> Vec<PoolId> {
+    pub fn repool<'a>(
+        &mut self,
+        selectors: impl IntoIterator<Item = &'a EndpointSelector>,
+    ) -> Vec<PartitionId> {
         self.pools.values_mut().for_each(|pool| pool.wanted = false);
         let ids = selectors.into_iter().map(|selector| self.pool(selector)).collect();
         self.drop_pools();
@@ -236,7 +239,7 @@
     }
 
     /// A pool of these servers: the one that there is, or a new one that knows what the other modules have learned.
-    fn pool(&mut self, selector: &Selector) -> PoolId {
+    fn pool(&mut self, selector: &EndpointSelector) -> PartitionId {
         if let Some((id, pool)) = self.pools.iter_mut().find(|(_, pool)| pool.selector == *selector) {
             pool.wanted = true;
             return *id;
@@ -244,7 +247,7 @@
         self.last_pool += 1;
         let (id, settings) = (self.last_pool, self.site.settings.clone());
         let known: Vec<WarmState> = self.pools.values().map(|pool| pool.module.warm_state()).collect();
-        let pool = Pool::new(selector.clone(), settings, self.seed ^ u64::from(id) << 32);
+        let pool = PartitionRouter::new(selector.clone(), settings, self.seed ^ u64::from(id) << 32);
         self.pools.insert(id, pool);
         let mut members: Vec<Endpoint> = self.table.listed().iter().map(|s| s.line.member).collect();
         if let Some(steer) = &self.steer {
@@ -274,12 +277,12 @@
     }
 
     /// Whether a listed server that takes work is one of these.
-    pub fn has(&self, selector: &Selector) -> bool {
+    pub fn has(&self, selector: &EndpointSelector) -> bool {
         partition::has(&self.table, selector)
     }
 
     /// Tells what has happened since the last look.
-    pub fn seen(&mut self, mut tell: impl FnMut(Happened)) {
+    pub fn seen(&mut self, mut tell: impl FnMut(TrafficEvent)) {
         if let Some(steer) = &mut self.steer {
             steer.seen.drain(..).for_each(&mut tell);
         }
@@ -307,13 +310,13 @@
     }
 
     /// The list as last held before a restart.
-    pub fn known(&mut self, lines: Vec<Line>) {
+    pub fn known(&mut self, lines: Vec<ListedEndpoint>) {
         let members = self.take_lines(lines, true);
         stages::route::drive(self, Event::Cached(&members));
     }
 
     /// The whole list, or its changes.
-    pub fn listed(&mut self, lines: Vec<Line>, whole: bool) {
+    pub fn listed(&mut self, lines: Vec<ListedEndpoint>, whole: bool) {
         self.counters.lists += 1;
         let members = self.take_lines(lines, whole);
         self.tell_list(&members, whole);
@@ -373,12 +376,12 @@
     }
 
     /// A session that is open.
-    pub fn session(&self, id: SessionId) -> Option<&Session> {
+    pub fn session(&self, id: JobId) -> Option<&ActiveJob> {
         self.sessions.get(&id)
     }
 
     /// The server table.
-    pub fn table(&self) -> &ServerTable {
+    pub fn table(&self) -> &EndpointTable {
         &self.table
     }
 
@@ -394,7 +397,7 @@
 
     /// Takes over the list and what was learned of a process that this one replaces. The list only where none has
     /// been read here; false where what was learned cannot be true here.
-    pub fn recall(&mut self, lines: Vec<Line>, learned: WarmState) -> bool {
+    pub fn recall(&mut self, lines: Vec<ListedEndpoint>, learned: WarmState) -> bool {
         if self.counters.lists == 0 {
             let members = self.take_lines(lines, true);
             self.tell_list(&members, true);
@@ -414,15 +417,15 @@
 
     /// Whether a dispatch may be written now that its connection is up. What has happened since it was decided is
     /// looked at again: if it may not, it never ran, and the front ends it so.
-    pub fn stands(&self, session: SessionId, attempt: usize) -> bool {
+    pub fn stands(&self, session: JobId, attempt: usize) -> bool {
         let Some(open) = self.sessions.get(&session).filter(|s| !s.over) else { return false };
         let module = self.pools.get(&open.request.pool).map_or(&self.module, |pool| &pool.module);
         let out = open.dispatches.get(attempt).is_some_and(|d| d.out);
-        out && module.attempt_is_valid(micros(self.clock.now()), JobId(session), attempt)
+        out && module.attempt_is_valid(micros(self.clock.now()), session, attempt)
     }
 
     /// A dispatch's request was written whole to its backend server, where its body was not relayed as it came.
-    pub fn written_whole(&mut self, session: SessionId, attempt: usize) {
+    pub fn written_whole(&mut self, session: JobId, attempt: usize) {
         stages::complete::whole(self, session, attempt);
     }
 
--- a/src/core/partition.rs
+++ b/src/core/partition.rs
@@ -1,17 +1,17 @@
 //! Pools: parts of the backend servers that some requests are kept to. Each has a decision module of its own, which sees
 //! only its servers and chooses among them as over the whole list. Where no policy is set up there is none.
 
-use crate::core::endpoint_table::{Line, ServerTable};
+use crate::core::endpoint_table::{EndpointTable, ListedEndpoint};
 use crate::routing::Router;
 use crate::routing::WarmState;
 use crate::routing::{Endpoint, EndpointStatus, Micros, Settings};
 
 /// A pool's number; 0 is the whole list.
-pub type PoolId = u32;
+pub type PartitionId = u32;
 
 /// Which servers a pool has: those that pass each test that is given.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Selector {
+pub struct EndpointSelector {
     /// Kinds, by the site's order.
     pub kinds: Option<Vec<u16>>,
     /// Zones, by the site's order.
@@ -22,10 +22,10 @@
     pub prefixes: Option<Vec<String>>,
 }
 
-impl Selector {
+impl EndpointSelector {
     /// Whether a server is one of them.
-    pub fn fits(&self, line: &Line) -> bool {
-        let Line { name, member, .. } = line;
+    pub fn fits(&self, line: &ListedEndpoint) -> bool {
+        let ListedEndpoint { name, member, .. } = line;
         self.kinds.as_ref().is_none_or(|kinds| kinds.contains(&member.kind))
             && self.zones.as_ref().is_none_or(|zones| zones.contains(&member.zone))
             && self.cells.as_ref().is_none_or(|cells| cells.contains(&member.cell))
@@ -34,8 +34,8 @@
 }
 
 /// A pool.
-pub(super) struct Pool {
-    pub(super) selector: Selector,
+pub(super) struct PartitionRouter {
+    pub(super) selector: EndpointSelector,
     pub(super) module: Router,
     /// When the module is to be woken, on its own clock.
     pub(super) wake_at: Option<Micros>,
@@ -45,15 +45,15 @@
     pub(super) open: usize,
 }
 
-impl Pool {
+impl PartitionRouter {
     /// A pool whose module knows no servers yet.
-    pub(super) fn new(selector: Selector, settings: Settings, seed: u64) -> Pool {
+    pub(super) fn new(selector: EndpointSelector, settings: Settings, seed: u64) -> PartitionRouter {
         let module = Router::new(quiet(settings), seed);
-        Pool { selector, module, wake_at: None, wanted: true, open: 0 }
+        PartitionRouter { selector, module, wake_at: None, wanted: true, open: 0 }
     }
 
     /// Its own of some members.
-    pub(super) fn own(&self, table: &ServerTable, members: &[Endpoint]) -> Vec<Endpoint> {
+    pub(super) fn own(&self, table: &EndpointTable, members: &[Endpoint]) -> Vec<Endpoint> {
         let ours = |m: &&Endpoint| table.get(m.id).is_some_and(|server| self.selector.fits(&server.line));
         members.iter().filter(ours).copied().collect()
     }
@@ -76,7 +76,7 @@
 }
 
 /// Whether any listed server that takes work is one of these.
-pub(super) fn has(table: &ServerTable, selector: &Selector) -> bool {
+pub(super) fn has(table: &EndpointTable, selector: &EndpointSelector) -> bool {
     let ready = table.listed();
     ready.iter().any(|s| s.line.member.status == EndpointStatus::Ready && selector.fits(&s.line))
 }
--- a/src/core/stages/admit.rs
+++ b/src/core/stages/admit.rs
@@ -1,11 +1,11 @@
 //! Admit: what the program itself cannot hold is denied before the module sees it.
 
-use crate::core::{Core, Request, Verdict};
+use crate::core::{Core, FinalAnswer, JobRequest};
 use crate::telemetry::Disposition;
 
 /// Guards against more sessions than memory is planned for, and against new ones while the program stops.
 /// Nothing was sent, so that a denial is harmless for any class.
-pub fn admit(core: &mut Core, mut request: Request) -> Result<Request, Verdict> {
+pub fn admit(core: &mut Core, mut request: JobRequest) -> Result<JobRequest, FinalAnswer> {
     // Guards against a request that is taken while the program stops and found unanswered by the kill.
     if let Some((from, end)) = core.hurry
         && core.clock.now() >= from
@@ -23,5 +23,5 @@
     core.telemetry.answered(request.class, Disposition::Rejected);
     // A full dispatcher has room again when sessions end; one that stops has gone by then.
     let retry_after = if full || crowded { core.site.max_retry_after } else { 0.0 };
-    Err(Verdict::Denied { retry_after })
+    Err(FinalAnswer::Rejected { retry_after })
 }
--- a/src/core/stages/answer.rs
+++ b/src/core/stages/answer.rs
@@ -1,24 +1,25 @@
 //! Book: a session's one final answer, and its end.
 
-use crate::core::{Command, Core, SessionId, Verdict};
+use crate::core::{Command, Core, FinalAnswer};
+use crate::routing::JobId;
 use crate::telemetry::Disposition;
 
 /// Gives a session its final answer. Only the first counts.
-pub fn answer(core: &mut Core, id: SessionId, verdict: Verdict) {
+pub fn answer(core: &mut Core, id: JobId, verdict: FinalAnswer) {
     let Some(session) = core.sessions.get_mut(&id).filter(|s| !s.over) else { return };
     session.over = true;
     let class = session.request.class;
     core.ended.push(id);
     let result = match verdict {
-        Verdict::Served(_) => {
+        FinalAnswer::Served(_) => {
             core.counters.served += 1;
             Disposition::Completed
         }
-        Verdict::Denied { .. } => {
+        FinalAnswer::Rejected { .. } => {
             core.counters.denied += 1;
             Disposition::Rejected
         }
-        Verdict::Failed => {
+        FinalAnswer::Failed => {
             core.counters.failed += 1;
             Disposition::Failed
         }
--- a/src/core/stages/complete.rs
+++ b/src/core/stages/complete.rs
@@ -1,14 +1,14 @@
 //! Relay: what becomes of a dispatch goes to the module, and a result to the client.
 
 use crate::core::stages::{answer, route};
-use crate::core::{Core, Happened, SessionId, Verdict, micros, millis, traffic_split};
+use crate::core::{Core, FinalAnswer, TrafficEvent, micros, millis, traffic_split};
 use crate::routing::{AttemptEnd, Event, JobId, LoadReport, Outcome};
 
 /// The end of a dispatch. One that is over already is counted and changes nothing, so that news that repeat or
 /// come late cannot answer a session twice.
 pub fn ended(
     core: &mut Core,
-    id: SessionId,
+    id: JobId,
     attempt: usize,
     outcome: Outcome,
     report: LoadReport,
@@ -29,20 +29,20 @@
         && let Some(end) = traffic_split::end(outcome)
         && let Some(server) = core.table.get(worker)
     {
-        steer.note(Happened::Ended { zone: server.line.member.zone, end, took: millis(latency) });
+        steer.note(TrafficEvent::Ended { zone: server.line.member.zone, end, took: millis(latency) });
     }
     match outcome {
-        Outcome::Served => answer::answer(core, id, Verdict::Served(result)),
+        Outcome::Served => answer::answer(core, id, FinalAnswer::Served(result)),
         // Bytes of the answer are out: nothing else can follow.
         _ if streaming => {
             core.counters.may_have_run += 1;
-            answer::answer(core, id, Verdict::Failed);
+            answer::answer(core, id, FinalAnswer::Failed);
         }
         _ if outcome.never_ran() => core.counters.never_ran += 1,
         _ => core.counters.may_have_run += 1,
     }
     let finished = outcome == Outcome::Served || streaming;
-    let job = JobId(id);
+    let job = id;
     route::drive_of(
         core,
         id,
@@ -52,15 +52,15 @@
 }
 
 /// The start of a dispatch's job.
-pub fn started(core: &mut Core, id: SessionId, attempt: usize) {
+pub fn started(core: &mut Core, id: JobId, attempt: usize) {
     let dispatch = core.sessions.get(&id).and_then(|s| s.dispatches.get(attempt));
     if dispatch.is_some_and(|d| d.out) {
-        route::drive_of(core, id, Event::Started { job: JobId(id), attempt });
+        route::drive_of(core, id, Event::Started { job: id, attempt });
     }
 }
 
 /// All of a dispatch's request is with its server, which is waited for from now on.
-pub fn written(core: &mut Core, id: SessionId, attempt: usize) {
+pub fn written(core: &mut Core, id: JobId, attempt: usize) {
     whole(core, id, attempt);
     let now = core.clock.now();
     let dispatch = core.sessions.get_mut(&id).and_then(|s| s.dispatches.get_mut(attempt));
@@ -70,7 +70,7 @@
 }
 
 /// A dispatch's request is with its server, all of it: counted once, however often a front tells it.
-pub fn whole(core: &mut Core, id: SessionId, attempt: usize) {
+pub fn whole(core: &mut Core, id: JobId, attempt: usize) {
     let dispatch = core.sessions.get_mut(&id).and_then(|s| s.dispatches.get_mut(attempt));
     if let Some(dispatch) = dispatch.filter(|d| !d.whole) {
         dispatch.whole = true;
@@ -79,22 +79,22 @@
 }
 
 /// The answer of a dispatch has begun, and is relayed as it comes. False if the dispatch is over.
-pub fn streaming(core: &mut Core, id: SessionId, attempt: usize) -> bool {
+pub fn streaming(core: &mut Core, id: JobId, attempt: usize) -> bool {
     let now = core.clock.now();
     let Some(session) = core.sessions.get_mut(&id).filter(|s| !s.over) else { return false };
     let Some(dispatch) = session.dispatches.get_mut(attempt).filter(|d| d.out) else { return false };
     dispatch.began.get_or_insert(now);
     if !std::mem::replace(&mut session.streaming, true) {
-        route::drive_of(core, id, Event::Streaming(JobId(id)));
+        route::drive_of(core, id, Event::Streaming(id));
     }
     true
 }
 
 /// The client has left: nothing is owed any more, and the module calls off what is out.
-pub fn client_left(core: &mut Core, id: SessionId) {
+pub fn client_left(core: &mut Core, id: JobId) {
     let Some(session) = core.sessions.get_mut(&id).filter(|s| !s.over) else { return };
     session.over = true;
     core.ended.push(id);
     core.counters.left += 1;
-    route::drive_of(core, id, Event::ClientLeft(JobId(id)));
+    route::drive_of(core, id, Event::ClientLeft(id));
 }
--- a/src/core/stages/route.rs
+++ b/src/core/stages/route.rs
@@ -1,22 +1,22 @@
 //! Route: the module decides. All its events pass here, and all its actions leave here.
 
 use crate::core::stages::{answer, send};
-use crate::core::{Core, PoolId, Request, Session, SessionId, Verdict, micros, millis};
+use crate::core::{ActiveJob, Core, FinalAnswer, JobRequest, PartitionId, micros, millis};
 use crate::routing::{Action, Event, Job, JobId};
 
 /// Hands a new session to the module.
-pub fn arrive(core: &mut Core, id: SessionId, request: Request) {
-    core.sessions.insert(id, Session { request, dispatches: Vec::new(), over: false, streaming: false });
+pub fn arrive(core: &mut Core, id: JobId, request: JobRequest) {
+    core.sessions.insert(id, ActiveJob { request, dispatches: Vec::new(), over: false, streaming: false });
     if let Some(pool) = core.pools.get_mut(&request.pool) {
         pool.open += 1;
     }
     let (due, work) = (micros(request.due), request.work.map(micros));
-    let job = Job { id: JobId(id), class: request.class, deadline: due, slots: request.slots, work };
+    let job = Job { id: id, class: request.class, deadline: due, slots: request.slots, work };
     drive_in(core, request.pool, Event::Job(job));
 }
 
 /// Drives the module of a session with one event and carries its actions on.
-pub fn drive_of(core: &mut Core, session: SessionId, event: Event<'_>) {
+pub fn drive_of(core: &mut Core, session: JobId, event: Event<'_>) {
     let pool = core.sessions.get(&session).map_or(0, |session| session.request.pool);
     drive_in(core, pool, event);
 }
@@ -27,7 +27,7 @@
 }
 
 /// Drives one module with one event and carries its actions on.
-pub fn drive_in(core: &mut Core, pool: PoolId, event: Event<'_>) {
+pub fn drive_in(core: &mut Core, pool: PartitionId, event: Event<'_>) {
     let now = micros(core.clock.now());
     // Any event wakes the module, which then asks anew for what is left. Guards against sessions that never end: a
     // time that has passed, kept until the next tick, would hide the later one asked for meanwhile.
@@ -40,13 +40,13 @@
     module.handle(now, event, &mut actions);
     for action in actions.drain(..) {
         match action {
-            Action::Send { job, endpoint: worker } => send::send(core, job.0, worker),
-            Action::Cancel { job, attempt } => send::cancel(core, job.0, attempt),
+            Action::Send { job, endpoint: worker } => send::send(core, job, worker),
+            Action::Cancel { job, attempt } => send::cancel(core, job, attempt),
             Action::Reject { job, retry_after } => {
                 let retry_after = millis(retry_after).min(core.site.max_retry_after);
-                answer::answer(core, job.0, Verdict::Denied { retry_after });
+                answer::answer(core, job, FinalAnswer::Rejected { retry_after });
             }
-            Action::Fail { job } => answer::answer(core, job.0, Verdict::Failed),
+            Action::Fail { job } => answer::answer(core, job, FinalAnswer::Failed),
             Action::Probe { endpoint: worker } => send::probe(core, worker),
             Action::Subscribe => send::subscribe(core),
             Action::WakeAt(at) => {
--- a/src/core/stages/send.rs
+++ b/src/core/stages/send.rs
@@ -1,27 +1,20 @@
 //! Send: a decision becomes a dispatch, and a command for the front.
 
-use crate::core::{Command, Core, Dispatch, SessionId};
-use crate::routing::EndpointId;
+use crate::core::{Attempt, Command, Core};
+use crate::routing::{EndpointId, JobId};
 
 /// Records a dispatch and has it sent.
-pub fn send(core: &mut Core, id: SessionId, server: EndpointId) {
+pub fn send(core: &mut Core, id: JobId, server: EndpointId) {
     let sent = core.clock.now();
     let Some(session) = core.sessions.get_mut(&id).filter(|s| !s.over) else { return };
     let attempt = session.dispatches.len();
-    session.dispatches.push(Dispatch {
-        server,
-        sent,
-        began: None,
-        out: true,
-        never_ran: false,
-        whole: false,
-    });
+    session.dispatches.push(Attempt { server, sent, began: None, out: true, never_ran: false, whole: false });
     core.counters.sent += 1;
     core.commands.push_back(Command::Send { session: id, attempt, server });
 }
 
 /// Calls a dispatch off.
-pub fn cancel(core: &mut Core, id: SessionId, attempt: usize) {
+pub fn cancel(core: &mut Core, id: JobId, attempt: usize) {
     let dispatch = core.sessions.get_mut(&id).and_then(|s| s.dispatches.get_mut(attempt));
     let Some(dispatch) = dispatch.filter(|d| d.out) else { return };
     dispatch.out = false;
--- a/src/core/traffic_split.rs
+++ b/src/core/traffic_split.rs
@@ -9,7 +9,7 @@
 
 /// What has happened since the last look.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happened {
+pub enum TrafficEvent {
     /// A request came, and was turned away since zones have no room, or not.
     Came {
         /// It was turned away.
@@ -28,21 +28,21 @@
 
 /// What steers a core.
 #[derive(Debug)]
-pub(super) struct Steer {
+pub(super) struct TrafficSplit {
     /// What each zone of the site may get.
     pub(super) shares: Vec<u16>,
     /// What of the requests is taken.
     pub(super) admit: u16,
     gate: Gate,
-    pub(super) seen: Vec<Happened>,
+    pub(super) seen: Vec<TrafficEvent>,
 }
 
-impl Steer {
-    pub(super) fn new(zones: usize) -> Steer {
-        Steer { shares: vec![WHOLE; zones], admit: WHOLE, gate: Gate::default(), seen: Vec::new() }
+impl TrafficSplit {
+    pub(super) fn new(zones: usize) -> TrafficSplit {
+        TrafficSplit { shares: vec![WHOLE; zones], admit: WHOLE, gate: Gate::default(), seen: Vec::new() }
     }
 
-    pub(super) fn note(&mut self, seen: Happened) {
+    pub(super) fn note(&mut self, seen: TrafficEvent) {
         if self.seen.len() < KEPT {
             self.seen.push(seen);
         }
@@ -51,7 +51,7 @@
     /// Whether the next request is taken.
     pub(super) fn takes(&mut self) -> bool {
         let takes = self.admit >= WHOLE || self.gate.takes(self.admit);
-        self.note(Happened::Came { turned: !takes });
+        self.note(TrafficEvent::Came { turned: !takes });
         takes
     }
 
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::Sockets;
-use crate::core::{Core, Line, micros, millis};
+use crate::core::{Core, ListedEndpoint, micros, millis};
 use crate::json::{self, JsonValue, flag, number, text};
 use crate::net::ConnId;
 use crate::net::http;
@@ -58,7 +58,7 @@
 /// What a call has brought.
 pub enum Heard {
     /// Lines, and whether they are the whole list.
-    List(Vec<Line>, bool),
+    List(Vec<ListedEndpoint>, bool),
     /// It failed. The module says when to call again.
     Failed,
 }
@@ -70,7 +70,7 @@
             core.list_failed();
             return Vec::new();
         };
-        let renewed = |line: &Line| {
+        let renewed = |line: &ListedEndpoint| {
             let id = core.table().id(&line.name)?;
             let old = &core.table().get(id)?.line;
             ((old.member.started_at, &old.address) != (line.member.started_at, &line.address)).then_some(id)
@@ -287,7 +287,7 @@
 }
 
 /// The version and lines of a list or of its changes, and whether it is whole.
-pub fn read_list(list: &JsonValue, site: &Site) -> Result<(u64, Vec<Line>, bool), String> {
+pub fn read_list(list: &JsonValue, site: &Site) -> Result<(u64, Vec<ListedEndpoint>, bool), String> {
     let seq = number(list, "seq").ok_or("the list has no seq")? as u64;
     let place = |names: &[String], name: Option<&str>| {
         names.iter().position(|n| Some(n.as_str()) == name).unwrap_or(names.len()) as u16
@@ -309,7 +309,7 @@
             status: state,
         };
         let address = text(host, "dial").unwrap_or("").to_string();
-        Ok(Line { name: name.to_string(), address, member })
+        Ok(ListedEndpoint { name: name.to_string(), address, member })
     };
     let lines = json::list(list, "hosts").iter().map(line).collect::<Result<_, String>>()?;
     Ok((seq, lines, flag(list, "whole")))
--- a/src/frontend/fleet/mod.rs
+++ b/src/frontend/fleet/mod.rs
@@ -18,7 +18,7 @@
 
 use super::http::Platform;
 use super::{Gateway, Sockets};
-use crate::core::{Clock, Core, Happened};
+use crate::core::{Clock, Core, TrafficEvent};
 use crate::fleet::TICK;
 use crate::zones::WHOLE;
 use thread::{Said, Told};
@@ -178,8 +178,8 @@
         let places = |zone: u16| self.zones.get(usize::from(zone)).copied().flatten();
         if let Some(core) = &mut core {
             core.seen(|what| match what {
-                Happened::Came { turned } => came.push(turned),
-                Happened::Ended { zone, end, took } => {
+                TrafficEvent::Came { turned } => came.push(turned),
+                TrafficEvent::Ended { zone, end, took } => {
                     ended.extend(places(zone).map(|zone| (zone, end, took)));
                 }
             });
--- a/src/frontend/gearman/clients.rs
+++ b/src/frontend/gearman/clients.rs
@@ -3,10 +3,10 @@
 use super::packets::{answer, arguments, kind};
 use super::record::{Answer, Entry};
 use super::{Gearman, Job};
-use crate::core::{Request, SessionId, Verdict};
+use crate::core::{FinalAnswer, JobRequest};
 use crate::frontend::Sockets;
 use crate::net::ConnId;
-use crate::routing::Idempotency;
+use crate::routing::{Idempotency, JobId};
 
 /// Jobs that one connection may wait for. Beyond it a client's further packets are left unread, and a worker that
 /// submits as well, and must be read, is told so.
@@ -48,7 +48,7 @@
     }
 
     /// Whether a job is known and running, and how far it has got.
-    fn status(&self, session: Option<SessionId>) -> [Vec<u8>; 4] {
+    fn status(&self, session: Option<JobId>) -> [Vec<u8>; 4] {
         let digit = |flag: bool| vec![b'0' + u8::from(flag)];
         let job = session.and_then(|session| self.jobs.get(&session));
         let (done, all) = job.map(|j| j.progress.clone()).unwrap_or((vec![b'0'], vec![b'0']));
@@ -90,7 +90,7 @@
         if key.is_some() && !self.record.make_room(now) {
             return self.error(net, id, "record_full", "try again later: nothing was run");
         }
-        let request = Request {
+        let request = JobRequest {
             class: number,
             due: now + self.config.functions[number].wait,
             slots: 1.0,
@@ -117,14 +117,14 @@
             }
             Err(verdict) => {
                 // It was turned away before it had a handle that anybody could ask for.
-                let handle = Self::handle(0);
+                let handle = Self::handle(JobId(0));
                 self.put(net, id, answer(kind::JOB_CREATED, &[handle.as_bytes()]));
                 self.say(net, id, handle.as_bytes(), &verdict);
             }
         }
     }
 
-    fn listen(&mut self, session: SessionId, id: ConnId) {
+    fn listen(&mut self, session: JobId, id: ConnId) {
         if let (Some(job), Some(peer)) = (self.jobs.get_mut(&session), self.peers.get_mut(&id)) {
             // Each submission is owed an answer, also where one connection submits the same job twice.
             job.listeners.push(id);
@@ -133,7 +133,7 @@
     }
 
     /// A client has left. A job that it can come back for goes on.
-    pub(super) fn stop_listening(&mut self, session: SessionId, id: ConnId) {
+    pub(super) fn stop_listening(&mut self, session: JobId, id: ConnId) {
         let Some(job) = self.jobs.get_mut(&session) else { return };
         job.listeners.retain(|&other| other != id);
         if job.listeners.is_empty() && job.key.is_none() {
@@ -143,7 +143,7 @@
     }
 
     /// Gives a session its final answer: to each of its clients, and to the record.
-    pub(super) fn answer(&mut self, net: &mut Sockets, session: SessionId, verdict: Verdict) {
+    pub(super) fn answer(&mut self, net: &mut Sockets, session: JobId, verdict: FinalAnswer) {
         let Some(job) = self.jobs.remove(&session) else { return };
         let handle = Self::handle(session);
         let is_unsafe =
@@ -152,10 +152,10 @@
         let keep = self.core.clock().now() + if is_unsafe { self.config.keep } else { 0.0 };
         if let Some(key) = &job.key {
             match &verdict {
-                Verdict::Served(result) => {
+                FinalAnswer::Served(result) => {
                     self.record.over(key, handle.clone(), Answer::Complete(result.clone()), keep);
                 }
-                Verdict::Failed if is_unsafe && job.assigned => {
+                FinalAnswer::Failed if is_unsafe && job.assigned => {
                     self.record.over(key, handle.clone(), Answer::Failed, keep);
                 }
                 _ => self.record.remove(key),
@@ -173,20 +173,20 @@
         }
     }
 
-    fn say(&mut self, net: &mut Sockets, id: ConnId, handle: &[u8], verdict: &Verdict) {
+    fn say(&mut self, net: &mut Sockets, id: ConnId, handle: &[u8], verdict: &FinalAnswer) {
         match verdict {
-            Verdict::Served(result) => self.put(net, id, answer(kind::WORK_COMPLETE, &[handle, result])),
-            Verdict::Denied { retry_after } => {
+            FinalAnswer::Served(result) => self.put(net, id, answer(kind::WORK_COMPLETE, &[handle, result])),
+            FinalAnswer::Rejected { retry_after } => {
                 let text = format!("denied retry-after-ms={}", retry_after.ceil());
                 self.put(net, id, answer(kind::WORK_WARNING, &[handle, text.as_bytes()]));
                 self.put(net, id, answer(kind::WORK_FAIL, &[handle]));
             }
-            Verdict::Failed => self.put(net, id, answer(kind::WORK_FAIL, &[handle])),
+            FinalAnswer::Failed => self.put(net, id, answer(kind::WORK_FAIL, &[handle])),
         }
     }
 
     /// Passes on what a worker tells of a job that is not over.
-    pub(super) fn pass_on(&mut self, net: &mut Sockets, session: SessionId, number: u32, fields: &[&[u8]]) {
+    pub(super) fn pass_on(&mut self, net: &mut Sockets, session: JobId, number: u32, fields: &[&[u8]]) {
         let Some(job) = self.jobs.get_mut(&session) else { return };
         if let (kind::WORK_STATUS, [_, done, all]) = (number, fields) {
             job.progress = (done.to_vec(), all.to_vec());
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -16,9 +16,9 @@
 use rustc_hash::FxHashMap;
 
 use super::{Leaving, Sockets};
-use crate::core::{Clock, Command, Core, SessionId};
+use crate::core::{Clock, Command, Core};
 use crate::net::{ConnId, HELD};
-use crate::routing::EndpointId;
+use crate::routing::{EndpointId, JobId};
 
 pub use config::{Config, Function};
 use identity::{Identity, Role};
@@ -41,7 +41,7 @@
 const INTRODUCTION: f64 = 5000.0;
 
 /// A dispatch: its session and its number.
-type FlightId = (SessionId, usize);
+type FlightId = (JobId, usize);
 
 /// A connection, of a client, a worker, or both.
 struct Peer {
@@ -50,7 +50,7 @@
     address: Option<IpAddr>,
     exceptions: bool,
     /// Sessions whose answers it waits for.
-    waits: Vec<SessionId>,
+    waits: Vec<JobId>,
     worker: Option<Worker>,
     /// Packets that its connection's buffer has no room for yet.
     outbox: VecDeque<Vec<u8>>,
@@ -80,7 +80,7 @@
     listener: usize,
     peers: FxHashMap<ConnId, Peer>,
     servers: FxHashMap<EndpointId, ConnId>,
-    jobs: FxHashMap<SessionId, Job>,
+    jobs: FxHashMap<JobId, Job>,
     record: Record,
     identity: Option<Identity>,
     stopping: Option<Leaving>,
@@ -403,12 +403,12 @@
     }
 
     /// The handle of a session's job.
-    fn handle(session: SessionId) -> String {
-        format!("H:micabeam:{session}")
+    fn handle(session: JobId) -> String {
+        format!("H:micabeam:{}", session.0)
     }
 
     /// The session of a handle.
-    fn session(handle: &[u8]) -> Option<SessionId> {
-        std::str::from_utf8(handle).ok()?.strip_prefix("H:micabeam:")?.parse().ok()
+    fn session(handle: &[u8]) -> Option<JobId> {
+        std::str::from_utf8(handle).ok()?.strip_prefix("H:micabeam:")?.parse().ok().map(JobId)
     }
 }
--- a/src/frontend/gearman/record.rs
+++ b/src/frontend/gearman/record.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::core::SessionId;
+use crate::routing::JobId;
 
 /// Lines looked at to make room for one.
 const LOOK: usize = 64;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
     /// It is not over.
-    Running(SessionId),
+    Running(JobId),
     /// Its answer, under the handle that it had.
     Over {
         /// The handle.
@@ -88,7 +88,7 @@
     }
 
     /// Notes that a job runs.
-    pub fn run(&mut self, key: Key, session: SessionId) {
+    pub fn run(&mut self, key: Key, session: JobId) {
         self.remove(&key);
         self.held += key.1.len();
         self.order.push_back(key.clone());
@@ -135,23 +135,23 @@
     #[test]
     fn what_must_be_kept_is_not_dropped_for_room() {
         let mut record = Record::new(2, 1000);
-        record.run(key("a"), 1);
+        record.run(key("a"), JobId(1));
         record.over(&key("a"), "H:1".into(), Answer::Failed, 100.0);
-        record.run(key("b"), 2);
+        record.run(key("b"), JobId(2));
         assert!(!record.make_room(50.0), "one runs and one must be kept");
         assert!(record.make_room(100.0), "the kept one has had its time");
         assert_eq!(record.get(&key("a")), None);
-        assert_eq!(record.get(&key("b")), Some(&Entry::Running(2)));
+        assert_eq!(record.get(&key("b")), Some(&Entry::Running(JobId(2))));
     }
 
     #[test]
     fn answers_count_against_the_bytes() {
         let mut record = Record::new(10, 100);
-        record.run(key("a"), 1);
+        record.run(key("a"), JobId(1));
         record.over(&key("a"), "H:1".into(), Answer::Complete(vec![0; 200]), 100.0);
         assert!(!record.make_room(50.0));
         assert!(record.make_room(100.0));
-        record.run(key("b"), 2);
+        record.run(key("b"), JobId(2));
         assert!(record.make_room(100.0));
     }
 }
--- a/src/frontend/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -7,10 +7,10 @@
 use super::packets::{answer, arguments, kind};
 use super::record::{Answer, Key};
 use super::{FlightId, Gearman};
-use crate::core::{Line, SessionId};
+use crate::core::ListedEndpoint;
 use crate::frontend::Sockets;
 use crate::net::ConnId;
-use crate::routing::{Endpoint, EndpointId, EndpointStatus, LoadReport, Outcome};
+use crate::routing::{Endpoint, EndpointId, EndpointStatus, JobId, LoadReport, Outcome};
 
 /// Jobs that a worker may hold or be offered.
 const HELD: usize = 64;
@@ -35,7 +35,7 @@
     sleeps: bool,
     /// Dispatches that it was offered and has not fetched, with the time of the offer.
     offered: VecDeque<(FlightId, f64)>,
-    assigned: FxHashMap<SessionId, Assigned>,
+    assigned: FxHashMap<JobId, Assigned>,
     state: EndpointStatus,
     /// How long it may leave an offer while it has nothing else to do.
     patience: f64,
@@ -57,7 +57,7 @@
         self.state == EndpointStatus::Ready
     }
 
-    pub fn running(&self) -> impl Iterator<Item = SessionId> + '_ {
+    pub fn running(&self) -> impl Iterator<Item = JobId> + '_ {
         self.assigned.keys().copied()
     }
 }
@@ -207,7 +207,7 @@
         // Told apart from the one that had its place before by when it started, which is long ago: a worker
         // that fetches one job at a time cannot be pushed over, and is not held to be cold.
         let member = Endpoint { kind, size: 1.0, status: state, started_at: id, ..member };
-        let line = Line { name: worker.name.clone(), address: String::new(), member };
+        let line = ListedEndpoint { name: worker.name.clone(), address: String::new(), member };
         worker.state = state;
         let name = worker.name.clone();
         // Guards the drain: what it was offered and has not fetched goes elsewhere at once.
@@ -325,7 +325,8 @@
         if worker.state != EndpointStatus::Gone {
             let member = self.core.table().get(worker.server).map(|s| s.line.member).unwrap_or_default();
             let member = Endpoint { status: EndpointStatus::Gone, ..member };
-            self.core.listed(vec![Line { name: worker.name, address: String::new(), member }], false);
+            self.core
+                .listed(vec![ListedEndpoint { name: worker.name, address: String::new(), member }], false);
         }
         for (flight, _) in worker.offered {
             self.core.ended(flight.0, flight.1, Outcome::Unreachable, LoadReport::default(), Vec::new());
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -7,11 +7,12 @@
 use super::callbacks::Called;
 use super::headers::{PATIENCE, slots, span, work};
 use super::policy_gate::Way;
-use super::{Job, Platform, upgrade_link};
-use crate::core::{Request, SessionId, Verdict};
+use super::{ClientJob, Platform, upgrade_link};
+use crate::core::{FinalAnswer, JobRequest};
 use crate::frontend::Sockets;
 use crate::net::http::{self, Bad, Message};
 use crate::net::{Budget, ConnId, head};
+use crate::routing::JobId;
 
 /// How long a client may be silent while it owes the rest of a request, or its first byte, in milliseconds.
 const SENDS: f64 = 2500.0;
@@ -33,7 +34,7 @@
 
 /// One connection that was accepted.
 pub(super) struct Client {
-    session: Option<SessionId>,
+    session: Option<JobId>,
     /// Since when it has had nothing to do.
     idle: f64,
     /// It has brought call-backs, which go on to come while the program stops.
@@ -279,7 +280,7 @@
 
     /// Whether a session's client has gone, by a look at its connection before anything is sent for it. Guards against an
     /// attempt that begins as its client's end waits to be read in the same turn of the loop.
-    pub(super) fn has_left(&mut self, net: &mut Sockets, session: SessionId) -> bool {
+    pub(super) fn has_left(&mut self, net: &mut Sockets, session: JobId) -> bool {
         let Some(client) = self.jobs.get(&session).map(|job| job.client) else { return true };
         let Some(conn) = net.conn(client) else { return true };
         conn.pump();
@@ -440,7 +441,7 @@
         let req_id: Rc<str> = req_id.into();
         let Way::To(pool) = self.way(class, &message) else { return self.turn_away(net, id, close) };
         let due = now + wait.min(PATIENCE);
-        match self.core.request(Request { class, due, slots, work, pool }) {
+        match self.core.request(JobRequest { class, due, slots, work, pool }) {
             Err(verdict) => self.say(net, id, verdict, close),
             Ok(session) => {
                 let own = |name: &str| OWN.iter().any(|own| name.eq_ignore_ascii_case(own));
@@ -448,7 +449,7 @@
                     head::onward(&message.headers).filter(|(name, _)| !own(name)).cloned().collect();
                 let (target, body) = (message.target, message.body);
                 self.ids.insert(Rc::clone(&req_id), session);
-                self.jobs.insert(session, Job { client: id, id: req_id, target, headers, body });
+                self.jobs.insert(session, ClientJob { client: id, id: req_id, target, headers, body });
                 if let (Some(conn), true) = (net.conn(id), close) {
                     conn.last = true;
                 }
@@ -459,7 +460,7 @@
         }
     }
 
-    fn forget(&mut self, session: SessionId) -> Option<Job> {
+    fn forget(&mut self, session: JobId) -> Option<ClientJob> {
         let job = self.jobs.remove(&session)?;
         self.ids.remove(&job.id);
         if !self.core.site().copies {
@@ -469,7 +470,7 @@
     }
 
     /// Gives a session its final answer.
-    pub(super) fn answer(&mut self, net: &mut Sockets, session: SessionId, verdict: Verdict) {
+    pub(super) fn answer(&mut self, net: &mut Sockets, session: JobId, verdict: FinalAnswer) {
         let Some(job) = self.forget(session) else { return };
         let now = self.core.clock().now();
         if let Some(client) = self.clients.conns.get_mut(&job.client) {
@@ -483,18 +484,18 @@
     /// Denies a request that the core has not seen, with a time to come back.
     pub(super) fn turn_away(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
         let retry_after = self.core.site().max_retry_after;
-        self.say(net, id, Verdict::Denied { retry_after }, close);
+        self.say(net, id, FinalAnswer::Rejected { retry_after }, close);
     }
 
-    fn say(&mut self, net: &mut Sockets, id: ConnId, verdict: Verdict, close: bool) {
+    fn say(&mut self, net: &mut Sockets, id: ConnId, verdict: FinalAnswer, close: bool) {
         match verdict {
-            Verdict::Served(result) => self.reply(net, id, 200, &[], &result, close),
-            Verdict::Denied { retry_after } if retry_after > 0.0 => {
+            FinalAnswer::Served(result) => self.reply(net, id, 200, &[], &result, close),
+            FinalAnswer::Rejected { retry_after } if retry_after > 0.0 => {
                 let advice = [("Retry-After", format!("{:.3}", retry_after / 1e3))];
                 self.reply(net, id, 503, &advice, b"", close);
             }
-            Verdict::Denied { .. } => self.reply(net, id, 503, &[], b"", close),
-            Verdict::Failed => self.reply(net, id, 500, &[], b"", close),
+            FinalAnswer::Rejected { .. } => self.reply(net, id, 503, &[], b"", close),
+            FinalAnswer::Failed => self.reply(net, id, 500, &[], b"", close),
         }
     }
 
--- a/src/frontend/http/config.rs
+++ b/src/frontend/http/config.rs
@@ -4,7 +4,7 @@
 
 use rustix::process::{Resource, getrlimit};
 
-use crate::core::Line;
+use crate::core::ListedEndpoint;
 use crate::frontend::discovery::read_list;
 use crate::json::{JsonValue, field, number, text};
 use crate::net::Budget;
@@ -29,7 +29,7 @@
     /// Where discovery is, if it says so.
     pub discovery: Option<SocketAddr>,
     /// The list as last held, and its version.
-    pub known: (u64, Vec<Line>),
+    pub known: (u64, Vec<ListedEndpoint>),
 }
 
 impl Config {
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -18,9 +18,9 @@
 
 use super::discovery::{Discovery, Heard};
 use super::{Leaving, Sockets};
-use crate::core::{Clock, Command, Core, SessionId};
+use crate::core::{Clock, Command, Core};
 use crate::net::ConnId;
-use crate::routing::{LoadReport, Outcome};
+use crate::routing::{JobId, LoadReport, Outcome};
 
 use clients::Clients;
 pub use config::Config;
@@ -28,7 +28,7 @@
 use upstream::Backends;
 
 /// What a session's request looked like on the wire.
-struct Job {
+struct ClientJob {
     client: ConnId,
     id: Rc<str>,
     target: String,
@@ -45,8 +45,8 @@
     clients: Clients,
     backends: Backends,
     discovery: Discovery,
-    jobs: FxHashMap<SessionId, Job>,
-    ids: FxHashMap<Rc<str>, SessionId>,
+    jobs: FxHashMap<JobId, ClientJob>,
+    ids: FxHashMap<Rc<str>, JobId>,
     /// The processes beside this one at an upgrade.
     links: Option<upgrade_link::Links>,
     /// Whether requests may be started now, where a policy is shared.
@@ -169,7 +169,7 @@
     }
 
     /// Tells the core how a dispatch ended other than served.
-    fn unserved(&mut self, flight: (SessionId, usize), outcome: Outcome, report: LoadReport) {
+    fn unserved(&mut self, flight: (JobId, usize), outcome: Outcome, report: LoadReport) {
         self.backends.flights.remove(&flight);
         self.core.ended(flight.0, flight.1, outcome, report, Vec::new());
     }
--- a/src/frontend/http/policy_gate.rs
+++ b/src/frontend/http/policy_gate.rs
@@ -5,7 +5,7 @@
 
 use super::Platform;
 use super::headers::span;
-use crate::core::{PoolId, boot_ms};
+use crate::core::{PartitionId, boot_ms};
 use crate::frontend::Sockets;
 use crate::ingest::{Empty, Event, Policy, PolicyError};
 use crate::net::ConnId;
@@ -34,7 +34,7 @@
 pub(super) struct Gate {
     policy: Option<Policy>,
     /// The pool of each partition.
-    pools: Vec<PoolId>,
+    pools: Vec<PartitionId>,
     /// A change is being made.
     holds: bool,
     /// Until when requests may be started, as `boot_ms` tells it.
@@ -57,7 +57,7 @@
 /// Where a request goes.
 pub(super) enum Way {
     /// To these servers.
-    To(PoolId),
+    To(PartitionId),
     /// Its partition has none, and the policy says to deny it.
     Denied,
 }
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 
 use super::Platform;
-use crate::core::{Line, Server};
+use crate::core::{EndpointEntry, ListedEndpoint};
 use crate::frontend::{Sockets, handover};
 use crate::lifecycle::callback_forwarding::{Call, Seam, Step};
 use crate::lifecycle::warm_state::{LONGEST, StoredEndpoint, WarmStateFile};
@@ -258,8 +258,8 @@
     /// Leaves what this process knows for the one that replaces it.
     pub(super) fn leave_memory(&self) {
         let Some(links) = &self.links else { return };
-        let listed = |s: &&Server| {
-            let Line { name, address, member } = s.line.clone();
+        let listed = |s: &&EndpointEntry| {
+            let ListedEndpoint { name, address, member } = s.line.clone();
             let Endpoint { kind, zone, cell, size, started_at: born, status: state, .. } = member;
             let draining = state != EndpointStatus::Ready;
             StoredEndpoint { name, address, kind, zone, cell, size, born, draining }
@@ -290,7 +290,7 @@
                 let StoredEndpoint { name, address, kind, zone, cell, size, born, .. } = l;
                 let member =
                     Endpoint { id: EndpointId(0), kind, zone, cell, size, started_at: born, status: state };
-                Line { name, address, member }
+                ListedEndpoint { name, address, member }
             };
             self.core.recall(memory.lines.into_iter().map(line).collect(), memory.learned)
         });
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -7,11 +7,11 @@
 use rustix::io::Errno;
 
 use super::Platform;
-use crate::core::SessionId;
+
 use crate::frontend::Sockets;
 use crate::net::http::{self, Message};
 use crate::net::{ConnId, Pool};
-use crate::routing::{EndpointId, LoadReport, Outcome};
+use crate::routing::{EndpointId, JobId, LoadReport, Outcome};
 
 /// How long a probe may take, in milliseconds.
 pub(super) const PATIENCE: f64 = 500.0;
@@ -24,7 +24,7 @@
 const GIVES_UP: u32 = 3;
 
 /// A dispatch: its session and its number.
-pub(super) type FlightId = (SessionId, usize);
+pub(super) type FlightId = (JobId, usize);
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug)]
@@ -99,13 +99,13 @@
 
     /// Attempts of a session that are being given up where no two may be out: whether the next may go, none while
     /// that is not known.
-    fn gave_up(&self, session: SessionId) -> Option<bool> {
+    fn gave_up(&self, session: JobId) -> Option<bool> {
         let leaving = self.flights.iter().filter(|((s, _), _)| *s == session).filter_map(|(_, f)| f.leaves);
         leaving.max().map_or(Some(true), |tries| (tries >= GIVES_UP).then_some(false))
     }
 
     /// Forgets what a session that is over was still giving up.
-    pub fn forget(&mut self, session: SessionId) {
+    pub fn forget(&mut self, session: JobId) {
         self.flights.retain(|(s, _), flight| *s != session || flight.leaves.is_none());
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Finds a connection for a dispatch. It is written once that is up, which may be much later.
-    pub(super) fn send(&mut self, net: &mut Sockets, session: SessionId, attempt: usize, server: EndpointId) {
+    pub(super) fn send(&mut self, net: &mut Sockets, session: JobId, attempt: usize, server: EndpointId) {
         let flight = (session, attempt);
         if self.has_left(net, session) {
             return;
@@ -225,7 +225,7 @@
     }
 
     /// Calls a dispatch off: before the job was taken by closing the connection, after that by a DELETE.
-    pub(super) fn cancel(&mut self, net: &mut Sockets, session: SessionId, attempt: usize) {
+    pub(super) fn cancel(&mut self, net: &mut Sockets, session: JobId, attempt: usize) {
         let Some(flight) = self.backends.flights.remove(&(session, attempt)) else { return };
         // While the session goes on its next attempt waits where no two may be out together.
         let waits = !self.core.site().copies && self.jobs.contains_key(&session);
@@ -272,7 +272,7 @@
     }
 
     /// Lets a session's next attempt go on that waited for an older one to be given up.
-    fn resume(&mut self, net: &mut Sockets, session: SessionId) {
+    fn resume(&mut self, net: &mut Sockets, session: JobId) {
         let own = self.backends.flights.iter().filter(|((s, _), _)| *s == session);
         for conn in own.filter_map(|(_, f)| f.conn).collect::<Vec<_>>() {
             self.backend_ready(net, conn);
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::core::{Line, micros};
+use crate::core::{ListedEndpoint, micros};
 use crate::flow::{Allowance, Bounds, Dispatch, LEAST, Pace};
 use crate::routing::{
     Capabilities, Class, Endpoint, EndpointId, EndpointStatus, Idempotency, ServiceRules, Settings,
@@ -314,7 +314,7 @@
     /// Bytes of a turn.
     pub quantum: usize,
     /// The backend servers of the file.
-    pub lines: Vec<Line>,
+    pub lines: Vec<ListedEndpoint>,
 }
 
 impl Table {
@@ -476,10 +476,10 @@
 }
 
 impl ServerTable {
-    fn line(&self) -> Line {
+    fn line(&self) -> ListedEndpoint {
         let state = if self.draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
         let member =
             Endpoint { id: EndpointId::default(), size: self.share, status: state, ..Endpoint::default() };
-        Line { name: self.name.clone(), address: self.dial.to_string(), member }
+        ListedEndpoint { name: self.name.clone(), address: self.dial.to_string(), member }
     }
 }
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -12,10 +12,10 @@
 
 use super::discovery::{Discovery, Heard};
 use super::{Leaving, Sockets};
-use crate::core::{Clock, Command, Core, SessionId, Verdict};
+use crate::core::{Clock, Command, Core, FinalAnswer};
 use crate::flow::{Admission, Flow, Slots, StreamId};
 use crate::net::{ConnId, Pipes, Pool};
-use crate::routing::EndpointId;
+use crate::routing::{EndpointId, JobId};
 
 use clients::Client;
 pub use config::{Config, ConfigError, Table};
@@ -35,7 +35,7 @@
     servers: FxHashMap<ConnId, Server>,
     pool: Pool<EndpointId>,
     exchanges: FxHashMap<StreamId, Exchange>,
-    sessions: FxHashMap<SessionId, StreamId>,
+    sessions: FxHashMap<JobId, StreamId>,
     flow: Flow,
     admission: Admission,
     slots: Slots,
@@ -189,12 +189,12 @@
     }
 
     /// The final answer of a session, where its front has not given it already.
-    fn answer(&mut self, net: &mut Sockets, session: SessionId, verdict: Verdict) {
+    fn answer(&mut self, net: &mut Sockets, session: JobId, verdict: FinalAnswer) {
         let Some(&stream) = self.sessions.get(&session) else { return };
         match verdict {
-            Verdict::Served(_) => self.finish(net, stream),
-            Verdict::Denied { retry_after } => self.refuse(net, stream, 503, retry_after),
-            Verdict::Failed => self.refuse(net, stream, 502, 0.0),
+            FinalAnswer::Served(_) => self.finish(net, stream),
+            FinalAnswer::Rejected { retry_after } => self.refuse(net, stream, 503, retry_after),
+            FinalAnswer::Failed => self.refuse(net, stream, 502, 0.0),
         }
     }
 
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -2,14 +2,14 @@
 
 use super::Stream;
 use super::config::StreamClass;
-use crate::core::{Request, SessionId, Verdict};
+use crate::core::{FinalAnswer, JobRequest};
 use crate::flow::{Hold, Moved, Side, StreamId, Turn, Way};
 use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Decoder, Framing, chunk_head, last_chunk};
 use crate::net::head::{self, AnswerHead, RequestHead};
 use crate::net::http;
 use crate::net::{Conn, ConnId, PIPED, Pipe, Pipes};
-use crate::routing::{EndpointId, LoadReport, Outcome};
+use crate::routing::{EndpointId, JobId, LoadReport, Outcome};
 
 /// Interim answers that are passed on for one request.
 const INTERIM: u8 = 16;
@@ -61,7 +61,7 @@
     up_ended: bool,
     /// Through which a long body goes, where it may.
     pipe: Option<Pipe>,
-    pub session: Option<SessionId>,
+    pub session: Option<JobId>,
     pub attempt: usize,
     pub server: Option<(ConnId, EndpointId)>,
     pub down: Option<Down>,
@@ -272,7 +272,7 @@
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         exchange.up = Up::Rests;
         self.flow.rest(stream, Way::Up, now);
-        let request = Request {
+        let request = JobRequest {
             class: exchange.class,
             due: now + exchange.of.longest,
             slots: 1.0,
@@ -284,7 +284,7 @@
                 exchange.session = Some(session);
                 self.sessions.insert(session, stream);
             }
-            Err(Verdict::Denied { retry_after }) => self.refuse(net, stream, 503, retry_after),
+            Err(FinalAnswer::Rejected { retry_after }) => self.refuse(net, stream, 503, retry_after),
             Err(_) => self.refuse(net, stream, 502, 0.0),
         }
     }
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -4,13 +4,13 @@
 
 use super::Stream;
 use super::relay::Up;
-use crate::core::SessionId;
+
 use crate::flow::{StreamId, Way};
 use crate::frontend::Sockets;
 use crate::net::head;
 use crate::net::http::HEAD;
 use crate::net::{ConnId, HELD};
-use crate::routing::{EndpointId, Outcome};
+use crate::routing::{EndpointId, JobId, Outcome};
 
 /// A connection to a backend server.
 pub(super) struct Server {
@@ -24,7 +24,7 @@
 
 impl Stream {
     /// Sends a dispatch, as far as its body has come.
-    pub(super) fn send(&mut self, net: &mut Sockets, session: SessionId, attempt: usize, worker: EndpointId) {
+    pub(super) fn send(&mut self, net: &mut Sockets, session: JobId, attempt: usize, worker: EndpointId) {
         let now = self.now();
         let Some(&stream) = self.sessions.get(&session) else { return };
         let opening = self.exchanges.get_mut(&stream).and_then(|e| e.opening());
@@ -53,7 +53,7 @@
     }
 
     /// Tells the core of a dispatch of which nothing was sent.
-    fn unsent(&mut self, session: SessionId, attempt: usize, outcome: Outcome, worker: EndpointId) {
+    fn unsent(&mut self, session: JobId, attempt: usize, outcome: Outcome, worker: EndpointId) {
         let report = self.slots.report(worker);
         self.core.ended(session, attempt, outcome, report, Vec::new());
     }
@@ -85,7 +85,7 @@
     }
 
     /// A dispatch is called off.
-    pub(super) fn cancel(&mut self, net: &mut Sockets, session: SessionId, attempt: usize) {
+    pub(super) fn cancel(&mut self, net: &mut Sockets, session: JobId, attempt: usize) {
         let Some(&stream) = self.sessions.get(&session) else { return };
         let Some(exchange) = self.exchanges.get_mut(&stream).filter(|e| e.attempt == attempt) else { return };
         (exchange.up, exchange.answer_by) = (Up::Rests, f64::INFINITY);
--- a/src/ingest/policy.rs
+++ b/src/ingest/policy.rs
@@ -8,7 +8,7 @@
 
 use super::rules::{Empty, Event, Rule, Test};
 use super::{MOST_HEADERS, MOST_PARTITIONS, MOST_RULES};
-use crate::core::Selector;
+use crate::core::EndpointSelector;
 use crate::settings::Site;
 
 /// What is wrong with a policy, and in which line.
@@ -141,7 +141,7 @@
     /// Its version.
     pub version: u64,
     /// The partitions: their names, lines, and which servers they are.
-    pub partitions: Vec<(String, usize, Selector)>,
+    pub partitions: Vec<(String, usize, EndpointSelector)>,
     /// The rules, in order: the first that fits counts.
     pub rules: Vec<Rule>,
 }
@@ -182,7 +182,7 @@
             let kinds = places(&table.kinds, &site.kinds, "kind", at, &mut wrong);
             let zones = places(&table.zones, &site.zones, "zone", at, &mut wrong);
             let small = |list: Option<Vec<usize>>| list.map(|l| l.into_iter().map(|at| at as u16).collect());
-            let selector = Selector {
+            let selector = EndpointSelector {
                 kinds: small(kinds),
                 zones: small(zones),
                 cells: table.blocks.clone(),
@@ -243,7 +243,7 @@
     }
 
     /// What is wrong with it where `has` tells whether a server is listed that a partition selects.
-    pub fn nobody(&self, has: impl Fn(&Selector) -> bool) -> Vec<PolicyError> {
+    pub fn nobody(&self, has: impl Fn(&EndpointSelector) -> bool) -> Vec<PolicyError> {
         let bare = self.partitions.iter().filter(|(_, _, selector)| !has(selector));
         bare.map(|(name, line, _)| PolicyError { line: *line, fault: Fault::Nobody(name.clone()) }).collect()
     }
--- a/src/routing/warm_state.rs
+++ b/src/routing/warm_state.rs
@@ -11,7 +11,7 @@
 use super::types::{EndpointId, Job, Micros};
 
 /// Most workers, kinds, zones and classes that are recalled: as many as the server table holds.
-const MOST: usize = crate::core::MOST_SERVERS;
+const MOST: usize = crate::core::MAX_ENDPOINTS;
 
 /// What was learned of one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -11,7 +11,7 @@
 use std::process::Command;
 use std::time::Instant;
 
-use micabeam::core::{Clock, Core, Line};
+use micabeam::core::{Clock, Core, ListedEndpoint};
 use micabeam::frontend::handover::Note;
 use micabeam::lifecycle::warm_state::WarmStateFile;
 use micabeam::routing::{Endpoint, EndpointId, EndpointStatus};
@@ -144,7 +144,7 @@
     assert_eq!(memory.lines.len(), 2);
     let site = Site::parse(SETTINGS.as_bytes()).unwrap();
     let mut core = Core::new(site, 1, Clock::manual(left_at + 500.0), 64);
-    let line = |line: &micabeam::lifecycle::warm_state::StoredEndpoint| Line {
+    let line = |line: &micabeam::lifecycle::warm_state::StoredEndpoint| ListedEndpoint {
         name: line.name.clone(),
         address: line.address.clone(),
         member: Endpoint {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,9 +4,10 @@
 mod net;
 
 use micabeam::core::{
-    Clock, Command, Core, Line, MOST_SERVERS, PoolId, Request, Selector, SessionId, Verdict,
+    Clock, Command, Core, EndpointSelector, FinalAnswer, JobRequest, ListedEndpoint, MAX_ENDPOINTS,
+    PartitionId,
 };
-use micabeam::routing::{Endpoint, EndpointStatus, LoadReport, Outcome};
+use micabeam::routing::{Endpoint, EndpointStatus, JobId, LoadReport, Outcome};
 use micabeam::settings::Site;
 
 const START: f64 = 1_700_000_000_000.0;
@@ -15,7 +16,7 @@
     let clock = Clock::manual(START);
     let site = Site::parse(net::SETTINGS.as_bytes()).unwrap();
     let mut core = Core::new(site, 1, clock.clone(), limit);
-    let line = |name: &&str| Line {
+    let line = |name: &&str| ListedEndpoint {
         name: name.to_string(),
         address: String::new(),
         member: Endpoint { size: 1.0, ..Endpoint::default() },
@@ -24,15 +25,15 @@
     (core, clock)
 }
 
-fn request(class: usize, wait: f64) -> Request {
-    Request { class, due: START + wait, slots: 1.0, work: None, pool: 0 }
+fn request(class: usize, wait: f64) -> JobRequest {
+    JobRequest { class, due: START + wait, slots: 1.0, work: None, pool: 0 }
 }
 
 fn commands(core: &mut Core) -> Vec<Command> {
     std::iter::from_fn(|| core.next_command()).collect()
 }
 
-fn answers(commands: &[Command]) -> Vec<(SessionId, Verdict)> {
+fn answers(commands: &[Command]) -> Vec<(JobId, FinalAnswer)> {
     let answer = |c: &Command| match c {
         Command::Answer { session, verdict } => Some((*session, verdict.clone())),
         _ => None,
@@ -48,7 +49,7 @@
     assert!(core.ended(id, 0, Outcome::Served, LoadReport::default(), b"ok".to_vec()));
     assert!(!core.ended(id, 0, Outcome::Served, LoadReport::default(), b"again".to_vec()));
     assert!(!core.ended(id, 0, Outcome::Reset, LoadReport::default(), Vec::new()));
-    assert_eq!(answers(&commands(&mut core)), [(id, Verdict::Served(b"ok".to_vec()))]);
+    assert_eq!(answers(&commands(&mut core)), [(id, FinalAnswer::Served(b"ok".to_vec()))]);
     let counters = core.counters();
     assert_eq!((counters.served, counters.stray, core.open()), (1, 2, 0));
 }
@@ -67,7 +68,8 @@
             told.extend(commands(&mut core));
         }
         // Answered in time, and the dispatch called off; only the safe one may be called harmless.
-        let verdict = if class == 0 { Verdict::Denied { retry_after: 2000.0 } } else { Verdict::Failed };
+        let verdict =
+            if class == 0 { FinalAnswer::Rejected { retry_after: 2000.0 } } else { FinalAnswer::Failed };
         assert_eq!(answers(&told), [(id, verdict)]);
         assert!(told.contains(&Command::Cancel { session: id, attempt: 0 }), "{told:?}");
         assert!(clock.now() <= end && core.open() == 0);
@@ -78,7 +80,7 @@
 fn what_cannot_be_held_is_denied_and_counted() {
     let (mut core, _) = core(1, &["a"]);
     core.request(request(1, 4000.0)).unwrap();
-    assert_eq!(core.request(request(1, 4000.0)), Err(Verdict::Denied { retry_after: 2000.0 }));
+    assert_eq!(core.request(request(1, 4000.0)), Err(FinalAnswer::Rejected { retry_after: 2000.0 }));
     assert!(core.request(request(1, -1.0)).is_err(), "its deadline has passed");
     core.stop();
     assert!(core.request(request(1, 4000.0)).is_err(), "the program stops");
@@ -98,7 +100,7 @@
         clock.set(at);
         core.tick();
     }
-    assert_eq!(answers(&commands(&mut core)), [(late, Verdict::Failed)]);
+    assert_eq!(answers(&commands(&mut core)), [(late, FinalAnswer::Failed)]);
 }
 
 #[test]
@@ -154,7 +156,7 @@
     core.tick();
     assert_eq!(commands(&mut core), []);
     core.ended(id, 0, Outcome::Reset, LoadReport::default(), Vec::new());
-    assert_eq!(commands(&mut core), [Command::Answer { session: id, verdict: Verdict::Failed }]);
+    assert_eq!(commands(&mut core), [Command::Answer { session: id, verdict: FinalAnswer::Failed }]);
     assert!(!core.streaming(id, 0), "it is over");
     assert_eq!((core.open(), core.counters().sent), (0, 1));
 }
@@ -191,15 +193,15 @@
     assert!(gauges.members_unavailable <= 1, "only the server that failed may be avoided: {gauges:?}");
 }
 
-fn prefix(head: &str) -> Selector {
-    Selector { prefixes: Some(vec![head.into()]), ..Selector::default() }
+fn prefix(head: &str) -> EndpointSelector {
+    EndpointSelector { prefixes: Some(vec![head.into()]), ..EndpointSelector::default() }
 }
 
 /// The servers that so many requests kept to a pool go to.
-fn servers_of(core: &mut Core, pool: PoolId, count: usize) -> Vec<String> {
+fn servers_of(core: &mut Core, pool: PartitionId, count: usize) -> Vec<String> {
     let mut names = Vec::new();
     for _ in 0..count {
-        let id = core.request(Request { pool, ..request(1, 4000.0) }).unwrap();
+        let id = core.request(JobRequest { pool, ..request(1, 4000.0) }).unwrap();
         for command in commands(core) {
             if let Command::Send { server, .. } = command {
                 names.push(core.table().get(server).unwrap().line.name.clone());
@@ -226,7 +228,7 @@
     );
     assert_eq!(servers_of(&mut core, a, 8), ["a-1", "a-2"]);
     assert_eq!(servers_of(&mut core, b, 8), ["b-1"]);
-    let line = |name: &str| Line {
+    let line = |name: &str| ListedEndpoint {
         name: name.into(),
         address: String::new(),
         member: Endpoint { size: 1.0, ..Endpoint::default() },
@@ -236,7 +238,7 @@
     assert_eq!(servers_of(&mut core, b, 8), ["b-1", "b-2"], "and one that came");
     assert!(core.has(&prefix("b-")) && !core.has(&prefix("c-")));
     // A pool that has no server gives a request up in time, as the whole would.
-    let id = core.request(Request { pool: none, ..request(1, clock.now() - START + 400.0) }).unwrap();
+    let id = core.request(JobRequest { pool: none, ..request(1, clock.now() - START + 400.0) }).unwrap();
     let end = clock.now() + 400.0;
     let mut answered = Vec::new();
     while answered.is_empty() && clock.now() <= end {
@@ -252,7 +254,7 @@
 fn what_was_taken_under_an_old_policy_ends_in_its_own_pool() {
     let (mut core, _) = core(100, &["a-1", "b-1"]);
     let a = core.repool(&[prefix("a-")])[0];
-    let id = core.request(Request { pool: a, ..request(0, 4000.0) }).unwrap();
+    let id = core.request(JobRequest { pool: a, ..request(0, 4000.0) }).unwrap();
     commands(&mut core);
     let b = core.repool(&[prefix("b-")])[0];
     assert_eq!(core.pools(), 2);
@@ -278,7 +280,7 @@
     let site = Site::parse(net::SETTINGS.as_bytes()).unwrap();
     let mut core = Core::new(site, 1, clock.clone(), 1000);
     let born = (START * 1e3) as u64;
-    let line = |name: &str, born| Line {
+    let line = |name: &str, born| ListedEndpoint {
         name: name.into(),
         address: String::new(),
         member: Endpoint { size: 1.0, started_at: born, ..Endpoint::default() },
@@ -288,9 +290,10 @@
     for change in 0..40 {
         // Each time another selector of the same server, so that each is a new pool.
         let heads = vec!["a-".to_string(), format!("x{change}")];
-        let pool = core.repool(&[Selector { prefixes: Some(heads), ..Selector::default() }])[0];
+        let pool =
+            core.repool(&[EndpointSelector { prefixes: Some(heads), ..EndpointSelector::default() }])[0];
         for _ in 0..2 {
-            let _ = core.request(Request { pool, ..request(1, 4000.0) });
+            let _ = core.request(JobRequest { pool, ..request(1, 4000.0) });
             sent += commands(&mut core).iter().filter(|c| matches!(c, Command::Send { .. })).count();
         }
     }
@@ -301,13 +304,13 @@
 /// Guards against lines of a long list that are dropped without a word: what the table has no room for is counted.
 #[test]
 fn lines_beyond_the_table_s_bound_are_counted_and_gone_ones_make_room() {
-    let names: Vec<String> = (0..MOST_SERVERS + 3).map(|number| format!("w{number}")).collect();
+    let names: Vec<String> = (0..MAX_ENDPOINTS + 3).map(|number| format!("w{number}")).collect();
     let (mut core, _) = core(10, &names.iter().map(String::as_str).collect::<Vec<_>>());
-    assert_eq!((core.table().listed().len(), core.counters().lines_dropped), (MOST_SERVERS, 3));
+    assert_eq!((core.table().listed().len(), core.counters().lines_dropped), (MAX_ENDPOINTS, 3));
     assert!(core.counters().to_string().contains("lines_dropped 3\n"));
     let line = |name: &str, state| {
         let member = Endpoint { size: 1.0, status: state, ..Endpoint::default() };
-        Line { name: name.into(), address: String::new(), member }
+        ListedEndpoint { name: name.into(), address: String::new(), member }
     };
     core.listed(vec![line("w0", EndpointStatus::Gone), line("late", EndpointStatus::Ready)], false);
     assert!(core.table().id("late").is_some_and(|id| core.table().get(id).is_some()));
