--- a/benches/lists.rs
+++ b/benches/lists.rs
@@ -19,7 +19,7 @@
         status: state,
         ..Endpoint::default()
     };
-    ListedEndpoint { name: format!("worker-{number:06}"), address: "127.0.0.1:8081".into(), member }
+    ListedEndpoint { name: format!("worker-{number:06}"), address: "127.0.0.1:8081".into(), endpoint: member }
 }
 
 fn lines(count: usize) -> Vec<ListedEndpoint> {
@@ -30,7 +30,7 @@
     let clock = Clock::manual(1e9);
     let site = Site::parse(include_bytes!("../examples/settings.json")).expect("the example reads");
     let mut core = Core::new(site, 1, clock.clone(), 100);
-    core.listed(lines(workers), true);
+    core.on_list(lines(workers), true);
     (core, clock)
 }
 
@@ -42,7 +42,7 @@
             let (mut core, _) = core(size);
             b.iter_batched(
                 || lines(size),
-                |lines| core.listed(black_box(lines), true),
+                |lines| core.on_list(black_box(lines), true),
                 BatchSize::LargeInput,
             );
         });
@@ -59,7 +59,7 @@
             b.iter(|| {
                 turn += 1;
                 let state = if turn % 2 == 0 { EndpointStatus::Ready } else { EndpointStatus::Draining };
-                core.listed(vec![line(7, state)], false);
+                core.on_list(vec![line(7, state)], false);
             });
         });
     }
@@ -73,10 +73,17 @@
             b.iter(|| {
                 clock.set(clock.now() + 1.0);
                 let due = clock.now() + 4000.0;
-                let _ = core.request(JobRequest { class: 2, due, slots: 1.0, work: None, pool: 0 });
+                let _ =
+                    core.submit(JobRequest { class: 2, deadline: due, slots: 1.0, work: None, partition: 0 });
                 while let Some(command) = core.next_command() {
-                    if let Command::Send { session, attempt, .. } = command {
-                        core.ended(session, attempt, Outcome::Served, LoadReport::default(), Vec::new());
+                    if let Command::Send { job: session, attempt, .. } = command {
+                        core.on_attempt_ended(
+                            session,
+                            attempt,
+                            Outcome::Served,
+                            LoadReport::default(),
+                            Vec::new(),
+                        );
                     }
                 }
             });
--- a/rig/src/scale/lists.rs
+++ b/rig/src/scale/lists.rs
@@ -101,17 +101,17 @@
         read_list(&json::parse(text.as_bytes()).map_err(failed)?, core.site()).map_err(failed)?;
     let parse_ms = began.elapsed().as_secs_f64() * 1e3;
     let began = Instant::now();
-    core.listed(read, whole);
+    core.on_list(read, whole);
     let apply_ms = began.elapsed().as_secs_f64() * 1e3;
     let memory_kb = resident_kb().saturating_sub(before);
-    let dropped = (workers - core.table().listed().len()) as u64;
+    let dropped = (workers - core.endpoints().listed().len()) as u64;
     let began = Instant::now();
     for version in 0..CHANGES {
         let health = if version % 2 == 0 { "draining" } else { "up" };
         let text = list(version + 2, false, &[line(version / 2 % workers, health)]);
         let change = json::parse(text.as_bytes()).map_err(failed)?;
         let (_, read, whole) = read_list(&change, core.site()).map_err(failed)?;
-        core.listed(read, whole);
+        core.on_list(read, whole);
     }
     let change_ms = began.elapsed().as_secs_f64() * 1e3 / CHANGES as f64;
     let job_us = jobs(&mut core, &clock);
@@ -139,14 +139,16 @@
     let mut out = 0;
     for _ in 0..jobs {
         let due = clock.now() + LONG;
-        let _ = core.request(JobRequest { class: 2, due, slots: 1.0, work: None, pool: 0 });
+        let _ = core.submit(JobRequest { class: 2, deadline: due, slots: 1.0, work: None, partition: 0 });
         while let Some(command) = core.next_command() {
             match command {
-                Command::Send { session, attempt, .. } => {
-                    core.started(session, attempt);
+                Command::Send { job: session, attempt, .. } => {
+                    core.on_attempt_started(session, attempt);
                     out += 1;
                 }
-                Command::Probe { server } => core.probed(server, true, 1.0, LoadReport::default()),
+                Command::Probe { endpoint: server } => {
+                    core.on_probe_ended(server, true, 1.0, LoadReport::default())
+                }
                 _ => {}
             }
         }
@@ -160,13 +162,27 @@
     for number in 0..JOBS {
         clock.set(clock.now() + 1.0);
         let due = clock.now() + PATIENCE;
-        let _ = core.request(JobRequest { class: number % 3, due, slots: 1.0, work: None, pool: 0 });
+        let _ = core.submit(JobRequest {
+            class: number % 3,
+            deadline: due,
+            slots: 1.0,
+            work: None,
+            partition: 0,
+        });
         while let Some(command) = core.next_command() {
             match command {
-                Command::Send { session, attempt, .. } => {
-                    core.ended(session, attempt, Outcome::Served, LoadReport::default(), Vec::new());
+                Command::Send { job: session, attempt, .. } => {
+                    core.on_attempt_ended(
+                        session,
+                        attempt,
+                        Outcome::Served,
+                        LoadReport::default(),
+                        Vec::new(),
+                    );
+                }
+                Command::Probe { endpoint: server } => {
+                    core.on_probe_ended(server, true, 1.0, LoadReport::default())
                 }
-                Command::Probe { server } => core.probed(server, true, 1.0, LoadReport::default()),
                 _ => {}
             }
         }
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -16,7 +16,7 @@
     /// Where its front finds it; the core only keeps it.
     pub address: String,
     /// What the module is told of it; its id is filled in here.
-    pub member: Endpoint,
+    pub endpoint: Endpoint,
 }
 
 /// A backend server.
@@ -39,7 +39,7 @@
     /// Takes lines in and gives them as the module reads them.
     pub fn apply(&mut self, lines: Vec<ListedEndpoint>, whole: bool) -> Vec<Endpoint> {
         if whole {
-            self.servers.values_mut().for_each(|s| s.line.member.status = EndpointStatus::Gone);
+            self.servers.values_mut().for_each(|s| s.line.endpoint.status = EndpointStatus::Gone);
         }
         let mut members = Vec::with_capacity(lines.len());
         for mut line in lines {
@@ -51,8 +51,8 @@
                 }
                 None => self.name(&line.name),
             };
-            line.member.id = id;
-            members.push(line.member);
+            line.endpoint.id = id;
+            members.push(line.endpoint);
             self.servers.insert(id, EndpointEntry { line });
         }
         members
@@ -73,7 +73,7 @@
 
     /// Makes room by forgetting a backend server that is gone.
     fn forget(&mut self) -> bool {
-        let gone = self.servers.iter().find(|(_, s)| s.line.member.status == EndpointStatus::Gone);
+        let gone = self.servers.iter().find(|(_, s)| s.line.endpoint.status == EndpointStatus::Gone);
         let Some((&id, _)) = gone else { return false };
         if let Some(server) = self.servers.remove(&id) {
             self.ids.remove(&server.line.name);
@@ -98,7 +98,7 @@
 
     /// All that are not gone, in the order of their names.
     pub fn listed(&self) -> Vec<&EndpointEntry> {
-        let present = |s: &&EndpointEntry| s.line.member.status != EndpointStatus::Gone;
+        let present = |s: &&EndpointEntry| s.line.endpoint.status != EndpointStatus::Gone;
         let mut listed: Vec<&EndpointEntry> = self.servers.values().filter(present).collect();
         listed.sort_unstable_by(|a, b| a.line.name.cmp(&b.line.name));
         listed
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -8,13 +8,13 @@
     /// Its class, by index.
     pub class: usize,
     /// When its client gives up.
-    pub due: f64,
+    pub deadline: f64,
     /// Slots that it takes.
     pub slots: f64,
     /// Work that the client expects it to be, in milliseconds on a core of speed 1; none: not told.
     pub work: Option<f64>,
     /// The pool of servers that it is kept to; 0: all.
-    pub pool: super::PartitionId,
+    pub partition: super::PartitionId,
 }
 
 /// A final answer.
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     /// The backend server.
-    pub server: EndpointId,
+    pub endpoint: EndpointId,
     /// When it was sent; of a body that was relayed as it came, when the last of it was.
     pub sent: f64,
     /// When its answer began, where that is relayed as it comes.
@@ -54,7 +54,7 @@
     /// What was asked.
     pub request: JobRequest,
     /// Its dispatches; the module counts them in the same order.
-    pub dispatches: Vec<Attempt>,
+    pub attempts: Vec<Attempt>,
     /// It has had its answer, or its client left.
     pub over: bool,
     /// Its answer has begun to be relayed: what becomes of the dispatch is what becomes of the session.
--- a/src/core/partition.rs
+++ b/src/core/partition.rs
@@ -25,7 +25,7 @@
 impl EndpointSelector {
     /// Whether a server is one of them.
     pub fn fits(&self, line: &ListedEndpoint) -> bool {
-        let ListedEndpoint { name, member, .. } = line;
+        let ListedEndpoint { name, endpoint: member, .. } = line;
         self.kinds.as_ref().is_none_or(|kinds| kinds.contains(&member.kind))
             && self.zones.as_ref().is_none_or(|zones| zones.contains(&member.zone))
             && self.cells.as_ref().is_none_or(|cells| cells.contains(&member.cell))
@@ -78,5 +78,5 @@
 /// Whether any listed server that takes work is one of these.
 pub(super) fn has(table: &EndpointTable, selector: &EndpointSelector) -> bool {
     let ready = table.listed();
-    ready.iter().any(|s| s.line.member.status == EndpointStatus::Ready && selector.fits(&s.line))
+    ready.iter().any(|s| s.line.endpoint.status == EndpointStatus::Ready && selector.fits(&s.line))
 }
--- a/src/core/stages/accept.rs
+++ b/src/core/stages/accept.rs
@@ -6,6 +6,6 @@
 /// Counts a request and gives it an id that is never used again.
 pub fn accept(core: &mut Core) -> JobId {
     core.counters.taken += 1;
-    core.last.0 += 1;
-    core.last
+    core.last_job.0 += 1;
+    core.last_job
 }
--- a/src/core/stages/admit.rs
+++ b/src/core/stages/admit.rs
@@ -7,15 +7,16 @@
 /// Nothing was sent, so that a denial is harmless for any class.
 pub fn admit(core: &mut Core, mut request: JobRequest) -> Result<JobRequest, FinalAnswer> {
     // Guards against a request that is taken while the program stops and found unanswered by the kill.
-    if let Some((from, end)) = core.hurry
+    if let Some((from, end)) = core.late_deadline
         && core.clock.now() >= from
     {
-        request.due = request.due.min(end);
+        request.deadline = request.deadline.min(end);
     }
-    let full = core.sessions.len() >= core.limit;
-    let late = request.due <= core.clock.now();
+    let full = core.jobs.len() >= core.max_jobs;
+    let late = request.deadline <= core.clock.now();
     // What no zone has room for is refused at the near side.
-    let crowded = !(full || late || core.stopping) && core.steer.as_mut().is_some_and(|steer| !steer.takes());
+    let crowded =
+        !(full || late || core.stopping) && core.traffic_split.as_mut().is_some_and(|steer| !steer.takes());
     if !(full || late || core.stopping || crowded) {
         return Ok(request);
     }
--- a/src/core/stages/answer.rs
+++ b/src/core/stages/answer.rs
@@ -6,7 +6,7 @@
 
 /// Gives a session its final answer. Only the first counts.
 pub fn answer(core: &mut Core, id: JobId, verdict: FinalAnswer) {
-    let Some(session) = core.sessions.get_mut(&id).filter(|s| !s.over) else { return };
+    let Some(session) = core.jobs.get_mut(&id).filter(|s| !s.over) else { return };
     session.over = true;
     let class = session.request.class;
     core.ended.push(id);
@@ -25,15 +25,15 @@
         }
     };
     core.telemetry.answered(class, result);
-    core.commands.push_back(Command::Answer { session: id, verdict });
+    core.commands.push_back(Command::Answer { job: id, answer: verdict });
 }
 
 /// Forgets sessions that are over, once the module has called off their other dispatches.
 pub fn forget(core: &mut Core) {
     let mut gone = false;
     for id in core.ended.drain(..) {
-        let session = core.sessions.remove(&id);
-        let pool = session.and_then(|session| core.pools.get_mut(&session.request.pool));
+        let session = core.jobs.remove(&id);
+        let pool = session.and_then(|session| core.partitions.get_mut(&session.request.partition));
         if let Some(pool) = pool {
             pool.open -= 1;
             // The last request of a pool that no rule leads to any more.
@@ -41,6 +41,6 @@
         }
     }
     if gone {
-        core.drop_pools();
+        core.drop_unused_partitions();
     }
 }
--- a/src/core/stages/complete.rs
+++ b/src/core/stages/complete.rs
@@ -15,21 +15,21 @@
     result: Vec<u8>,
 ) -> bool {
     let now = core.clock.now();
-    let session = core.sessions.get_mut(&id).filter(|s| !s.over);
-    let Some(dispatch) = session.and_then(|s| s.dispatches.get_mut(attempt)).filter(|d| d.out) else {
+    let session = core.jobs.get_mut(&id).filter(|s| !s.over);
+    let Some(dispatch) = session.and_then(|s| s.attempts.get_mut(attempt)).filter(|d| d.out) else {
         core.counters.stray += 1;
         return false;
     };
     dispatch.out = false;
     dispatch.never_ran = outcome.never_ran();
     // How long its server took: the pace of a long answer is its client's as well.
-    let (worker, latency) = (dispatch.server, micros(dispatch.began.unwrap_or(now) - dispatch.sent));
-    let streaming = core.sessions.get(&id).is_some_and(|s| s.streaming);
-    if let Some(steer) = &mut core.steer
+    let (worker, latency) = (dispatch.endpoint, micros(dispatch.began.unwrap_or(now) - dispatch.sent));
+    let streaming = core.jobs.get(&id).is_some_and(|s| s.streaming);
+    if let Some(steer) = &mut core.traffic_split
         && let Some(end) = traffic_split::end(outcome)
-        && let Some(server) = core.table.get(worker)
+        && let Some(server) = core.endpoints.get(worker)
     {
-        steer.note(TrafficEvent::Ended { zone: server.line.member.zone, end, took: millis(latency) });
+        steer.note(TrafficEvent::Ended { zone: server.line.endpoint.zone, end, took: millis(latency) });
     }
     match outcome {
         Outcome::Served => answer::answer(core, id, FinalAnswer::Served(result)),
@@ -53,7 +53,7 @@
 
 /// The start of a dispatch's job.
 pub fn started(core: &mut Core, id: JobId, attempt: usize) {
-    let dispatch = core.sessions.get(&id).and_then(|s| s.dispatches.get(attempt));
+    let dispatch = core.jobs.get(&id).and_then(|s| s.attempts.get(attempt));
     if dispatch.is_some_and(|d| d.out) {
         route::drive_of(core, id, Event::Started { job: id, attempt });
     }
@@ -63,7 +63,7 @@
 pub fn written(core: &mut Core, id: JobId, attempt: usize) {
     whole(core, id, attempt);
     let now = core.clock.now();
-    let dispatch = core.sessions.get_mut(&id).and_then(|s| s.dispatches.get_mut(attempt));
+    let dispatch = core.jobs.get_mut(&id).and_then(|s| s.attempts.get_mut(attempt));
     if let Some(dispatch) = dispatch.filter(|d| d.out && d.began.is_none()) {
         dispatch.sent = now;
     }
@@ -71,7 +71,7 @@
 
 /// A dispatch's request is with its server, all of it: counted once, however often a front tells it.
 pub fn whole(core: &mut Core, id: JobId, attempt: usize) {
-    let dispatch = core.sessions.get_mut(&id).and_then(|s| s.dispatches.get_mut(attempt));
+    let dispatch = core.jobs.get_mut(&id).and_then(|s| s.attempts.get_mut(attempt));
     if let Some(dispatch) = dispatch.filter(|d| !d.whole) {
         dispatch.whole = true;
         core.telemetry.written();
@@ -81,8 +81,8 @@
 /// The answer of a dispatch has begun, and is relayed as it comes. False if the dispatch is over.
 pub fn streaming(core: &mut Core, id: JobId, attempt: usize) -> bool {
     let now = core.clock.now();
-    let Some(session) = core.sessions.get_mut(&id).filter(|s| !s.over) else { return false };
-    let Some(dispatch) = session.dispatches.get_mut(attempt).filter(|d| d.out) else { return false };
+    let Some(session) = core.jobs.get_mut(&id).filter(|s| !s.over) else { return false };
+    let Some(dispatch) = session.attempts.get_mut(attempt).filter(|d| d.out) else { return false };
     dispatch.began.get_or_insert(now);
     if !std::mem::replace(&mut session.streaming, true) {
         route::drive_of(core, id, Event::Streaming(id));
@@ -92,7 +92,7 @@
 
 /// The client has left: nothing is owed any more, and the module calls off what is out.
 pub fn client_left(core: &mut Core, id: JobId) {
-    let Some(session) = core.sessions.get_mut(&id).filter(|s| !s.over) else { return };
+    let Some(session) = core.jobs.get_mut(&id).filter(|s| !s.over) else { return };
     session.over = true;
     core.ended.push(id);
     core.counters.left += 1;
--- a/src/core/stages/route.rs
+++ b/src/core/stages/route.rs
@@ -6,18 +6,18 @@
 
 /// Hands a new session to the module.
 pub fn arrive(core: &mut Core, id: JobId, request: JobRequest) {
-    core.sessions.insert(id, ActiveJob { request, dispatches: Vec::new(), over: false, streaming: false });
-    if let Some(pool) = core.pools.get_mut(&request.pool) {
+    core.jobs.insert(id, ActiveJob { request, attempts: Vec::new(), over: false, streaming: false });
+    if let Some(pool) = core.partitions.get_mut(&request.partition) {
         pool.open += 1;
     }
-    let (due, work) = (micros(request.due), request.work.map(micros));
+    let (due, work) = (micros(request.deadline), request.work.map(micros));
     let job = Job { id: id, class: request.class, deadline: due, slots: request.slots, work };
-    drive_in(core, request.pool, Event::Job(job));
+    drive_in(core, request.partition, Event::Job(job));
 }
 
 /// Drives the module of a session with one event and carries its actions on.
 pub fn drive_of(core: &mut Core, session: JobId, event: Event<'_>) {
-    let pool = core.sessions.get(&session).map_or(0, |session| session.request.pool);
+    let pool = core.jobs.get(&session).map_or(0, |session| session.request.partition);
     drive_in(core, pool, event);
 }
 
@@ -32,9 +32,9 @@
     // Any event wakes the module, which then asks anew for what is left. Guards against sessions that never end: a
     // time that has passed, kept until the next tick, would hide the later one asked for meanwhile.
     let mut actions = std::mem::take(&mut core.actions);
-    let (module, wake_at) = match core.pools.get_mut(&pool) {
+    let (module, wake_at) = match core.partitions.get_mut(&pool) {
         Some(pool) => (&mut pool.module, &mut pool.wake_at),
-        None => (&mut core.module, &mut core.wake_at),
+        None => (&mut core.router, &mut core.wake_at),
     };
     *wake_at = wake_at.filter(|&at| at > now);
     module.handle(now, event, &mut actions);
@@ -50,7 +50,8 @@
             Action::Probe { endpoint: worker } => send::probe(core, worker),
             Action::Subscribe => send::subscribe(core),
             Action::WakeAt(at) => {
-                let wake_at = core.pools.get_mut(&pool).map_or(&mut core.wake_at, |pool| &mut pool.wake_at);
+                let wake_at =
+                    core.partitions.get_mut(&pool).map_or(&mut core.wake_at, |pool| &mut pool.wake_at);
                 *wake_at = Some(wake_at.map_or(at, |earlier| earlier.min(at)));
             }
         }
--- a/src/core/stages/send.rs
+++ b/src/core/stages/send.rs
@@ -6,26 +6,33 @@
 /// Records a dispatch and has it sent.
 pub fn send(core: &mut Core, id: JobId, server: EndpointId) {
     let sent = core.clock.now();
-    let Some(session) = core.sessions.get_mut(&id).filter(|s| !s.over) else { return };
-    let attempt = session.dispatches.len();
-    session.dispatches.push(Attempt { server, sent, began: None, out: true, never_ran: false, whole: false });
+    let Some(session) = core.jobs.get_mut(&id).filter(|s| !s.over) else { return };
+    let attempt = session.attempts.len();
+    session.attempts.push(Attempt {
+        endpoint: server,
+        sent,
+        began: None,
+        out: true,
+        never_ran: false,
+        whole: false,
+    });
     core.counters.sent += 1;
-    core.commands.push_back(Command::Send { session: id, attempt, server });
+    core.commands.push_back(Command::Send { job: id, attempt, endpoint: server });
 }
 
 /// Calls a dispatch off.
 pub fn cancel(core: &mut Core, id: JobId, attempt: usize) {
-    let dispatch = core.sessions.get_mut(&id).and_then(|s| s.dispatches.get_mut(attempt));
+    let dispatch = core.jobs.get_mut(&id).and_then(|s| s.attempts.get_mut(attempt));
     let Some(dispatch) = dispatch.filter(|d| d.out) else { return };
     dispatch.out = false;
     core.counters.cancelled += 1;
-    core.commands.push_back(Command::Cancel { session: id, attempt });
+    core.commands.push_back(Command::Cancel { job: id, attempt });
 }
 
 /// Has a backend server probed.
 pub fn probe(core: &mut Core, server: EndpointId) {
     core.counters.probes += 1;
-    core.commands.push_back(Command::Probe { server });
+    core.commands.push_back(Command::Probe { endpoint: server });
 }
 
 /// Has a watch of the list started.
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -67,16 +67,17 @@
     /// Tells a core, and gives the servers that were started again, or have moved: their old connections are gone.
     pub fn tell(self, core: &mut Core) -> Vec<EndpointId> {
         let Heard::List(lines, whole) = self else {
-            core.list_failed();
+            core.on_list_failed();
             return Vec::new();
         };
         let renewed = |line: &ListedEndpoint| {
-            let id = core.table().id(&line.name)?;
-            let old = &core.table().get(id)?.line;
-            ((old.member.started_at, &old.address) != (line.member.started_at, &line.address)).then_some(id)
+            let id = core.endpoints().id(&line.name)?;
+            let old = &core.endpoints().get(id)?.line;
+            ((old.endpoint.started_at, &old.address) != (line.endpoint.started_at, &line.address))
+                .then_some(id)
         };
         let renewed = lines.iter().filter_map(renewed).collect();
-        core.listed(lines, whole);
+        core.on_list(lines, whole);
         renewed
     }
 }
@@ -309,7 +310,7 @@
             status: state,
         };
         let address = text(host, "dial").unwrap_or("").to_string();
-        Ok(ListedEndpoint { name: name.to_string(), address, member })
+        Ok(ListedEndpoint { name: name.to_string(), address, endpoint: member })
     };
     let lines = json::list(list, "hosts").iter().map(line).collect::<Result<_, String>>()?;
     Ok((seq, lines, flag(list, "whole")))
--- a/src/frontend/fleet/mod.rs
+++ b/src/frontend/fleet/mod.rs
@@ -98,7 +98,7 @@
     pub fn steer(&mut self, core: &mut Core) {
         let place = |name: &String| self.names.iter().position(|zone| zone == name);
         self.zones = core.site().zones.iter().map(place).collect();
-        core.steered();
+        core.enable_traffic_split();
     }
 
     fn hear(&mut self, said: Said) {
@@ -165,7 +165,7 @@
     pub fn tick(&mut self, mut core: Option<&mut Core>) {
         if let (Some((shares, admit)), Some(core)) = (self.view.take(), &mut core) {
             let share = |at: &Option<usize>| at.and_then(|at| shares.get(at).copied()).unwrap_or(WHOLE);
-            core.steer(self.zones.iter().map(share).collect(), admit);
+            core.set_traffic_split(self.zones.iter().map(share).collect(), admit);
         }
         let now = self.clock.now();
         if now < self.next {
@@ -177,20 +177,20 @@
         let mut there = vec![(0, 0); self.names.len()];
         let places = |zone: u16| self.zones.get(usize::from(zone)).copied().flatten();
         if let Some(core) = &mut core {
-            core.seen(|what| match what {
+            core.drain_traffic_events(|what| match what {
                 TrafficEvent::Came { turned } => came.push(turned),
                 TrafficEvent::Ended { zone, end, took } => {
                     ended.extend(places(zone).map(|zone| (zone, end, took)));
                 }
             });
-            for (zone, (out, size)) in core.loads(self.zones.len()).into_iter().enumerate() {
+            for (zone, (out, size)) in core.zone_loads(self.zones.len()).into_iter().enumerate() {
                 if let Some((all, room)) = places(zone as u16).and_then(|at| there.get_mut(at)) {
                     *all += out.min(60_000) as u16;
                     *room += (size * self.slots).min(60_000.0) as u16;
                 }
             }
         }
-        let open = core.map_or(0, |core| core.open());
+        let open = core.map_or(0, |core| core.open_jobs());
         self.send(Told::Work { came, ended, open, there });
     }
 
--- a/src/frontend/gearman/clients.rs
+++ b/src/frontend/gearman/clients.rs
@@ -92,12 +92,12 @@
         }
         let request = JobRequest {
             class: number,
-            due: now + self.config.functions[number].wait,
+            deadline: now + self.config.functions[number].wait,
             slots: 1.0,
             work: None,
-            pool: 0,
+            partition: 0,
         };
-        match self.core.request(request) {
+        match self.core.submit(request) {
             Ok(session) => {
                 let job = Job {
                     function: number,
@@ -138,7 +138,7 @@
         job.listeners.retain(|&other| other != id);
         if job.listeners.is_empty() && job.key.is_none() {
             self.jobs.remove(&session);
-            self.core.client_left(session);
+            self.core.on_client_left(session);
         }
     }
 
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -97,7 +97,7 @@
     pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> Result<Gearman, String> {
         let identity = config.identity.clone().map(Identity::load).transpose()?;
         let mut core = Core::new(config.site.clone(), seed, clock, config.peers * JOBS);
-        core.listed(Vec::new(), true);
+        core.on_list(Vec::new(), true);
         Ok(Gearman {
             core,
             listener,
@@ -124,13 +124,13 @@
         if config.identity.is_some() != self.identity.is_some() {
             return Err("to begin or end with `identity` takes a restart".into());
         }
-        self.core.fits(&config.site)?;
+        self.core.check_compatible(&config.site)?;
         config.identity.clone().map(Identity::load).transpose()
     }
 
     /// Takes over a file that fits, and its identity.
     pub fn reload(&mut self, config: Config, identity: Option<Identity>) {
-        self.core.adopt(config.site.clone(), config.peers * JOBS);
+        self.core.reconfigure(config.site.clone(), config.peers * JOBS);
         self.record.adopt(config.record.0, config.record.1);
         (self.config, self.identity) = (config, identity);
     }
@@ -332,9 +332,11 @@
         loop {
             if let Some(command) = self.core.next_command() {
                 match command {
-                    Command::Send { session, attempt, server } => self.offer(net, (session, attempt), server),
-                    Command::Cancel { session, attempt } => self.call_off((session, attempt)),
-                    Command::Answer { session, verdict } => self.answer(net, session, verdict),
+                    Command::Send { job: session, attempt, endpoint: server } => {
+                        self.offer(net, (session, attempt), server)
+                    }
+                    Command::Cancel { job: session, attempt } => self.call_off((session, attempt)),
+                    Command::Answer { job: session, answer: verdict } => self.answer(net, session, verdict),
                     Command::Probe { .. } | Command::Subscribe => {}
                 }
             } else if let Some(id) = self.again.pop_front() {
@@ -364,7 +366,7 @@
             self.leave(net, id);
         }
         if self.closes() {
-            self.core.stop();
+            self.core.reject_new_jobs();
         }
         self.carry_out(net);
     }
@@ -375,7 +377,7 @@
         if !self.later.is_empty() {
             return now;
         }
-        let wake = self.core.wake_at().unwrap_or(f64::INFINITY);
+        let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let peers = self.peers.values().flat_map(|p| [p.ends, p.sends]).flatten();
         let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call.max(now + 20.0));
         let workers = self.peers.values().filter_map(|p| p.worker.as_ref()).map(Worker::next);
@@ -395,7 +397,9 @@
     /// Whether all that was taken is answered, and written as far as peers read.
     pub fn stopped(&mut self, net: &mut Sockets) -> bool {
         let now = self.core.clock().now();
-        let Some(leaving) = self.stopping.as_mut().filter(|_| self.core.open() == 0) else { return false };
+        let Some(leaving) = self.stopping.as_mut().filter(|_| self.core.open_jobs() == 0) else {
+            return false;
+        };
         let mut written = |(id, peer): (&ConnId, &Peer)| {
             net.conn(*id).is_none_or(|c| c.is_written() && peer.outbox.is_empty() || c.broken)
         };
--- a/src/frontend/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -202,12 +202,12 @@
         if state == worker.state {
             return;
         }
-        let member = self.core.table().get(worker.server).map(|s| s.line.member).unwrap_or_default();
+        let member = self.core.endpoints().get(worker.server).map(|s| s.line.endpoint).unwrap_or_default();
         let kind = kind.map_or(member.kind, |kind| kind as u16);
         // Told apart from the one that had its place before by when it started, which is long ago: a worker
         // that fetches one job at a time cannot be pushed over, and is not held to be cold.
         let member = Endpoint { kind, size: 1.0, status: state, started_at: id, ..member };
-        let line = ListedEndpoint { name: worker.name.clone(), address: String::new(), member };
+        let line = ListedEndpoint { name: worker.name.clone(), address: String::new(), endpoint: member };
         worker.state = state;
         let name = worker.name.clone();
         // Guards the drain: what it was offered and has not fetched goes elsewhere at once.
@@ -215,15 +215,15 @@
             EndpointStatus::Ready => Vec::new(),
             _ => worker.offered.drain(..).map(|(flight, _)| flight).collect(),
         };
-        self.core.listed(vec![line], false);
-        if let Some(server) = self.core.table().id(&name) {
+        self.core.on_list(vec![line], false);
+        if let Some(server) = self.core.endpoints().id(&name) {
             self.servers.insert(server, id);
             if let Some(worker) = self.worker(id) {
                 worker.server = server;
             }
         }
         for (session, attempt) in returned {
-            self.core.ended(session, attempt, Outcome::NotSent, LoadReport::default(), Vec::new());
+            self.core.on_attempt_ended(session, attempt, Outcome::NotSent, LoadReport::default(), Vec::new());
         }
     }
 
@@ -233,7 +233,13 @@
         let id = self.servers.get(&server).copied();
         let worker = id.and_then(|id| self.worker(id)).filter(|w| w.takes_work() && w.offered.len() < HELD);
         let (Some(id), Some(worker)) = (id, worker) else {
-            self.core.ended(flight.0, flight.1, Outcome::NotSent, LoadReport::default(), Vec::new());
+            self.core.on_attempt_ended(
+                flight.0,
+                flight.1,
+                Outcome::NotSent,
+                LoadReport::default(),
+                Vec::new(),
+            );
             return;
         };
         worker.offered.push_back((flight, now));
@@ -266,8 +272,8 @@
                 worker.assigned.insert(flight.0, Assigned { flight, key, abandoned: false, until });
             }
             self.put(net, id, packet);
-            self.core.written_whole(flight.0, flight.1);
-            return self.core.started(flight.0, flight.1);
+            self.core.on_request_sent(flight.0, flight.1);
+            return self.core.on_attempt_started(flight.0, flight.1);
         }
     }
 
@@ -285,7 +291,7 @@
         let assigned = session.and_then(|session| self.worker(id)?.assigned.remove(&session));
         let Some(Assigned { flight, key, abandoned, .. }) = assigned else { return };
         if !abandoned {
-            self.core.ended(flight.0, flight.1, outcome, one_slot(), result);
+            self.core.on_attempt_ended(flight.0, flight.1, outcome, one_slot(), result);
             return;
         }
         // The client was told that it failed. One that asks again hears what really came of it.
@@ -323,16 +329,25 @@
     pub(super) fn worker_left(&mut self, worker: Worker) {
         self.servers.remove(&worker.server);
         if worker.state != EndpointStatus::Gone {
-            let member = self.core.table().get(worker.server).map(|s| s.line.member).unwrap_or_default();
+            let member =
+                self.core.endpoints().get(worker.server).map(|s| s.line.endpoint).unwrap_or_default();
             let member = Endpoint { status: EndpointStatus::Gone, ..member };
-            self.core
-                .listed(vec![ListedEndpoint { name: worker.name, address: String::new(), member }], false);
+            self.core.on_list(
+                vec![ListedEndpoint { name: worker.name, address: String::new(), endpoint: member }],
+                false,
+            );
         }
         for (flight, _) in worker.offered {
-            self.core.ended(flight.0, flight.1, Outcome::Unreachable, LoadReport::default(), Vec::new());
+            self.core.on_attempt_ended(
+                flight.0,
+                flight.1,
+                Outcome::Unreachable,
+                LoadReport::default(),
+                Vec::new(),
+            );
         }
         for Assigned { flight, .. } in worker.assigned.into_values().filter(|a| !a.abandoned) {
-            self.core.ended(flight.0, flight.1, Outcome::Reset, LoadReport::default(), Vec::new());
+            self.core.on_attempt_ended(flight.0, flight.1, Outcome::Reset, LoadReport::default(), Vec::new());
         }
     }
 
@@ -353,7 +368,7 @@
             }
             self.change(id, |_| ());
             for (flight, outcome) in ended {
-                self.core.ended(flight.0, flight.1, outcome, LoadReport::default(), Vec::new());
+                self.core.on_attempt_ended(flight.0, flight.1, outcome, LoadReport::default(), Vec::new());
             }
         }
     }
--- a/src/frontend/http/callbacks.rs
+++ b/src/frontend/http/callbacks.rs
@@ -27,17 +27,17 @@
         };
         // Guards against a late call from a dispatch that was given up: both the id and the sender must match
         // a dispatch that is still out.
-        let server = self.core.table().id(from);
+        let server = self.core.endpoints().id(from);
         let Some(session) = self.ids.get(id).copied() else { return Called::Unknown };
         let Some(attempt) = server.and_then(|server| {
-            let dispatches = &self.core.session(session)?.dispatches;
-            dispatches.iter().rposition(|d| d.out && d.server == server)
+            let dispatches = &self.core.job(session)?.attempts;
+            dispatches.iter().rposition(|d| d.out && d.endpoint == server)
         }) else {
             return Called::Taken;
         };
         let outcome = match state {
             "started" => {
-                self.core.started(session, attempt);
+                self.core.on_attempt_started(session, attempt);
                 return Called::Taken;
             }
             "done" => Outcome::Served,
@@ -54,7 +54,7 @@
         };
         // The answer to the dispatch itself may be on its way yet: its connection waits for that.
         self.detach((session, attempt));
-        self.core.ended(session, attempt, outcome, report, result);
+        self.core.on_attempt_ended(session, attempt, outcome, report, result);
         Called::Taken
     }
 
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -274,7 +274,7 @@
         let Some(client) = self.clients.conns.remove(&id) else { return };
         if let Some(session) = client.session {
             self.forget(session);
-            self.core.client_left(session);
+            self.core.on_client_left(session);
         }
     }
 
@@ -330,7 +330,7 @@
     /// The last turn of a stop, with no session open: what waits in the backlog is accepted, since it counts as taken,
     /// and what has come is denied; then every connection is ended gently. Guards against an exit that resets them.
     pub(super) fn close_all(&mut self, net: &mut Sockets) {
-        self.core.stop();
+        self.core.reject_new_jobs();
         self.accept_all(net);
         net.unlisten(self.clients.listener);
         for id in self.clients.conns.keys().copied().collect::<Vec<_>>() {
@@ -441,7 +441,7 @@
         let req_id: Rc<str> = req_id.into();
         let Way::To(pool) = self.way(class, &message) else { return self.turn_away(net, id, close) };
         let due = now + wait.min(PATIENCE);
-        match self.core.request(JobRequest { class, due, slots, work, pool }) {
+        match self.core.submit(JobRequest { class, deadline: due, slots, work, partition: pool }) {
             Err(verdict) => self.say(net, id, verdict, close),
             Ok(session) => {
                 let own = |name: &str| OWN.iter().any(|own| name.eq_ignore_ascii_case(own));
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -78,21 +78,21 @@
             evacuating: false,
             away_look: f64::INFINITY,
         };
-        front.core.known(known.1);
+        front.core.restore_list(known.1);
         front.discovery.begin(front.core.clock().now(), &front.core.site().settings);
         front
     }
 
     /// Whether a configuration that was read again can be taken over without a restart.
     pub fn fits(&self, config: &Config) -> Result<(), String> {
-        self.core.fits(&config.site)
+        self.core.check_compatible(&config.site)
     }
 
     /// Takes over a configuration that fits: its settings and limits, and the discovery service that it names.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.clients.budget = config.budget;
         self.backends.adopt(config.site.conn_idle, config.budget.backends);
-        self.core.adopt(config.site, config.budget.sessions);
+        self.core.reconfigure(config.site, config.budget.sessions);
         let now = self.core.clock().now();
         let heard = self.discovery.follow(net, now, config.discovery, &self.core.site().settings);
         self.heard(net, heard);
@@ -149,10 +149,12 @@
                 continue;
             };
             match command {
-                Command::Send { session, attempt, server } => self.send(net, session, attempt, server),
-                Command::Cancel { session, attempt } => self.cancel(net, session, attempt),
-                Command::Answer { session, verdict } => self.answer(net, session, verdict),
-                Command::Probe { server } => self.probe(net, server),
+                Command::Send { job: session, attempt, endpoint: server } => {
+                    self.send(net, session, attempt, server)
+                }
+                Command::Cancel { job: session, attempt } => self.cancel(net, session, attempt),
+                Command::Answer { job: session, answer: verdict } => self.answer(net, session, verdict),
+                Command::Probe { endpoint: server } => self.probe(net, server),
                 Command::Subscribe => {
                     let heard = self.discovery.call(net, self.core.clock().now(), &self.core.site().settings);
                     self.heard(net, heard);
@@ -171,7 +173,7 @@
     /// Tells the core how a dispatch ended other than served.
     fn unserved(&mut self, flight: (JobId, usize), outcome: Outcome, report: LoadReport) {
         self.backends.flights.remove(&flight);
-        self.core.ended(flight.0, flight.1, outcome, report, Vec::new());
+        self.core.on_attempt_ended(flight.0, flight.1, outcome, report, Vec::new());
     }
 
     /// Does what is due by now.
@@ -195,7 +197,7 @@
             self.away_look = now + AWAY_LOOK;
         }
         if self.closes() {
-            self.core.stop();
+            self.core.reject_new_jobs();
             self.close_idle(net);
             // What was read there may have ended a session: it is answered before the program looks whether
             // all is finished.
@@ -210,7 +212,7 @@
             // Past it, look again and again whether all is finished.
             if self.core.clock().now() < end { end } else { self.core.clock().now() + 20.0 }
         });
-        let wake = self.core.wake_at().unwrap_or(f64::INFINITY);
+        let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let away = if self.evacuating { self.away_look } else { f64::INFINITY };
         let front = self.backends.next().min(self.discovery.next()).min(self.clients.next());
         let links = self.links.as_ref().map_or(f64::INFINITY, |links| links.next());
@@ -254,7 +256,7 @@
     /// Whether all that was taken is answered, written as far as peers read, and every connection ended as far as
     /// peers end theirs.
     pub fn stopped(&mut self, net: &mut Sockets) -> bool {
-        if !self.closes() || self.core.open() > 0 || self.gate_next() < f64::INFINITY {
+        if !self.closes() || self.core.open_jobs() > 0 || self.gate_next() < f64::INFINITY {
             return false;
         }
         if !std::mem::replace(&mut self.farewell, true) {
--- a/src/frontend/http/policy_gate.rs
+++ b/src/frontend/http/policy_gate.rs
@@ -76,7 +76,7 @@
     /// What is wrong with a policy here; it is not taken over.
     pub fn check(&self, text: &str) -> Result<Policy, Vec<PolicyError>> {
         let policy = Policy::read(text, self.core.site())?;
-        let nobody = policy.nobody(|selector| self.core.has(selector));
+        let nobody = policy.nobody(|selector| self.core.has_ready_endpoint(selector));
         if nobody.is_empty() { Ok(policy) } else { Err(nobody) }
     }
 
@@ -120,7 +120,7 @@
                 return;
             }
         };
-        let pools = self.core.repool(policy.partitions.iter().map(|(_, _, selector)| selector));
+        let pools = self.core.set_partitions(policy.partitions.iter().map(|(_, _, selector)| selector));
         if let Some(gate) = &mut self.gate {
             (gate.policy, gate.pools) = (Some(policy), pools);
         }
@@ -165,7 +165,7 @@
         };
         let Some(rule) = policy.rule(&event) else { return Way::To(0) };
         let count = policy.partitions.len();
-        let there = |at: &usize| self.core.has(&policy.partitions[*at].2);
+        let there = |at: &usize| self.core.has_ready_endpoint(&policy.partitions[*at].2);
         match rule.empty {
             Empty::Wait => Way::To(gate.pools[rule.partition]),
             _ if there(&rule.partition) => Way::To(gate.pools[rule.partition]),
--- a/src/frontend/http/probes.rs
+++ b/src/frontend/http/probes.rs
@@ -13,7 +13,7 @@
     pub(super) fn probe(&mut self, net: &mut Sockets, server: EndpointId) {
         let now = self.core.clock().now();
         let Ok(conn) = self.acquire(net, server, Work::Probe { asked: now, up: now }) else {
-            return self.core.probed(server, false, 0.0, LoadReport::default());
+            return self.core.on_probe_ended(server, false, 0.0, LoadReport::default());
         };
         self.ask_load(net, server, conn, now);
     }
@@ -23,7 +23,7 @@
         let now = self.core.clock().now();
         match self.open_backend(net, server, Work::Probe { asked, up: now }) {
             Ok(conn) => self.ask_load(net, server, conn, asked),
-            Err(_) => self.core.probed(server, false, now - asked, LoadReport::default()),
+            Err(_) => self.core.on_probe_ended(server, false, now - asked, LoadReport::default()),
         }
     }
 
@@ -41,6 +41,6 @@
             _ => self.load_text(&String::from_utf8_lossy(&message.body)),
         };
         let latency = self.core.clock().now() - up;
-        self.core.probed(server, message.status == 200, latency, report);
+        self.core.on_probe_ended(server, message.status == 200, latency, report);
     }
 }
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -259,7 +259,7 @@
     pub(super) fn leave_memory(&self) {
         let Some(links) = &self.links else { return };
         let listed = |s: &&EndpointEntry| {
-            let ListedEndpoint { name, address, member } = s.line.clone();
+            let ListedEndpoint { name, address, endpoint: member } = s.line.clone();
             let Endpoint { kind, zone, cell, size, started_at: born, status: state, .. } = member;
             let draining = state != EndpointStatus::Ready;
             StoredEndpoint { name, address, kind, zone, cell, size, born, draining }
@@ -268,8 +268,8 @@
             pid: links.seam.own(),
             at: self.core.clock().now(),
             names: self.names(),
-            lines: self.core.table().listed().iter().map(listed).collect(),
-            learned: self.core.learned(),
+            lines: self.core.endpoints().listed().iter().map(listed).collect(),
+            learned: self.core.warm_state(),
         };
         if let Err(e) = handover::leave_memory(&links.note, memory.pid, &memory.encode()) {
             crate::say(format_args!("the next process starts cold: {e}"));
@@ -290,9 +290,9 @@
                 let StoredEndpoint { name, address, kind, zone, cell, size, born, .. } = l;
                 let member =
                     Endpoint { id: EndpointId(0), kind, zone, cell, size, started_at: born, status: state };
-                ListedEndpoint { name, address, member }
+                ListedEndpoint { name, address, endpoint: member }
             };
-            self.core.recall(memory.lines.into_iter().map(line).collect(), memory.learned)
+            self.core.restore_warm_state(memory.lines.into_iter().map(line).collect(), memory.learned)
         });
         match recalled {
             Ok(true) => {}
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -116,7 +116,7 @@
 
 impl Platform {
     pub(super) fn host(&self, server: EndpointId) -> String {
-        self.core.table().get(server).map(|s| s.line.address.clone()).unwrap_or_default()
+        self.core.endpoints().get(server).map(|s| s.line.address.clone()).unwrap_or_default()
     }
 
     /// A connection to a backend server: an idle one that is whole, or a new one. None proves that nothing
@@ -155,7 +155,7 @@
             self.close_backend(net, idle);
         }
         let address: Option<SocketAddr> =
-            self.core.table().get(server).and_then(|s| s.line.address.parse().ok());
+            self.core.endpoints().get(server).and_then(|s| s.line.address.parse().ok());
         let id =
             net.open(address.ok_or(Outcome::Unreachable)?).map_err(|e| match Errno::from_io_error(&e) {
                 Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::ADDRNOTAVAIL) => Outcome::NotSent,
@@ -190,7 +190,7 @@
         }
         let Some(Flight { server, address, .. }) = self.backends.flights.get(&flight) else { return };
         let host = self.host(*server);
-        let stands = host == *address && self.core.stands(session, attempt);
+        let stands = host == *address && self.core.attempt_is_valid(session, attempt);
         let given_up = if self.core.site().copies { Some(true) } else { self.backends.gave_up(session) };
         // A connection that has ended says of a server that took it just now that it fails.
         let whole = net.conn(conn).is_some_and(|c| c.is_fresh());
@@ -208,7 +208,7 @@
             self.close_backend(net, conn);
             return self.unserved(flight, outcome, LoadReport::default());
         }
-        let left = self.core.session(session).map_or(0.0, |s| s.request.due) - self.core.clock().now();
+        let left = self.core.job(session).map_or(0.0, |s| s.request.deadline) - self.core.clock().now();
         let job = &self.jobs[&session];
         let mut headers = vec![
             ("Host", host),
@@ -326,7 +326,7 @@
         let (server, work) = (backend.server, backend.work);
         if let (Work::Dispatch((session, attempt)), true) = (work, written) {
             // An attempt counts once its last byte has gone to the socket.
-            self.core.written_whole(session, attempt);
+            self.core.on_request_sent(session, attempt);
         }
         match message {
             Ok(Some(message)) if !matches!(work, Work::Idle | Work::Rests) => {
@@ -402,7 +402,7 @@
             }
             Work::Probe { asked, .. } => {
                 let latency = self.core.clock().now() - asked;
-                self.core.probed(server, false, latency, LoadReport::default());
+                self.core.on_probe_ended(server, false, latency, LoadReport::default());
             }
             Work::Idle | Work::Rests | Work::Spent => {}
         }
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -71,7 +71,7 @@
     pub fn within(core: &mut Core, end: f64) -> Leaving {
         let now = core.clock().now();
         let serves = Leaving::SERVES.min(end / 2.0);
-        core.hurry(now + Leaving::MORE - Leaving::MARGIN, now + end);
+        core.limit_late_deadlines(now + Leaving::MORE - Leaving::MARGIN, now + end);
         Leaving { last_call: now + serves, quiet: None }
     }
 }
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -480,6 +480,6 @@
         let state = if self.draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
         let member =
             Endpoint { id: EndpointId::default(), size: self.share, status: state, ..Endpoint::default() };
-        ListedEndpoint { name: self.name.clone(), address: self.dial.to_string(), member }
+        ListedEndpoint { name: self.name.clone(), address: self.dial.to_string(), endpoint: member }
     }
 }
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -57,9 +57,9 @@
         let discovery = config.table.discovery.map(|address| Discovery::new(address, Some(address), 0, seed));
         let mut core = Core::new(config.site.clone(), seed, clock, config.bounds.total);
         if discovery.is_some() {
-            core.known(Vec::new());
+            core.restore_list(Vec::new());
         } else {
-            core.listed(config.lines.clone(), true);
+            core.on_list(config.lines.clone(), true);
         }
         Stream {
             core,
@@ -93,12 +93,12 @@
         if names(config) != names(&self.config) {
             return Err("other classes take a restart".into());
         }
-        self.core.fits(&config.site)
+        self.core.check_compatible(&config.site)
     }
 
     /// Takes over a file that fits. Streams that run go on under what they began with.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
-        self.core.adopt(config.site.clone(), config.bounds.total);
+        self.core.reconfigure(config.site.clone(), config.bounds.total);
         self.pool.keep_below(config.site.conn_idle);
         self.flow.adopt(config.pool, config.quantum);
         self.admission.adopt(config.bounds);
@@ -170,13 +170,15 @@
     fn carry_out(&mut self, net: &mut Sockets) {
         while let Some(command) = self.core.next_command() {
             match command {
-                Command::Send { session, attempt, server } => self.send(net, session, attempt, server),
-                Command::Cancel { session, attempt } => self.cancel(net, session, attempt),
-                Command::Answer { session, verdict } => self.answer(net, session, verdict),
+                Command::Send { job: session, attempt, endpoint: server } => {
+                    self.send(net, session, attempt, server)
+                }
+                Command::Cancel { job: session, attempt } => self.cancel(net, session, attempt),
+                Command::Answer { job: session, answer: verdict } => self.answer(net, session, verdict),
                 // What a probe would ask is counted here: streams out at each server.
-                Command::Probe { server } => {
+                Command::Probe { endpoint: server } => {
                     let report = self.slots.report(server);
-                    self.core.probed(server, true, 0.0, report);
+                    self.core.on_probe_ended(server, true, 0.0, report);
                 }
                 Command::Subscribe => {
                     if let Some(discovery) = &mut self.discovery {
@@ -223,7 +225,7 @@
             self.carry_out(net);
         }
         if self.closes() {
-            self.core.stop();
+            self.core.reject_new_jobs();
             self.close_idle(net);
             if now >= self.cut {
                 self.cut_all(net);
@@ -241,7 +243,7 @@
         let clients = self.clients.values().map(|c| c.until);
         let servers = self.servers.values().map(|s| s.until);
         let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call.max(now + 20.0));
-        let wake = self.core.wake_at().unwrap_or(f64::INFINITY);
+        let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let discovery = self.discovery.as_ref().map_or(f64::INFINITY, Discovery::next);
         let due = wake.min(stop).min(discovery).min(self.flow.due());
         let answers = self.exchanges.values().map(|e| e.answer_by);
@@ -263,7 +265,7 @@
     /// Whether all that was taken is answered, and written as far as peers read.
     pub fn stopped(&mut self, net: &mut Sockets) -> bool {
         let now = self.now();
-        let open = self.core.open() + self.exchanges.len();
+        let open = self.core.open_jobs() + self.exchanges.len();
         let Some(leaving) = self.stopping.as_mut().filter(|_| open == 0) else { return false };
         leaving.is_over(now, || {
             self.clients.keys().all(|&id| net.conn(id).is_none_or(|c| c.is_written() || c.broken))
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -274,12 +274,12 @@
         self.flow.rest(stream, Way::Up, now);
         let request = JobRequest {
             class: exchange.class,
-            due: now + exchange.of.longest,
+            deadline: now + exchange.of.longest,
             slots: 1.0,
             work: None,
-            pool: 0,
+            partition: 0,
         };
-        match self.core.request(request) {
+        match self.core.submit(request) {
             Ok(session) => {
                 exchange.session = Some(session);
                 self.sessions.insert(session, stream);
@@ -373,7 +373,7 @@
                 let (session, attempt) = (exchange.session, exchange.attempt);
                 self.flow.rest(stream, Way::Up, now);
                 if let Some(session) = session {
-                    self.core.written(session, attempt);
+                    self.core.on_body_relayed(session, attempt);
                 }
             }
         } else if ended && !blocked {
@@ -449,7 +449,7 @@
             _ => None,
         };
         // Guards against an answer to a dispatch that is over.
-        if !self.core.streaming(session, exchange.attempt) {
+        if !self.core.on_response_started(session, exchange.attempt) {
             return;
         }
         exchange.answer_by = f64::INFINITY;
@@ -529,7 +529,7 @@
         let outcome = if status < 500 { Outcome::Served } else { Outcome::Error };
         let report = self.release(net, stream, !close);
         if let Some(session) = session {
-            self.core.ended(session, attempt, outcome, report, Vec::new());
+            self.core.on_attempt_ended(session, attempt, outcome, report, Vec::new());
         }
     }
 
@@ -545,7 +545,7 @@
         self.flow.rest(stream, Way::Up, now);
         self.flow.rest(stream, Way::Down, now);
         if let Some(session) = session {
-            self.core.ended(session, attempt, outcome, report, Vec::new());
+            self.core.on_attempt_ended(session, attempt, outcome, report, Vec::new());
         }
     }
 
@@ -567,7 +567,7 @@
         if let Some(session) = exchange.session {
             self.sessions.remove(&session);
             // Where it is not over already.
-            self.core.client_left(session);
+            self.core.on_client_left(session);
         }
         Some(exchange)
     }
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -55,7 +55,7 @@
     /// Tells the core of a dispatch of which nothing was sent.
     fn unsent(&mut self, session: JobId, attempt: usize, outcome: Outcome, worker: EndpointId) {
         let report = self.slots.report(worker);
-        self.core.ended(session, attempt, outcome, report, Vec::new());
+        self.core.on_attempt_ended(session, attempt, outcome, report, Vec::new());
     }
 
     /// A connection to a backend server: an idle one that is whole, or a new one. None proves that nothing was sent.
@@ -77,7 +77,7 @@
         {
             self.close_server(net, idle);
         }
-        let address: SocketAddr = self.core.table().get(worker)?.line.address.parse().ok()?;
+        let address: SocketAddr = self.core.endpoints().get(worker)?.line.address.parse().ok()?;
         let id = net.open(address).ok()?;
         let until = now + self.config.site.connect_timeout;
         self.servers.insert(id, Server { worker, stream: Some(stream), until, base: 0 });
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -147,7 +147,7 @@
     let line = |line: &micabeam::lifecycle::warm_state::StoredEndpoint| ListedEndpoint {
         name: line.name.clone(),
         address: line.address.clone(),
-        member: Endpoint {
+        endpoint: Endpoint {
             id: EndpointId(0),
             kind: line.kind,
             zone: line.zone,
@@ -157,8 +157,8 @@
             status: if line.draining { EndpointStatus::Draining } else { EndpointStatus::Ready },
         },
     };
-    assert!(core.recall(memory.lines.iter().map(line).collect(), memory.learned.clone()));
-    assert_eq!(core.learned(), memory.learned, "all of it counts");
+    assert!(core.restore_warm_state(memory.lines.iter().map(line).collect(), memory.learned.clone()));
+    assert_eq!(core.warm_state(), memory.learned, "all of it counts");
 }
 
 /// Bytes of the process's number in the stored state.
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -19,14 +19,14 @@
     let line = |name: &&str| ListedEndpoint {
         name: name.to_string(),
         address: String::new(),
-        member: Endpoint { size: 1.0, ..Endpoint::default() },
+        endpoint: Endpoint { size: 1.0, ..Endpoint::default() },
     };
-    core.listed(servers.iter().map(line).collect(), true);
+    core.on_list(servers.iter().map(line).collect(), true);
     (core, clock)
 }
 
 fn request(class: usize, wait: f64) -> JobRequest {
-    JobRequest { class, due: START + wait, slots: 1.0, work: None, pool: 0 }
+    JobRequest { class, deadline: START + wait, slots: 1.0, work: None, partition: 0 }
 }
 
 fn commands(core: &mut Core) -> Vec<Command> {
@@ -35,7 +35,7 @@
 
 fn answers(commands: &[Command]) -> Vec<(JobId, FinalAnswer)> {
     let answer = |c: &Command| match c {
-        Command::Answer { session, verdict } => Some((*session, verdict.clone())),
+        Command::Answer { job: session, answer: verdict } => Some((*session, verdict.clone())),
         _ => None,
     };
     commands.iter().filter_map(answer).collect()
@@ -44,25 +44,27 @@
 #[test]
 fn news_of_a_dispatch_count_once() {
     let (mut core, _) = core(10, &["a"]);
-    let id = core.request(request(1, 4000.0)).unwrap();
-    assert!(matches!(commands(&mut core)[..], [Command::Send { session, attempt: 0, .. }] if session == id));
-    assert!(core.ended(id, 0, Outcome::Served, LoadReport::default(), b"ok".to_vec()));
-    assert!(!core.ended(id, 0, Outcome::Served, LoadReport::default(), b"again".to_vec()));
-    assert!(!core.ended(id, 0, Outcome::Reset, LoadReport::default(), Vec::new()));
+    let id = core.submit(request(1, 4000.0)).unwrap();
+    assert!(
+        matches!(commands(&mut core)[..], [Command::Send { job: session, attempt: 0, .. }] if session == id)
+    );
+    assert!(core.on_attempt_ended(id, 0, Outcome::Served, LoadReport::default(), b"ok".to_vec()));
+    assert!(!core.on_attempt_ended(id, 0, Outcome::Served, LoadReport::default(), b"again".to_vec()));
+    assert!(!core.on_attempt_ended(id, 0, Outcome::Reset, LoadReport::default(), Vec::new()));
     assert_eq!(answers(&commands(&mut core)), [(id, FinalAnswer::Served(b"ok".to_vec()))]);
     let counters = core.counters();
-    assert_eq!((counters.served, counters.stray, core.open()), (1, 2, 0));
+    assert_eq!((counters.served, counters.stray, core.open_jobs()), (1, 2, 0));
 }
 
 #[test]
 fn a_silent_server_is_given_up_by_the_deadline() {
     let (mut core, clock) = core(10, &["a"]);
     for class in [0, 1] {
-        let id = core.request(request(class, clock.now() - START + 400.0)).unwrap();
+        let id = core.submit(request(class, clock.now() - START + 400.0)).unwrap();
         assert_eq!(commands(&mut core).len(), 1);
         let end = clock.now() + 400.0;
         let mut told = Vec::new();
-        while let Some(at) = core.wake_at().filter(|&at| at <= end) {
+        while let Some(at) = core.next_deadline().filter(|&at| at <= end) {
             clock.set(at);
             core.tick();
             told.extend(commands(&mut core));
@@ -71,19 +73,19 @@
         let verdict =
             if class == 0 { FinalAnswer::Rejected { retry_after: 2000.0 } } else { FinalAnswer::Failed };
         assert_eq!(answers(&told), [(id, verdict)]);
-        assert!(told.contains(&Command::Cancel { session: id, attempt: 0 }), "{told:?}");
-        assert!(clock.now() <= end && core.open() == 0);
+        assert!(told.contains(&Command::Cancel { job: id, attempt: 0 }), "{told:?}");
+        assert!(clock.now() <= end && core.open_jobs() == 0);
     }
 }
 
 #[test]
 fn what_cannot_be_held_is_denied_and_counted() {
     let (mut core, _) = core(1, &["a"]);
-    core.request(request(1, 4000.0)).unwrap();
-    assert_eq!(core.request(request(1, 4000.0)), Err(FinalAnswer::Rejected { retry_after: 2000.0 }));
-    assert!(core.request(request(1, -1.0)).is_err(), "its deadline has passed");
-    core.stop();
-    assert!(core.request(request(1, 4000.0)).is_err(), "the program stops");
+    core.submit(request(1, 4000.0)).unwrap();
+    assert_eq!(core.submit(request(1, 4000.0)), Err(FinalAnswer::Rejected { retry_after: 2000.0 }));
+    assert!(core.submit(request(1, -1.0)).is_err(), "its deadline has passed");
+    core.reject_new_jobs();
+    assert!(core.submit(request(1, 4000.0)).is_err(), "the program stops");
     let counters = core.counters();
     assert_eq!((counters.taken, counters.turned_away, counters.sent), (4, 3, 1));
 }
@@ -91,12 +93,12 @@
 #[test]
 fn what_comes_while_the_program_stops_is_over_before_the_kill() {
     let (mut core, clock) = core(10, &["a"]);
-    core.hurry(START + 300.0, START + 3300.0);
-    let early = core.request(request(1, 9000.0)).unwrap();
+    core.limit_late_deadlines(START + 300.0, START + 3300.0);
+    let early = core.submit(request(1, 9000.0)).unwrap();
     clock.set(START + 300.0);
-    let late = core.request(request(1, 9000.0)).unwrap();
-    assert_eq!(core.session(early).map(|s| s.request.due), Some(START + 9000.0));
-    while let Some(at) = core.wake_at().filter(|&at| at <= START + 3300.0) {
+    let late = core.submit(request(1, 9000.0)).unwrap();
+    assert_eq!(core.job(early).map(|s| s.request.deadline), Some(START + 9000.0));
+    while let Some(at) = core.next_deadline().filter(|&at| at <= START + 3300.0) {
         clock.set(at);
         core.tick();
     }
@@ -107,10 +109,10 @@
 fn every_dispatcher_makes_the_same_ids_of_the_same_names() {
     let (one, _) = core(1, &["a", "b", "c"]);
     let (two, _) = core(1, &["c", "a"]);
-    assert_eq!(one.table().id("a"), two.table().id("a"));
-    assert_eq!(one.table().id("c"), two.table().id("c"));
-    assert_ne!(one.table().id("a"), one.table().id("b"));
-    assert_eq!(two.table().listed().len(), 2);
+    assert_eq!(one.endpoints().id("a"), two.endpoints().id("a"));
+    assert_eq!(one.endpoints().id("c"), two.endpoints().id("c"));
+    assert_ne!(one.endpoints().id("a"), one.endpoints().id("b"));
+    assert_eq!(two.endpoints().listed().len(), 2);
 }
 
 #[test]
@@ -128,17 +130,17 @@
 fn a_wake_up_is_not_lost_when_other_news_come_first() {
     let (mut core, clock) = core(10, &[]);
     for class in [2, 0] {
-        core.request(request(class, 4000.0)).unwrap();
+        core.submit(request(class, 4000.0)).unwrap();
     }
     for _ in 0..1000 {
-        if core.open() == 0 {
+        if core.open_jobs() == 0 {
             return;
         }
-        let at = core.wake_at().expect("a session is open and nothing will wake the module");
+        let at = core.next_deadline().expect("a session is open and nothing will wake the module");
         assert!(at <= START + 4000.0, "the module is woken past the deadline, at {at}");
         clock.set(at);
         // What comes in before the tick.
-        core.listed(Vec::new(), false);
+        core.on_list(Vec::new(), false);
         core.tick();
     }
     panic!("it is woken again and again and never ends the session");
@@ -149,16 +151,16 @@
 #[test]
 fn a_session_whose_answer_has_begun_ends_as_its_dispatch_does() {
     let (mut core, clock) = core(10, &["a", "b"]);
-    let id = core.request(request(0, 400.0)).unwrap();
+    let id = core.submit(request(0, 400.0)).unwrap();
     assert_eq!(commands(&mut core).len(), 1);
-    assert!(core.streaming(id, 0));
+    assert!(core.on_response_started(id, 0));
     clock.set(START + 5000.0);
     core.tick();
     assert_eq!(commands(&mut core), []);
-    core.ended(id, 0, Outcome::Reset, LoadReport::default(), Vec::new());
-    assert_eq!(commands(&mut core), [Command::Answer { session: id, verdict: FinalAnswer::Failed }]);
-    assert!(!core.streaming(id, 0), "it is over");
-    assert_eq!((core.open(), core.counters().sent), (0, 1));
+    core.on_attempt_ended(id, 0, Outcome::Reset, LoadReport::default(), Vec::new());
+    assert_eq!(commands(&mut core), [Command::Answer { job: id, answer: FinalAnswer::Failed }]);
+    assert!(!core.on_response_started(id, 0), "it is over");
+    assert_eq!((core.open_jobs(), core.counters().sent), (0, 1));
 }
 
 #[test]
@@ -167,21 +169,21 @@
     // Guards the operators' figures: each answer counted once by its lane and how it ended, attempts once when
     // written whole however often a front tells it, and what is pending and avoided read as it is.
     let (mut core, clock) = core(2, &["a", "b"]);
-    let served = core.request(request(0, 4000.0)).unwrap();
-    let failed = core.request(request(1, 4000.0)).unwrap();
+    let served = core.submit(request(0, 4000.0)).unwrap();
+    let failed = core.submit(request(1, 4000.0)).unwrap();
     // A third is one too many: denied before the module sees it.
-    assert!(core.request(request(1, 4000.0)).is_err());
+    assert!(core.submit(request(1, 4000.0)).is_err());
     let sent = commands(&mut core);
     assert_eq!(sent.len(), 2, "{sent:?}");
     assert_eq!(core.gauges().pending, 2);
     for _ in 0..3 {
-        core.written_whole(served, 0);
+        core.on_request_sent(served, 0);
     }
-    core.written_whole(failed, 0);
+    core.on_request_sent(failed, 0);
     assert_eq!(core.telemetry().upstream(), 2);
-    core.ended(served, 0, Outcome::Served, LoadReport::default(), b"ok".to_vec());
+    core.on_attempt_ended(served, 0, Outcome::Served, LoadReport::default(), b"ok".to_vec());
     // An error on a job that may not run twice fails it.
-    core.ended(failed, 0, Outcome::Error, LoadReport::default(), Vec::new());
+    core.on_attempt_ended(failed, 0, Outcome::Error, LoadReport::default(), Vec::new());
     clock.set(clock.now() + 1.0);
     core.tick();
     let answered = answers(&commands(&mut core));
@@ -201,11 +203,11 @@
 fn servers_of(core: &mut Core, pool: PartitionId, count: usize) -> Vec<String> {
     let mut names = Vec::new();
     for _ in 0..count {
-        let id = core.request(JobRequest { pool, ..request(1, 4000.0) }).unwrap();
+        let id = core.submit(JobRequest { partition: pool, ..request(1, 4000.0) }).unwrap();
         for command in commands(core) {
-            if let Command::Send { server, .. } = command {
-                names.push(core.table().get(server).unwrap().line.name.clone());
-                core.ended(id, 0, Outcome::Served, LoadReport::default(), Vec::new());
+            if let Command::Send { endpoint: server, .. } = command {
+                names.push(core.endpoints().get(server).unwrap().line.name.clone());
+                core.on_attempt_ended(id, 0, Outcome::Served, LoadReport::default(), Vec::new());
             }
         }
         commands(core);
@@ -220,9 +222,9 @@
 #[test]
 fn a_request_is_kept_to_its_pool() {
     let (mut core, clock) = core(100, &["a-1", "a-2", "b-1"]);
-    let [a, b, none] = core.repool(&[prefix("a-"), prefix("b-"), prefix("c-")])[..] else { panic!() };
+    let [a, b, none] = core.set_partitions(&[prefix("a-"), prefix("b-"), prefix("c-")])[..] else { panic!() };
     assert_eq!(
-        core.repool(&[prefix("b-"), prefix("a-"), prefix("c-")]),
+        core.set_partitions(&[prefix("b-"), prefix("a-"), prefix("c-")]),
         [b, a, none],
         "the same are the same"
     );
@@ -231,18 +233,18 @@
     let line = |name: &str| ListedEndpoint {
         name: name.into(),
         address: String::new(),
-        member: Endpoint { size: 1.0, ..Endpoint::default() },
+        endpoint: Endpoint { size: 1.0, ..Endpoint::default() },
     };
-    core.listed(vec![line("b-1"), line("b-2"), line("a-1")], true);
+    core.on_list(vec![line("b-1"), line("b-2"), line("a-1")], true);
     assert_eq!(servers_of(&mut core, a, 8), ["a-1"], "a server that left the list");
     assert_eq!(servers_of(&mut core, b, 8), ["b-1", "b-2"], "and one that came");
-    assert!(core.has(&prefix("b-")) && !core.has(&prefix("c-")));
+    assert!(core.has_ready_endpoint(&prefix("b-")) && !core.has_ready_endpoint(&prefix("c-")));
     // A pool that has no server gives a request up in time, as the whole would.
-    let id = core.request(JobRequest { pool: none, ..request(1, clock.now() - START + 400.0) }).unwrap();
+    let id = core.submit(JobRequest { partition: none, ..request(1, clock.now() - START + 400.0) }).unwrap();
     let end = clock.now() + 400.0;
     let mut answered = Vec::new();
     while answered.is_empty() && clock.now() <= end {
-        clock.set(core.wake_at().unwrap_or(end).max(clock.now() + 1.0));
+        clock.set(core.next_deadline().unwrap_or(end).max(clock.now() + 1.0));
         core.tick();
         answered = answers(&commands(&mut core));
     }
@@ -253,23 +255,25 @@
 #[test]
 fn what_was_taken_under_an_old_policy_ends_in_its_own_pool() {
     let (mut core, _) = core(100, &["a-1", "b-1"]);
-    let a = core.repool(&[prefix("a-")])[0];
-    let id = core.request(JobRequest { pool: a, ..request(0, 4000.0) }).unwrap();
+    let a = core.set_partitions(&[prefix("a-")])[0];
+    let id = core.submit(JobRequest { partition: a, ..request(0, 4000.0) }).unwrap();
     commands(&mut core);
-    let b = core.repool(&[prefix("b-")])[0];
-    assert_eq!(core.pools(), 2);
+    let b = core.set_partitions(&[prefix("b-")])[0];
+    assert_eq!(core.partition_count(), 2);
     // Its first dispatch never ran: the next one goes to the same pool, which has no other server, and not to the new one.
-    core.ended(id, 0, Outcome::Full, LoadReport::default(), Vec::new());
+    core.on_attempt_ended(id, 0, Outcome::Full, LoadReport::default(), Vec::new());
     let sent: Vec<String> = commands(&mut core)
         .iter()
         .filter_map(|command| match command {
-            Command::Send { server, .. } => Some(core.table().get(*server).unwrap().line.name.clone()),
+            Command::Send { endpoint: server, .. } => {
+                Some(core.endpoints().get(*server).unwrap().line.name.clone())
+            }
             _ => None,
         })
         .collect();
     assert!(sent.iter().all(|name| name == "a-1"), "{sent:?}");
-    core.client_left(id);
-    assert_eq!(core.pools(), 1, "gone with its last request");
+    core.on_client_left(id);
+    assert_eq!(core.partition_count(), 1, "gone with its last request");
     assert_eq!(servers_of(&mut core, b, 3), ["b-1"]);
 }
 
@@ -283,17 +287,17 @@
     let line = |name: &str, born| ListedEndpoint {
         name: name.into(),
         address: String::new(),
-        member: Endpoint { size: 1.0, started_at: born, ..Endpoint::default() },
+        endpoint: Endpoint { size: 1.0, started_at: born, ..Endpoint::default() },
     };
-    core.listed(vec![line("a-cold", born), line("b-warm", 0)], true);
+    core.on_list(vec![line("a-cold", born), line("b-warm", 0)], true);
     let mut sent = 0;
     for change in 0..40 {
         // Each time another selector of the same server, so that each is a new pool.
         let heads = vec!["a-".to_string(), format!("x{change}")];
-        let pool =
-            core.repool(&[EndpointSelector { prefixes: Some(heads), ..EndpointSelector::default() }])[0];
+        let pool = core
+            .set_partitions(&[EndpointSelector { prefixes: Some(heads), ..EndpointSelector::default() }])[0];
         for _ in 0..2 {
-            let _ = core.request(JobRequest { pool, ..request(1, 4000.0) });
+            let _ = core.submit(JobRequest { partition: pool, ..request(1, 4000.0) });
             sent += commands(&mut core).iter().filter(|c| matches!(c, Command::Send { .. })).count();
         }
     }
@@ -306,13 +310,13 @@
 fn lines_beyond_the_table_s_bound_are_counted_and_gone_ones_make_room() {
     let names: Vec<String> = (0..MAX_ENDPOINTS + 3).map(|number| format!("w{number}")).collect();
     let (mut core, _) = core(10, &names.iter().map(String::as_str).collect::<Vec<_>>());
-    assert_eq!((core.table().listed().len(), core.counters().lines_dropped), (MAX_ENDPOINTS, 3));
+    assert_eq!((core.endpoints().listed().len(), core.counters().lines_dropped), (MAX_ENDPOINTS, 3));
     assert!(core.counters().to_string().contains("lines_dropped 3\n"));
     let line = |name: &str, state| {
         let member = Endpoint { size: 1.0, status: state, ..Endpoint::default() };
-        ListedEndpoint { name: name.into(), address: String::new(), member }
+        ListedEndpoint { name: name.into(), address: String::new(), endpoint: member }
     };
-    core.listed(vec![line("w0", EndpointStatus::Gone), line("late", EndpointStatus::Ready)], false);
-    assert!(core.table().id("late").is_some_and(|id| core.table().get(id).is_some()));
+    core.on_list(vec![line("w0", EndpointStatus::Gone), line("late", EndpointStatus::Ready)], false);
+    assert!(core.endpoints().id("late").is_some_and(|id| core.endpoints().get(id).is_some()));
     assert_eq!(core.counters().lines_dropped, 3);
 }
