--- a/rig/src/scale/dispatcher.rs
+++ b/rig/src/scale/dispatcher.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 use micabeam::consensus::{Write, file};
-use micabeam::control_plane::{Setup, Shared};
-use micabeam::fleet::{self, Hash, MemberId, Place};
+use micabeam::control_plane::{ControlPlane, ControlPlaneConfig};
+use micabeam::fleet::{self, DocumentHash, MemberConfig, MemberId};
 use micabeam::rollout;
-use micabeam::zones::{self, End};
+use micabeam::zones::{self, AttemptResult};
 
 use super::checker::Front;
 use super::plan::Plan;
@@ -34,7 +34,7 @@
 /// One member.
 pub(super) struct Dispatcher {
     /// Its process; none while it is down.
-    pub(super) shared: Option<Shared>,
+    pub(super) shared: Option<ControlPlane>,
     /// Number of its process.
     pub(super) process: u64,
     /// Its front.
@@ -46,7 +46,7 @@
     /// The voter's file.
     disk: Vec<u8>,
     /// Policies on its disk.
-    documents: Vec<(Hash, Vec<u8>)>,
+    documents: Vec<(DocumentHash, Vec<u8>)>,
     /// What it has used.
     pub(super) usage: Usage,
     /// Since when it has been there without a break.
@@ -76,21 +76,27 @@
     }
 
     /// Starts its process, with what its disk has.
-    pub(super) fn start(&mut self, plan: &Plan, places: &[Place], own: MemberId, now: f64, seed: u64) {
-        let fleet = fleet::Setup {
+    pub(super) fn start(&mut self, plan: &Plan, places: &[MemberConfig], own: MemberId, now: f64, seed: u64) {
+        let fleet = fleet::NodeConfig {
             cluster: CLUSTER.into(),
             generation: 1,
-            places: places.to_vec(),
+            members: places.to_vec(),
             own,
-            session: now as u64,
+            incarnation: now as u64,
             seed,
         };
-        let rollout = Some(rollout::Rules { lease: plan.lease_ms, ..rollout::Rules::default() });
-        let setup = Setup { fleet, zones: plan.zones, rules: zones::Rules::default(), rollout };
+        let rollout =
+            Some(rollout::RolloutSettings { lease_ms: plan.lease_ms, ..rollout::RolloutSettings::default() });
+        let setup = ControlPlaneConfig {
+            fleet,
+            zones: plan.zones,
+            failover: zones::FailoverSettings::default(),
+            rollout,
+        };
         let kept = file::read(&self.disk, 1).ok().and_then(|read| read.0);
-        let mut shared = Shared::new(setup, kept, now).expect("the plan was checked");
+        let mut shared = ControlPlane::new(setup, kept, now).expect("the plan was checked");
         for (_, document) in &self.documents {
-            shared.policy(now, |_, node| node.keep(document));
+            shared.with_participant(now, |_, node| node.store_document(document));
         }
         self.shared = Some(shared);
         self.process += 1;
@@ -112,7 +118,7 @@
 
     /// Whether it knows of all other members that they are there.
     pub(super) fn knows_all(&self) -> bool {
-        self.shared.as_ref().is_some_and(|shared| shared.node().up().iter().all(|up| *up))
+        self.shared.as_ref().is_some_and(|shared| shared.node().alive().iter().all(|up| *up))
     }
 
     /// Whether it does anything.
@@ -128,7 +134,7 @@
     }
 
     /// Has the process do something, and counts the time that it takes.
-    pub(super) fn work<T>(&mut self, with: impl FnOnce(&mut Shared) -> T) -> Option<T> {
+    pub(super) fn work<T>(&mut self, with: impl FnOnce(&mut ControlPlane) -> T) -> Option<T> {
         let shared = self.shared.as_mut()?;
         let began = Instant::now();
         let result = with(shared);
@@ -141,9 +147,9 @@
         self.work(|shared| {
             let zone = now as usize / 50 % 8 % zones;
             let zone = if zone == 0 { home } else { (home + zone) % zones };
-            let end = if lost == Some(zone) { End::Refused } else { End::Answered };
-            shared.zones_mut().tally().arrived(false);
-            shared.zones_mut().tally().ended(zone, end, 20.0);
+            let end = if lost == Some(zone) { AttemptResult::Refused } else { AttemptResult::Answered };
+            shared.zones_mut().outcome_counter().record_arrival(false);
+            shared.zones_mut().outcome_counter().record_attempt(zone, end, 20.0);
             shared.tick(now, OPEN, |_| (OPEN as u16, SLOTS));
         });
     }
@@ -158,7 +164,7 @@
     }
 
     /// Keeps a policy on its disk.
-    pub(super) fn save(&mut self, hash: Hash, bytes: Vec<u8>) {
+    pub(super) fn save(&mut self, hash: DocumentHash, bytes: Vec<u8>) {
         self.documents.retain(|(known, _)| *known != hash);
         self.documents.push((hash, bytes));
         // As many as a real one keeps.
--- a/rig/src/scale/plan.rs
+++ b/rig/src/scale/plan.rs
@@ -1,7 +1,7 @@
 //! What a scale test plays.
 
-use micabeam::fleet::{MOST_MEMBERS, Place};
-use micabeam::zones::MOST_ZONES;
+use micabeam::fleet::{MAX_MEMBERS, MemberConfig};
+use micabeam::zones::MAX_ZONES;
 
 use crate::RigError;
 
@@ -76,7 +76,7 @@
             aligned: false,
             lost: 0,
             policy_bytes: 4000,
-            lease_ms: micabeam::rollout::Rules::default().lease,
+            lease_ms: micabeam::rollout::RolloutSettings::default().lease_ms,
             changes: true,
             keeps_leases: true,
         }
@@ -88,12 +88,12 @@
     pub fn check(&self) -> Result<(), RigError> {
         let lasting = self.members.saturating_sub(self.deaths);
         let bounds = [
-            ("members", self.members, self.voters.max(3), MOST_MEMBERS),
+            ("members", self.members, self.voters.max(3), MAX_MEMBERS),
             ("workers", self.workers, 1, MOST_WORKERS),
-            ("zones", self.zones, 1, MOST_ZONES.min(self.members)),
+            ("zones", self.zones, 1, MAX_ZONES.min(self.members)),
             ("policy bytes", self.policy_bytes, 100, LONGEST_POLICY),
             ("seconds", self.seconds as usize, 5, LONGEST_RUN as usize),
-            ("members that are not killed", lasting, self.members / 2 + 1, MOST_MEMBERS),
+            ("members that are not killed", lasting, self.members / 2 + 1, MAX_MEMBERS),
             ("freezes", self.freezes, 0, self.members / 2),
         ];
         for (name, value, least, most) in bounds {
@@ -117,10 +117,12 @@
     }
 
     /// The members' places: zones in turn, and the voters in zones that are far apart.
-    pub(super) fn places(&self) -> Vec<Place> {
+    pub(super) fn places(&self) -> Vec<MemberConfig> {
         let apart = |voter: usize| voter * self.zones.max(self.voters) / self.voters;
         let voters: Vec<usize> = (0..self.voters).map(apart).collect();
-        (0..self.members).map(|at| Place { zone: at % self.zones, voter: voters.contains(&at) }).collect()
+        (0..self.members)
+            .map(|at| MemberConfig { zone: at % self.zones, is_voter: voters.contains(&at) })
+            .collect()
     }
 
     /// The region of a zone.
--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -4,7 +4,7 @@
 
 use micabeam::consensus::LeaderTerm;
 use micabeam::control_plane::Effect;
-use micabeam::fleet::{self, MemberId, Place};
+use micabeam::fleet::{self, MemberConfig, MemberId};
 use micabeam::rollout;
 
 use super::checker::Checker;
@@ -50,7 +50,7 @@
 /// The world of a run.
 pub(super) struct World<'a> {
     plan: &'a Plan,
-    places: Vec<Place>,
+    places: Vec<MemberConfig>,
     now: f64,
     queue: Queue,
     links: Links,
@@ -159,7 +159,7 @@
         let mut members: Vec<MemberId> = (0..plan.members as MemberId).collect();
         self.draws.shuffle(&mut members);
         // Voters are killed by `leader_lost` and `zone_lost` alone: with too many of them gone nothing is decided.
-        members.retain(|member| !self.places[usize::from(*member)].voter);
+        members.retain(|member| !self.places[usize::from(*member)].is_voter);
         let mut victims = members.into_iter();
         for round in 0..plan.deaths {
             let Some(member) = victims.next() else { break };
@@ -219,7 +219,7 @@
                 let dispatcher = &mut self.members[usize::from(member)];
                 if dispatcher.process == process {
                     let now = self.now;
-                    dispatcher.work(|shared| shared.written(now, true));
+                    dispatcher.work(|shared| shared.on_written(now, true));
                     self.carry_out(member);
                 }
             }
@@ -252,7 +252,7 @@
         let dispatcher = &mut self.members[usize::from(member)];
         dispatcher.tick(now, self.plan.zones, home, lost);
         if let Some(shared) = &dispatcher.shared {
-            self.queue.schedule(shared.next().max(now + 1.0), Event::Tick { member, process });
+            self.queue.schedule(shared.next_deadline().max(now + 1.0), Event::Tick { member, process });
             let (term, _) = shared.node().term();
             if term > self.term {
                 self.leader_changes += u64::from(term.leader() != self.term.leader());
@@ -282,7 +282,7 @@
     fn carry_out(&mut self, member: MemberId) {
         loop {
             let effects =
-                self.members[usize::from(member)].work(|shared| shared.effects()).unwrap_or_default();
+                self.members[usize::from(member)].work(|shared| shared.take_effects()).unwrap_or_default();
             if effects.is_empty() {
                 break;
             }
@@ -318,15 +318,16 @@
         match effect {
             rollout::Effect::Save(hash, bytes) => {
                 dispatcher.save(hash, bytes);
-                dispatcher.work(|shared| shared.policy(now, |part, _| part.saved(hash, None)));
+                dispatcher.work(|shared| shared.with_participant(now, |part, _| part.on_saved(hash, None)));
             }
             rollout::Effect::Check(policy, _) => {
-                dispatcher
-                    .work(|shared| shared.policy(now, |part, _| part.checked(now, policy.version, None)));
+                dispatcher.work(|shared| {
+                    shared.with_participant(now, |part, _| part.on_checked(now, policy.version, None))
+                });
             }
-            rollout::Effect::Hold(hold) => {
+            rollout::Effect::Pause(hold) => {
                 dispatcher.front.held_since = Some(now);
-                dispatcher.work(|shared| shared.policy(now, |part, _| part.holding(now, hold)));
+                dispatcher.work(|shared| shared.with_participant(now, |part, _| part.on_paused(now, hold)));
             }
             rollout::Effect::Release => {
                 let since = dispatcher.front.held_since.take();
@@ -360,7 +361,7 @@
         let able = |member: &MemberId| {
             let at = usize::from(*member);
             let cut = self.links.apart == Some(self.links.regions[at]);
-            let away = self.doomed.contains(member) || self.places[at].voter;
+            let away = self.doomed.contains(member) || self.places[at].is_voter;
             self.members[at].runs() && !cut && !away
         };
         let able: Vec<MemberId> = (0..self.plan.members as MemberId).filter(able).collect();
@@ -373,9 +374,10 @@
     fn wish(&mut self, at: MemberId, version: u64) {
         let (now, bytes) = (self.now, policy(version, self.plan.policy_bytes));
         let dispatcher = &mut self.members[usize::from(at)];
-        let wants =
-            |part: &mut rollout::Participant, node: &mut fleet::Node| part.wants(now, node, version, &bytes);
-        dispatcher.work(|shared| shared.policy(now, wants));
+        let wants = |part: &mut rollout::Participant, node: &mut fleet::FleetNode| {
+            part.propose(now, node, version, &bytes)
+        };
+        dispatcher.work(|shared| shared.with_participant(now, wants));
         self.carry_out(at);
     }
 
@@ -472,7 +474,7 @@
         let lasting: Vec<usize> =
             (0..self.plan.members).filter(|at| self.members[*at].up_since <= self.began).collect();
         let leader = self.term.leader().map(|voter| voter as usize);
-        let voters: Vec<usize> = (0..self.plan.members).filter(|at| self.places[*at].voter).collect();
+        let voters: Vec<usize> = (0..self.plan.members).filter(|at| self.places[*at].is_voter).collect();
         let leader = leader.and_then(|voter| voters.get(voter - 1).copied());
         let mean = |list: &[usize], of: &dyn Fn(&Usage) -> f64| {
             list.iter().map(|at| of(&self.members[*at].usage)).sum::<f64>()
@@ -486,14 +488,14 @@
         let bytes = |usage: &Usage| usage.bytes as f64;
         let frames = |usage: &Usage| usage.frames as f64;
         let busy = |usage: &Usage| usage.busy.as_secs_f64() * 1e3;
-        let plain: Vec<usize> = lasting.iter().copied().filter(|at| !self.places[*at].voter).collect();
-        let following = |at: &usize| self.places[*at].voter && Some(*at) != leader;
+        let plain: Vec<usize> = lasting.iter().copied().filter(|at| !self.places[*at].is_voter).collect();
+        let following = |at: &usize| self.places[*at].is_voter && Some(*at) != leader;
         let followers: Vec<usize> = lasting.iter().copied().filter(following).collect();
         let mut spans: Vec<f64> =
             self.changes.iter().filter_map(|change| Some(change.in_force? - change.wanted)).collect();
         spans.sort_by(f64::total_cmp);
         let counts =
-            self.members.iter().filter_map(|member| Some(member.shared.as_ref()?.node().counts().stale));
+            self.members.iter().filter_map(|member| Some(member.shared.as_ref()?.node().counters().stale));
         Figures {
             members: self.plan.members,
             workers: self.plan.workers,
--- a/src/consensus/file.rs
+++ b/src/consensus/file.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use super::store::{Change, Kept};
+use super::store::{Change, Persisted};
 
 const MAGIC: &[u8; 8] = b"micabeam";
 /// The version of the form that is written and read.
@@ -12,7 +12,7 @@
 const HEAD: usize = 18;
 const FRAME: usize = 12;
 /// Largest file that is read, in bytes.
-pub const MOST: usize = 4 << 20;
+pub const MAX_FILE_BYTES: usize = 4 << 20;
 
 /// Why a voter's file does not read.
 #[derive(Debug, PartialEq, Eq, Error)]
@@ -30,7 +30,7 @@
     #[error("it is damaged at byte {0}, and not at its end")]
     Damaged(usize),
     /// It is longer than what is read.
-    #[error("it has more than {MOST} bytes")]
+    #[error("it has more than {MAX_FILE_BYTES} bytes")]
     Long,
 }
 
@@ -61,8 +61,8 @@
 }
 
 /// What a file says, and how many bytes of it hold: a torn end is to be cut. `None` where it has never held a batch.
-pub fn read(bytes: &[u8], generation: u32) -> Result<(Option<Kept>, usize), FileError> {
-    if bytes.len() > MOST {
+pub fn read(bytes: &[u8], generation: u32) -> Result<(Option<Persisted>, usize), FileError> {
+    if bytes.len() > MAX_FILE_BYTES {
         return Err(FileError::Long);
     }
     if bytes.len() < HEAD {
@@ -106,7 +106,7 @@
             }
             return Err(FileError::Damaged(at));
         };
-        let kept = kept.get_or_insert_with(Kept::default);
+        let kept = kept.get_or_insert_with(Persisted::default);
         changes.into_iter().for_each(|change| kept.apply(change));
         at += end;
     }
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -19,7 +19,7 @@
 use std::collections::BTreeMap;
 use std::mem;
 
-use omnipaxos::messages::Message;
+use omnipaxos::messages::Message as PaxosMessage;
 use omnipaxos::messages::ballot_leader_election::HeartbeatMsg;
 use omnipaxos::messages::sequence_paxos::{Compaction, PaxosMsg};
 use omnipaxos::storage::SnapshotType;
@@ -30,13 +30,13 @@
 
 use rounds::{LeaderBallot, Rounds};
 use store::Store;
-pub use store::{Change, Decided, Kept, Proposal};
+pub use store::{Change, Decisions, Persisted, Proposal};
 
 /// A voter's number: its place among the voters of the operator's file, from 1.
-pub type Voter = u64;
+pub type VoterId = u64;
 
 /// Longest body of a decision, in bytes.
-pub const LONGEST: usize = 1024;
+pub const MAX_DECISION_BYTES: usize = 1024;
 /// Most decisions of one message.
 const ENTRIES: usize = 256;
 /// No log comes to so many entries.
@@ -47,16 +47,16 @@
 const AGAIN: u64 = 8;
 /// Ticks after which a new leader asks voters again whom they followed before.
 const ASK_AGAIN: u64 = 2;
-/// Decided entries after which the log is folded.
+/// Decisions entries after which the log is folded.
 const FOLD: usize = 32;
 /// A file is written anew when it has come to so many bytes.
 const REWRITE: usize = 256 << 10;
 
 /// What a consensus is.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ConsensusConfig {
     /// This voter.
-    pub own: Voter,
+    pub own: VoterId,
     /// How many voters there are: 3, 5 or 7.
     pub voters: u64,
     /// The fleet's generation: raised by operators who start anew after a majority's disks were lost.
@@ -83,14 +83,14 @@
     /// The leader's ballot.
     ballot: u32,
     /// The leader.
-    leader: Voter,
+    leader: VoterId,
     /// Its rounds.
     round: u64,
 }
 
 impl LeaderTerm {
     /// The leader whose rounds it counts; none before the first.
-    pub fn leader(&self) -> Option<Voter> {
+    pub fn leader(&self) -> Option<VoterId> {
         (self.leader > 0).then_some(self.leader)
     }
 }
@@ -112,18 +112,18 @@
     /// What must be on disk before anything is sent.
     pub write: Write,
     /// Messages to other voters.
-    pub send: Vec<(Voter, Vec<u8>)>,
+    pub send: Vec<(VoterId, Vec<u8>)>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum Note {
-    Paxos(Box<Message<Proposal>>),
+enum Message {
+    Paxos(Box<PaxosMessage<Proposal>>),
     Ask {
         nonce: u64,
     },
     Told {
         nonce: u64,
-        kept: Box<Kept>,
+        kept: Box<Persisted>,
     },
     /// A new leader asks a voter that has promised to follow it when that last named another one.
     FollowedRequest {
@@ -138,7 +138,7 @@
 
 enum Phase {
     /// Nothing is remembered: what the others have told so far.
-    Asking(BTreeMap<Voter, Kept>),
+    Asking(BTreeMap<VoterId, Persisted>),
     Voting(Box<OmniPaxos<Proposal, Store>>),
     /// Its disk failed: it votes no more.
     Silent,
@@ -146,13 +146,13 @@
 
 /// One voter.
 pub struct Consensus {
-    setup: Setup,
+    setup: ConsensusConfig,
     phase: Phase,
     store: Store,
     /// Bytes of the file; none where it is not there.
     file: Option<usize>,
-    send: Vec<(Voter, Vec<u8>)>,
-    decided: Decided,
+    send: Vec<(VoterId, Vec<u8>)>,
+    decided: Decisions,
     read: usize,
     ticks: u64,
     /// Ticks for which a proposal has waited for a majority.
@@ -163,12 +163,16 @@
     rounds: Rounds,
     /// The caller's clock.
     now: f64,
-    void: u64,
+    superseded: u64,
 }
 
 impl Consensus {
     /// A voter that remembers what its file says, or nothing.
-    pub fn new(setup: Setup, kept: Option<Kept>, now: f64) -> Result<Consensus, ConsensusError> {
+    pub fn new(
+        setup: ConsensusConfig,
+        kept: Option<Persisted>,
+        now: f64,
+    ) -> Result<Consensus, ConsensusError> {
         if ![3, 5, 7].contains(&setup.voters) {
             return Err(ConsensusError::Voters(setup.voters));
         }
@@ -179,14 +183,14 @@
             store: Store::default(),
             file: None,
             send: Vec::new(),
-            decided: Decided::default(),
+            decided: Decisions::default(),
             read: 0,
             ticks: 0,
             waits: 0,
             term: LeaderTerm::default(),
             confirmed: f64::NEG_INFINITY,
             now,
-            void: 0,
+            superseded: 0,
         };
         if let Some(kept) = kept {
             consensus.vote(kept)?;
@@ -195,7 +199,7 @@
     }
 
     /// Begins to vote. The whole state is written first, whatever the file was.
-    fn vote(&mut self, kept: Kept) -> Result<(), ConsensusError> {
+    fn vote(&mut self, kept: Persisted) -> Result<(), ConsensusError> {
         let config = OmniPaxosConfig {
             cluster_config: ClusterConfig {
                 configuration_id: self.setup.generation.max(1),
@@ -218,7 +222,7 @@
     }
 
     /// Whether it votes.
-    pub fn votes(&self) -> bool {
+    pub fn is_voting(&self) -> bool {
         matches!(self.phase, Phase::Voting(_))
     }
 
@@ -229,7 +233,7 @@
     }
 
     /// The voter that leads, as far as is known here.
-    pub fn leader(&self) -> Option<Voter> {
+    pub fn leader(&self) -> Option<VoterId> {
         match &self.phase {
             Phase::Voting(omni) => omni.get_current_leader().map(|(leader, _)| leader),
             _ => None,
@@ -237,7 +241,7 @@
     }
 
     /// Whether this voter leads and can propose.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         match &self.phase {
             Phase::Voting(omni) => leads(omni, self.setup.own),
             _ => false,
@@ -245,7 +249,7 @@
     }
 
     /// What is decided.
-    pub fn decided(&self) -> &Decided {
+    pub fn decided(&self) -> &Decisions {
         &self.decided
     }
 
@@ -255,28 +259,28 @@
     }
 
     /// The voters that followed this one in the last round; none where it does not lead.
-    pub fn followers(&self) -> Vec<Voter> {
-        if self.leads() { self.rounds.followers() } else { Vec::new() }
+    pub fn followers(&self) -> Vec<VoterId> {
+        if self.is_leader() { self.rounds.followers() } else { Vec::new() }
     }
 
     /// When the last round began that a majority followed this voter in; none where it does not lead, or was not followed
     /// under this ballot yet.
-    pub fn confirmed(&self) -> Option<f64> {
+    pub fn last_confirmed_round(&self) -> Option<f64> {
         let Phase::Voting(omni) = &self.phase else { return None };
         let promise = omni.get_promise();
         let own = self.term.ballot == promise.n && self.term.leader == promise.pid;
-        (own && self.leads()).then_some(self.confirmed)
+        (own && self.is_leader()).then_some(self.confirmed)
     }
 
     /// The latest time at which a leader before this one may have begun a round that a majority followed; none where this
     /// voter does not lead, or does not know yet.
-    pub fn succeeded(&self) -> Option<f64> {
+    pub fn predecessors_last_round(&self) -> Option<f64> {
         let Phase::Voting(omni) = &self.phase else { return None };
-        self.rounds.succeeded(omni.get_promise()).filter(|_| self.leads())
+        self.rounds.succeeded(omni.get_promise()).filter(|_| self.is_leader())
     }
 
     /// Whether all that is in its log is decided.
-    pub fn settled(&self) -> bool {
+    pub fn log_is_committed(&self) -> bool {
         match &self.phase {
             Phase::Voting(omni) => omni.get_accepted_idx() <= omni.get_decided_idx(),
             _ => false,
@@ -284,14 +288,14 @@
     }
 
     /// Proposals that were void.
-    pub fn void(&self) -> u64 {
-        self.void
+    pub fn superseded(&self) -> u64 {
+        self.superseded
     }
 
     /// Proposes a decision that builds on `based`, the newest epoch known. False where this voter does not lead, where
     /// it has not decided what it proposed before, or where the body is too long.
     pub fn propose(&mut self, topic: u8, based: u64, body: Vec<u8>) -> bool {
-        if !self.leads() || body.len() > LONGEST {
+        if !self.is_leader() || body.len() > MAX_DECISION_BYTES {
             return false;
         }
         let Phase::Voting(omni) = &mut self.phase else { return false };
@@ -324,9 +328,9 @@
             }
             Phase::Asking(told) if self.ticks % AGAIN == 1 => {
                 let others = (1..=self.setup.voters).filter(|&v| v != self.setup.own);
-                let missing: Vec<Voter> = others.filter(|v| !told.contains_key(v)).collect();
+                let missing: Vec<VoterId> = others.filter(|v| !told.contains_key(v)).collect();
                 for voter in missing {
-                    self.note(voter, &Note::Ask { nonce: self.setup.nonce });
+                    self.note(voter, &Message::Ask { nonce: self.setup.nonce });
                 }
             }
             _ => {}
@@ -336,12 +340,12 @@
 
     /// As a new leader, asks voters when they last followed another one.
     fn ask_followed(&mut self) {
-        if !self.leads() {
+        if !self.is_leader() {
             return;
         }
         let (ballot, voters) = self.rounds.to_ask();
         for voter in voters {
-            self.note(voter, &Note::FollowedRequest { ballot });
+            self.note(voter, &Message::FollowedRequest { ballot });
         }
     }
 
@@ -363,16 +367,16 @@
     }
 
     /// A message of another voter. False where it is none that this voter can take.
-    pub fn receive(&mut self, now: f64, from: Voter, bytes: &[u8]) -> bool {
+    pub fn receive(&mut self, now: f64, from: VoterId, bytes: &[u8]) -> bool {
         self.now = now;
         if from == self.setup.own || !(1..=self.setup.voters).contains(&from) {
             return false;
         }
-        let Ok((note, [])) = postcard::take_from_bytes::<Note>(bytes) else {
+        let Ok((note, [])) = postcard::take_from_bytes::<Message>(bytes) else {
             return false;
         };
         match note {
-            Note::Paxos(mut message) => {
+            Message::Paxos(mut message) => {
                 if message.get_sender() != from || message.get_receiver() != self.setup.own || !fits(&message)
                 {
                     return false;
@@ -381,7 +385,7 @@
                 if let Phase::Voting(omni) = &mut self.phase
                     && keeps(&mut message, omni.get_decided_idx())
                 {
-                    if let Message::BLE(heartbeat) = &*message
+                    if let PaxosMessage::BLE(heartbeat) = &*message
                         && let HeartbeatMsg::Reply(reply) = &heartbeat.msg
                     {
                         self.rounds.replied(from, reply, omni.get_promise());
@@ -389,23 +393,23 @@
                     omni.handle_incoming(*message);
                 }
             }
-            Note::FollowedRequest { ballot } => {
+            Message::FollowedRequest { ballot } => {
                 if let Phase::Voting(omni) = &self.phase
                     && let Some(ago) = self.rounds.followed_other(now, ballot, omni.get_promise())
                 {
-                    self.note(from, &Note::FollowedReply { ballot, ago });
+                    self.note(from, &Message::FollowedReply { ballot, ago });
                 }
             }
-            Note::FollowedReply { ballot, ago } => self.rounds.answered(now, from, ballot, ago),
-            Note::Ask { nonce } => {
+            Message::FollowedReply { ballot, ago } => self.rounds.answered(now, from, ballot, ago),
+            Message::Ask { nonce } => {
                 let kept = match &self.phase {
                     Phase::Voting(_) => self.store.kept(),
-                    Phase::Asking(_) => Kept::default(),
+                    Phase::Asking(_) => Persisted::default(),
                     Phase::Silent => return true,
                 };
-                self.note(from, &Note::Told { nonce, kept: Box::new(kept) });
+                self.note(from, &Message::Told { nonce, kept: Box::new(kept) });
             }
-            Note::Told { nonce, kept } => {
+            Message::Told { nonce, kept } => {
                 if nonce != self.setup.nonce {
                     return true;
                 }
@@ -424,7 +428,7 @@
         true
     }
 
-    fn note(&mut self, to: Voter, note: &Note) {
+    fn note(&mut self, to: VoterId, note: &Message) {
         // Into a vector nothing can fail to fit.
         self.send.push((to, postcard::to_stdvec(note).unwrap_or_default()));
     }
@@ -436,11 +440,11 @@
         omni.take_outgoing_messages(&mut messages);
         let promise = omni.get_promise();
         for mut message in messages {
-            if let Message::BLE(heartbeat) = &mut message {
+            if let PaxosMessage::BLE(heartbeat) = &mut message {
                 self.rounds.sending(self.now, &mut heartbeat.msg, promise);
             }
             let to = message.get_receiver();
-            self.note(to, &Note::Paxos(Box::new(message)));
+            self.note(to, &Message::Paxos(Box::new(message)));
         }
         self.confirm();
         self.read_on();
@@ -452,7 +456,7 @@
         for entry in omni.read_decided_suffix(self.read).unwrap_or_default() {
             match entry {
                 LogEntry::Decided(proposal) => {
-                    self.void += u64::from(!self.decided.apply(&proposal) && !proposal.fills());
+                    self.superseded += u64::from(!self.decided.apply(&proposal) && !proposal.fills());
                 }
                 LogEntry::Snapshotted(folded) => self.decided = folded.snapshot.decided(),
                 _ => {}
@@ -466,11 +470,11 @@
     }
 
     /// What is to be written and sent since the last batch.
-    pub fn batch(&mut self) -> Option<Batch> {
+    pub fn take_batch(&mut self) -> Option<Batch> {
         let changes = self.store.take_changes();
         let send = mem::take(&mut self.send);
         let write = match self.file {
-            _ if !self.votes() => Write::Nothing,
+            _ if !self.is_voting() => Write::Nothing,
             Some(length) if length < REWRITE && changes.is_empty() => Write::Nothing,
             Some(length) if length < REWRITE => Write::Append(file::frame(&changes)),
             _ => {
@@ -492,20 +496,20 @@
 /// Whether a voter's message is a heartbeat: those are numbered by their round, so that one that another has overtaken is
 /// as good as before.
 pub fn is_heartbeat(bytes: &[u8]) -> bool {
-    matches!(postcard::take_from_bytes::<Note>(bytes), Ok((Note::Paxos(message), [])) if matches!(*message, Message::BLE(_)))
+    matches!(postcard::take_from_bytes::<Message>(bytes), Ok((Message::Paxos(message), [])) if matches!(*message, PaxosMessage::BLE(_)))
 }
 
 /// Whether this voter leads and can propose.
-fn leads(omni: &OmniPaxos<Proposal, Store>, own: Voter) -> bool {
+fn leads(omni: &OmniPaxos<Proposal, Store>, own: VoterId) -> bool {
     omni.get_current_leader() == Some((own, true))
 }
 
 /// Whether a message is of a kind and size that voters of this program send.
-fn fits(message: &Message<Proposal>) -> bool {
+fn fits(message: &PaxosMessage<Proposal>) -> bool {
     let all = |entries: &[Proposal]| {
-        entries.len() <= ENTRIES && entries.iter().all(|proposal| proposal.body.len() <= LONGEST)
+        entries.len() <= ENTRIES && entries.iter().all(|proposal| proposal.body.len() <= MAX_DECISION_BYTES)
     };
-    let Message::SequencePaxos(message) = message else { return true };
+    let PaxosMessage::SequencePaxos(message) = message else { return true };
     let indexes = match &message.msg {
         PaxosMsg::Prepare(m) => [m.decided_idx, m.accepted_idx, 0],
         PaxosMsg::Promise(m) => {
@@ -535,8 +539,8 @@
 
 /// Whether a message leaves what is decided as it is. One that came late may not, and the library passes it over: it
 /// takes no AcceptSync once it accepts, and reads no log of a Promise once it leads.
-fn keeps(message: &mut Message<Proposal>, decided: usize) -> bool {
-    let Message::SequencePaxos(message) = message else { return true };
+fn keeps(message: &mut PaxosMessage<Proposal>, decided: usize) -> bool {
+    let PaxosMessage::SequencePaxos(message) = message else { return true };
     match &mut message.msg {
         PaxosMsg::Promise(promise) => {
             promise.log_sync = promise.log_sync.take().filter(|sync| sync.sync_idx >= decided);
@@ -549,8 +553,8 @@
 
 /// Puts the entries of a partial snapshot back into the log that it is to complete. The library (0.2.4) merges such a
 /// snapshot with what its own log has up to the new count of decided entries, among it what was never decided.
-fn unfold(message: &mut Message<Proposal>) {
-    let Message::SequencePaxos(message) = message else { return };
+fn unfold(message: &mut PaxosMessage<Proposal>) {
+    let PaxosMessage::SequencePaxos(message) = message else { return };
     let sync = match &mut message.msg {
         PaxosMsg::Promise(promise) => promise.log_sync.as_mut(),
         PaxosMsg::AcceptSync(accept) => Some(&mut accept.log_sync),
@@ -569,8 +573,8 @@
 }
 
 /// What a voter that has forgotten takes from all the others: the newest log, and the highest promise.
-fn remembered(told: impl Iterator<Item = Kept>) -> Kept {
-    let (mut best, mut promise) = (Kept::default(), None);
+fn remembered(told: impl Iterator<Item = Persisted>) -> Persisted {
+    let (mut best, mut promise) = (Persisted::default(), None);
     for kept in told {
         promise = promise.max(kept.promise);
         if (kept.accepted, kept.length()) > (best.accepted, best.length()) {
--- a/src/consensus/rounds.rs
+++ b/src/consensus/rounds.rs
@@ -11,13 +11,13 @@
 use omnipaxos::messages::ballot_leader_election::{HeartbeatMsg, HeartbeatReply};
 use serde::{Deserialize, Serialize};
 
-use super::Voter;
+use super::VoterId;
 
 /// A leader's ballot, as far as it differs among the voters of one generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) struct LeaderBallot {
     number: u32,
-    voter: Voter,
+    voter: VoterId,
 }
 
 impl From<Ballot> for LeaderBallot {
@@ -29,16 +29,16 @@
 /// The rounds of one voter. Times are the caller's, in milliseconds.
 #[derive(Debug)]
 pub(super) struct Rounds {
-    own: Voter,
+    own: VoterId,
     voters: u64,
     /// The round under way: the library's number of it, and when its requests were made.
     number: u32,
     began: f64,
     /// The voters that named this one as their leader in it.
-    followers: BTreeSet<Voter>,
+    followers: BTreeSet<VoterId>,
     counted: bool,
     /// Those of the last round that a majority followed.
-    last_followers: BTreeSet<Voter>,
+    last_followers: BTreeSet<VoterId>,
     /// The leader that this voter named last, and when; and when it last named another one.
     named: LeaderBallot,
     named_at: f64,
@@ -52,12 +52,12 @@
     ballot: LeaderBallot,
     /// The latest time at which a voter that answered may have named another leader.
     latest: f64,
-    answered: BTreeSet<Voter>,
+    answered: BTreeSet<VoterId>,
 }
 
 impl Rounds {
     /// Those of a voter that has just started: what it named before it does not know, and takes to be just now.
-    pub(super) fn new(own: Voter, voters: u64, now: f64) -> Rounds {
+    pub(super) fn new(own: VoterId, voters: u64, now: f64) -> Rounds {
         Rounds {
             own,
             voters,
@@ -107,7 +107,7 @@
     }
 
     /// A reply to the round under way.
-    pub(super) fn replied(&mut self, from: Voter, reply: &HeartbeatReply, promise: Ballot) {
+    pub(super) fn replied(&mut self, from: VoterId, reply: &HeartbeatReply, promise: Ballot) {
         if reply.round == self.number && reply.leader == promise && promise.pid == self.own {
             self.followers.insert(from);
         }
@@ -126,7 +126,7 @@
     }
 
     /// The voters that followed this one in its last round, itself among them.
-    pub(super) fn followers(&self) -> Vec<Voter> {
+    pub(super) fn followers(&self) -> Vec<VoterId> {
         let followers = if self.last_followers.is_empty() { &self.followers } else { &self.last_followers };
         followers.iter().copied().chain([self.own]).collect()
     }
@@ -154,8 +154,8 @@
 
     /// The voters to ask when they last named another leader, and the ballot to ask them with; nobody once a majority has
     /// answered.
-    pub(super) fn to_ask(&self) -> (LeaderBallot, Vec<Voter>) {
-        let missing = |voter: &Voter| !self.succession.answered.contains(voter);
+    pub(super) fn to_ask(&self) -> (LeaderBallot, Vec<VoterId>) {
+        let missing = |voter: &VoterId| !self.succession.answered.contains(voter);
         let voters = match self.is_majority(self.succession.answered.len()) {
             true => Vec::new(),
             false => (1..=self.voters).filter(missing).collect(),
@@ -164,7 +164,7 @@
     }
 
     /// A voter that has promised to follow this one last named another leader so long ago.
-    pub(super) fn answered(&mut self, now: f64, from: Voter, ballot: LeaderBallot, ago: u32) {
+    pub(super) fn answered(&mut self, now: f64, from: VoterId, ballot: LeaderBallot, ago: u32) {
         if self.succession.ballot == ballot {
             self.succession.latest = self.succession.latest.max(now - f64::from(ago));
             self.succession.answered.insert(from);
--- a/src/consensus/store.rs
+++ b/src/consensus/store.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use omnipaxos::ballot_leader_election::Ballot;
-use omnipaxos::storage::{Entry, Snapshot, StopSign, Storage, StorageOp, StorageResult};
+use omnipaxos::storage::{Entry, Snapshot as LogSnapshot, StopSign, Storage, StorageOp, StorageResult};
 use serde::{Deserialize, Serialize};
 
 /// A decision that is proposed.
@@ -33,16 +33,16 @@
 }
 
 impl Entry for Proposal {
-    type Snapshot = Folded;
+    type Snapshot = Snapshot;
 }
 
 /// The newest decision of each topic, with its epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Decided {
+pub struct Decisions {
     topics: BTreeMap<u8, (u64, Vec<u8>)>,
 }
 
-impl Decided {
+impl Decisions {
     /// Takes the next proposal of the log. Whether it holds: one that builds on an older epoch is void. One that
     /// builds on a newer epoch than the log's holds, so that epochs go on after a log was lost.
     pub fn apply(&mut self, proposal: &Proposal) -> bool {
@@ -71,14 +71,14 @@
 /// A part of the log, folded. A part from the log's middle cannot be folded alone: its proposals are kept until they
 /// are merged with what was before.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Folded {
-    decided: Decided,
+pub struct Snapshot {
+    decided: Decisions,
     rest: Vec<Proposal>,
 }
 
-impl Folded {
+impl Snapshot {
     /// The newest decisions.
-    pub fn decided(&self) -> Decided {
+    pub fn decided(&self) -> Decisions {
         let mut decided = self.decided.clone();
         for proposal in &self.rest {
             decided.apply(proposal);
@@ -92,12 +92,12 @@
     }
 }
 
-impl Snapshot<Proposal> for Folded {
-    fn create(entries: &[Proposal]) -> Folded {
-        Folded { decided: Decided::default(), rest: entries.to_vec() }
+impl LogSnapshot<Proposal> for Snapshot {
+    fn create(entries: &[Proposal]) -> Snapshot {
+        Snapshot { decided: Decisions::default(), rest: entries.to_vec() }
     }
 
-    fn merge(&mut self, delta: Folded) {
+    fn merge(&mut self, delta: Snapshot) {
         self.decided = self.decided();
         self.rest = Vec::new();
         for proposal in &delta.rest {
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     /// All of it.
-    Whole(Box<Kept>),
+    Whole(Box<Persisted>),
     /// The log from this index on is these.
     Prefix(u64, Vec<Proposal>),
     /// The ballot that is promised.
@@ -126,22 +126,22 @@
     /// The log before this index has gone.
     Trim(u64),
     /// What the log before its first entry came to.
-    Folded(Option<Folded>),
+    Folded(Option<Snapshot>),
 }
 
 /// What a voter must remember.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct Persisted {
     pub(super) promise: Option<Ballot>,
     pub(super) accepted: Option<Ballot>,
     decided: u64,
     /// The index of the first entry.
     first: u64,
     entries: Vec<Proposal>,
-    folded: Option<Folded>,
+    folded: Option<Snapshot>,
 }
 
-impl Kept {
+impl Persisted {
     /// How many entries the log has had.
     pub(super) fn length(&self) -> u64 {
         self.first + self.entries.len() as u64
@@ -181,14 +181,14 @@
 
 /// The storage: what is kept, and what of it has changed since it was last given out.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Store(Rc<RefCell<(Kept, Vec<Change>)>>);
+pub(super) struct Store(Rc<RefCell<(Persisted, Vec<Change>)>>);
 
 impl Store {
-    pub(super) fn new(kept: Kept) -> Store {
+    pub(super) fn new(kept: Persisted) -> Store {
         Store(Rc::new(RefCell::new((kept, Vec::new()))))
     }
 
-    pub(super) fn kept(&self) -> Kept {
+    pub(super) fn kept(&self) -> Persisted {
         self.0.borrow().0.clone()
     }
 
@@ -203,7 +203,7 @@
         Ok(())
     }
 
-    fn read<T>(&self, of: impl FnOnce(&Kept) -> T) -> StorageResult<T> {
+    fn read<T>(&self, of: impl FnOnce(&Persisted) -> T) -> StorageResult<T> {
         Ok(of(&self.0.borrow().0))
     }
 }
@@ -298,11 +298,11 @@
         self.read(|kept| kept.first as usize)
     }
 
-    fn set_snapshot(&mut self, snapshot: Option<Folded>) -> StorageResult<()> {
+    fn set_snapshot(&mut self, snapshot: Option<Snapshot>) -> StorageResult<()> {
         self.change(Change::Folded(snapshot))
     }
 
-    fn get_snapshot(&self) -> StorageResult<Option<Folded>> {
+    fn get_snapshot(&self) -> StorageResult<Option<Snapshot>> {
         self.read(|kept| kept.folded.clone())
     }
 }
--- a/src/consensus/tests.rs
+++ b/src/consensus/tests.rs
@@ -12,17 +12,17 @@
 
 const TOPIC: u8 = 1;
 /// Milliseconds of a tick.
-const TICK: f64 = 50.0;
+const TICK_MS: f64 = 50.0;
 
 /// Voters, their disks, and the messages between them.
 struct Net {
     voters: u64,
-    replicas: BTreeMap<Voter, Consensus>,
-    disks: BTreeMap<Voter, Vec<u8>>,
+    replicas: BTreeMap<VoterId, Consensus>,
+    disks: BTreeMap<VoterId, Vec<u8>>,
     /// Messages by the tick at which they arrive, in order on each link.
-    under_way: Vec<(u64, Voter, Voter, Vec<u8>)>,
-    last: BTreeMap<(Voter, Voter), u64>,
-    cut: BTreeSet<(Voter, Voter)>,
+    under_way: Vec<(u64, VoterId, VoterId, Vec<u8>)>,
+    last: BTreeMap<(VoterId, VoterId), u64>,
+    cut: BTreeSet<(VoterId, VoterId)>,
     draws: fastrand::Rng,
     loss: f64,
     /// One message in ten has a bit changed; agreement is not checked then.
@@ -32,7 +32,7 @@
     /// What was decided in an epoch, wherever it was read first.
     decided: BTreeMap<u64, Vec<u8>>,
     /// The newest epoch that each has known.
-    known: BTreeMap<Voter, u64>,
+    known: BTreeMap<VoterId, u64>,
 }
 
 impl Net {
@@ -56,22 +56,22 @@
         net
     }
 
-    fn start(&mut self, own: Voter) {
+    fn start(&mut self, own: VoterId) {
         self.starts += 1;
-        let setup = Setup { own, voters: self.voters, generation: 1, nonce: self.starts };
+        let setup = ConsensusConfig { own, voters: self.voters, generation: 1, nonce: self.starts };
         let kept = self.disks.get(&own).map(|bytes| file::read(bytes, 1).unwrap().0).unwrap_or_default();
-        self.replicas.insert(own, Consensus::new(setup, kept, self.tick as f64 * TICK).unwrap());
+        self.replicas.insert(own, Consensus::new(setup, kept, self.tick as f64 * TICK_MS).unwrap());
         // A process that starts knows what its disk says at least.
         self.known.remove(&own);
     }
 
-    fn kill(&mut self, voter: Voter) {
+    fn kill(&mut self, voter: VoterId) {
         self.replicas.remove(&voter);
         self.under_way.retain(|m| m.1 != voter && m.2 != voter);
     }
 
     /// Cuts all links between two groups, both ways.
-    fn split(&mut self, groups: &[&[Voter]]) {
+    fn split(&mut self, groups: &[&[VoterId]]) {
         self.cut.clear();
         for (at, one) in groups.iter().enumerate() {
             for other in groups.iter().enumerate().filter(|g| g.0 != at).flat_map(|g| g.1.iter()) {
@@ -82,8 +82,8 @@
 
     fn step(&mut self) {
         self.tick += 1;
-        let ids: Vec<Voter> = self.replicas.keys().copied().collect();
-        let clock = self.tick as f64 * TICK;
+        let ids: Vec<VoterId> = self.replicas.keys().copied().collect();
+        let clock = self.tick as f64 * TICK_MS;
         ids.iter().for_each(|id| self.replicas.get_mut(id).unwrap().tick(clock));
         let now = self.tick;
         let mut due: Vec<_> = self.under_way.extract_if(.., |m| m.0 <= now).collect();
@@ -115,8 +115,8 @@
     }
 
     /// Writes and sends what a voter has given out.
-    fn flush(&mut self, id: Voter) {
-        let Some(batch) = self.replicas.get_mut(&id).and_then(Consensus::batch) else { return };
+    fn flush(&mut self, id: VoterId) {
+        let Some(batch) = self.replicas.get_mut(&id).and_then(Consensus::take_batch) else { return };
         match batch.write {
             Write::Nothing => {}
             Write::Append(bytes) => self.disks.entry(id).or_default().extend(bytes),
@@ -156,7 +156,7 @@
         self.decided.keys().max().copied().unwrap_or(0)
     }
 
-    fn of(&self, voter: Voter) -> u64 {
+    fn of(&self, voter: VoterId) -> u64 {
         self.replicas[&voter].decided().newest(TOPIC).0
     }
 
@@ -174,8 +174,8 @@
     assert!(net.gains(200) > 10);
     let leader = net.replicas[&1].leader();
     assert!(net.replicas.values().all(|consensus| consensus.leader() == leader));
-    assert_eq!(net.replicas.values().filter(|consensus| consensus.leads()).count(), 1);
-    let mut followers: Vec<Voter> = net.replicas[&leader.unwrap()].followers().to_vec();
+    assert_eq!(net.replicas.values().filter(|consensus| consensus.is_leader()).count(), 1);
+    let mut followers: Vec<VoterId> = net.replicas[&leader.unwrap()].followers().to_vec();
     followers.sort_unstable();
     assert_eq!(followers, [1, 2, 3, 4, 5]);
 }
@@ -227,7 +227,7 @@
         net.cut.retain(|(a, b)| *a != hub && *b != hub);
         net.run(60);
         assert!(net.gains(60) > 2, "the hub {hub} leads");
-        assert!(net.replicas[&hub].leads());
+        assert!(net.replicas[&hub].is_leader());
     }
 }
 
@@ -237,7 +237,7 @@
     let mut net = Net::new(5, 7);
     net.run(100);
     let leader = net.replicas[&1].leader().unwrap();
-    let others: Vec<Voter> = (1..=5).filter(|v| *v != leader).collect();
+    let others: Vec<VoterId> = (1..=5).filter(|v| *v != leader).collect();
     // The leader is heard by one alone, and hears all.
     net.cut = others[1..].iter().map(|v| (leader, *v)).collect();
     net.run(60);
@@ -255,11 +255,11 @@
     net.split(&[&[1, 2], &[3]]);
     let before = net.epoch();
     net.run(100);
-    assert!(!net.replicas[&1].votes(), "one of two has told");
+    assert!(!net.replicas[&1].is_voting(), "one of two has told");
     assert_eq!(net.epoch(), before, "no majority among those that remember");
     net.split(&[]);
     assert!(net.gains(100) > 2);
-    assert!(net.replicas[&1].votes());
+    assert!(net.replicas[&1].is_voting());
 }
 
 /// All disks but one lost: epochs go on where the one that remembers knows them.
@@ -282,7 +282,7 @@
     net.run(100);
     net.replicas.get_mut(&2).unwrap().fail();
     assert!(net.gains(100) > 2, "two of three go on");
-    assert!(!net.replicas[&2].votes() && net.replicas.get_mut(&2).unwrap().batch().is_none());
+    assert!(!net.replicas[&2].is_voting() && net.replicas.get_mut(&2).unwrap().take_batch().is_none());
     net.kill(1);
     net.run(40);
     assert_eq!(net.gains(60), 0);
@@ -303,7 +303,7 @@
 /// Two that lead for a moment propose on the same epoch: one of them acts.
 #[test]
 fn a_decision_that_builds_on_an_older_epoch_is_void() {
-    let mut decided = Decided::default();
+    let mut decided = Decisions::default();
     let proposal = |based, body: u8| Proposal { topic: TOPIC, based, body: vec![body] };
     assert!(decided.apply(&proposal(0, 1)));
     assert!(!decided.apply(&proposal(0, 2)));
@@ -338,7 +338,7 @@
     let sum = crc32c::crc32c(&newer[..14]).to_le_bytes();
     newer[14..18].copy_from_slice(&sum);
     assert_eq!(file::read(&newer, 1), Err(FileError::Version(9)));
-    assert_eq!(file::read(&vec![0; file::MOST + 1], 1), Err(FileError::Long));
+    assert_eq!(file::read(&vec![0; file::MAX_FILE_BYTES + 1], 1), Err(FileError::Long));
 }
 
 /// Plays faults by seed.
@@ -350,7 +350,7 @@
         match net.draws.u8(..8) {
             0 => net.kill(voter),
             1 if !net.replicas.contains_key(&voter) => net.start(voter),
-            2 if net.replicas.values().all(Consensus::votes)
+            2 if net.replicas.values().all(Consensus::is_voting)
                 && (1..=voters).all(|v| net.disks.contains_key(&v)) =>
             {
                 // A voter loses its file; all the others have theirs.
@@ -433,7 +433,7 @@
     }
 }
 
-fn ballot(number: u32, voter: Voter) -> Ballot {
+fn ballot(number: u32, voter: VoterId) -> Ballot {
     Ballot::with(1, number, 0, voter)
 }
 
@@ -447,16 +447,16 @@
     let mut net = Net::new(3, 31);
     net.run(100);
     let leader = net.replicas[&1].leader().unwrap();
-    let confirmed = |net: &Net| net.replicas[&leader].confirmed().unwrap();
+    let confirmed = |net: &Net| net.replicas[&leader].last_confirmed_round().unwrap();
     let before = confirmed(&net);
     // The leader stands still with its requests on their way, and reads all replies much later.
-    let late = net.tick as f64 * TICK + 60_000.0;
+    let late = net.tick as f64 * TICK_MS + 60_000.0;
     let replies: Vec<_> = net.under_way.extract_if(.., |m| m.2 == leader).collect();
     let consensus = net.replicas.get_mut(&leader).unwrap();
     for (_, from, _, bytes) in replies {
         consensus.receive(late, from, &bytes);
     }
-    assert!(confirmed(&net) <= before + 8.0 * TICK, "{} after {before}", confirmed(&net));
+    assert!(confirmed(&net) <= before + 8.0 * TICK_MS, "{} after {before}", confirmed(&net));
 }
 
 /// Guards against an old leader that counts a voter which has promised to follow the next one.
--- a/src/consensus/wire_tests.rs
+++ b/src/consensus/wire_tests.rs
@@ -1,21 +1,21 @@
 //! Guards the form of what voters send one another and of what they have on disk.
 
 use omnipaxos::ballot_leader_election::Ballot;
-use omnipaxos::storage::Snapshot;
+use omnipaxos::storage::Snapshot as _;
 
 use super::file::{self, frame, head};
 use super::rounds::LeaderBallot;
-use super::store::Folded;
-use super::{Change, Consensus, Kept, Note, Proposal, Setup, Write};
+use super::store::Snapshot;
+use super::{Change, Consensus, ConsensusConfig, Message, Persisted, Proposal, Write};
 use crate::wire_fixture::assert_bytes;
 
 /// What a voter of the landed program has stored in a fleet of three.
 const STORED: &[u8] = include_bytes!("../../tests/fixtures/fleet/votes-0");
 
-fn note(name: &str, note: &Note) {
+fn note(name: &str, note: &Message) {
     let bytes = postcard::to_stdvec(note).unwrap();
     assert_bytes(name, &bytes);
-    let again: Note = postcard::from_bytes(&bytes).unwrap();
+    let again: Message = postcard::from_bytes(&bytes).unwrap();
     assert_eq!(postcard::to_stdvec(&again).unwrap(), bytes, "{name}");
 }
 
@@ -30,15 +30,15 @@
 #[test]
 fn each_message_of_a_voter_keeps_its_form() {
     let kept = file::read(STORED, 1).unwrap().0.unwrap();
-    note("consensus.ask", &Note::Ask { nonce: 300 });
-    note("consensus.told", &Note::Told { nonce: 300, kept: Box::new(kept) });
+    note("consensus.ask", &Message::Ask { nonce: 300 });
+    note("consensus.told", &Message::Told { nonce: 300, kept: Box::new(kept) });
     let ballot = LeaderBallot::from(ballot());
-    note("consensus.followed_request", &Note::FollowedRequest { ballot });
-    note("consensus.followed_reply", &Note::FollowedReply { ballot, ago: 1500 });
-    let setup = Setup { own: 1, voters: 3, generation: 1, nonce: 1 };
-    let mut voter = Consensus::new(setup, Some(Kept::default()), 0.0).unwrap();
+    note("consensus.followed_request", &Message::FollowedRequest { ballot });
+    note("consensus.followed_reply", &Message::FollowedReply { ballot, ago: 1500 });
+    let setup = ConsensusConfig { own: 1, voters: 3, generation: 1, nonce: 1 };
+    let mut voter = Consensus::new(setup, Some(Persisted::default()), 0.0).unwrap();
     voter.tick(50.0);
-    let sent = voter.batch().unwrap().send;
+    let sent = voter.take_batch().unwrap().send;
     assert_bytes("consensus.heartbeat", &sent.first().expect("a heartbeat").1);
 }
 
@@ -51,7 +51,7 @@
         ("consensus.accepted", Change::Accepted(ballot())),
         ("consensus.decided", Change::Decided(300)),
         ("consensus.trim", Change::Trim(299)),
-        ("consensus.folded", Change::Folded(Some(Folded::create(&[proposal(1)])))),
+        ("consensus.folded", Change::Folded(Some(Snapshot::create(&[proposal(1)])))),
         ("consensus.folded_none", Change::Folded(None)),
     ] {
         assert_bytes(name, &frame(&[change]));
@@ -64,10 +64,12 @@
 fn a_stored_voters_file_is_read_and_used() {
     let (kept, whole) = file::read(STORED, 1).unwrap();
     assert_eq!(whole, STORED.len());
-    let setup = Setup { own: 1, voters: 3, generation: 1, nonce: 1 };
+    let setup = ConsensusConfig { own: 1, voters: 3, generation: 1, nonce: 1 };
     let mut voter = Consensus::new(setup, kept, 0.0).unwrap();
-    assert!(voter.votes(), "it remembers, and need not ask the others");
+    assert!(voter.is_voting(), "it remembers, and need not ask the others");
     assert_eq!(voter.decided().newest(crate::rollout::TOPIC).0, 4, "two versions, staged and in force");
-    let Some(Write::Replace(bytes)) = voter.batch().map(|batch| batch.write) else { panic!("written whole") };
+    let Some(Write::Replace(bytes)) = voter.take_batch().map(|batch| batch.write) else {
+        panic!("written whole")
+    };
     assert_bytes("consensus.rewritten", &bytes);
 }
--- a/src/control_plane/tests.rs
+++ b/src/control_plane/tests.rs
@@ -6,22 +6,22 @@
 
 use super::*;
 use crate::consensus::{Write, file};
-use crate::fleet::{self, Body, Decision, Frame, LONGEST, Place};
-use crate::zones::{End, Standing, State, Table};
+use crate::fleet::{self, Body, Decision, Frame, MAX_FRAME_BYTES, MemberConfig};
+use crate::zones::{AgreementStatus, AttemptResult, ZoneState, ZoneTable};
 
 const ZONES: usize = 3;
 const EACH: usize = 3;
 
-fn places() -> Vec<Place> {
+fn places() -> Vec<MemberConfig> {
     // Five voters: two in each of the first zones, one in the last.
     (0..ZONES * EACH)
-        .map(|m| Place { zone: m / EACH, voter: m % EACH < 2 && m != ZONES * EACH - 2 })
+        .map(|m| MemberConfig { zone: m / EACH, is_voter: m % EACH < 2 && m != ZONES * EACH - 2 })
         .collect()
 }
 
 struct World {
     now: f64,
-    nodes: BTreeMap<MemberId, Shared>,
+    nodes: BTreeMap<MemberId, ControlPlane>,
     frozen: BTreeSet<MemberId>,
     disks: BTreeMap<MemberId, Vec<u8>>,
     under_way: Vec<(f64, u64, MemberId, MemberId, Vec<u8>)>,
@@ -31,7 +31,7 @@
     dead: [bool; ZONES],
     draws: fastrand::Rng,
     /// The table of each epoch.
-    decided: BTreeMap<u64, Table>,
+    decided: BTreeMap<u64, ZoneTable>,
     epochs: BTreeMap<MemberId, u64>,
     /// Clocks of members are apart by so much.
     skew: f64,
@@ -70,17 +70,18 @@
 
     fn start(&mut self, own: MemberId) {
         let now = self.clock(own);
-        let fleet = fleet::Setup {
+        let fleet = fleet::NodeConfig {
             cluster: "test".into(),
             generation: 1,
-            places: places(),
+            members: places(),
             own,
-            session: now as u64,
+            incarnation: now as u64,
             seed: self.draws.u64(..),
         };
-        let setup = Setup { fleet, zones: ZONES, rules: Rules::default(), rollout: None };
+        let setup =
+            ControlPlaneConfig { fleet, zones: ZONES, failover: FailoverSettings::default(), rollout: None };
         let kept = self.disks.get(&own).map(|bytes| file::read(bytes, 1).unwrap().0).unwrap_or_default();
-        self.nodes.insert(own, Shared::new(setup, kept, now).unwrap());
+        self.nodes.insert(own, ControlPlane::new(setup, kept, now).unwrap());
         self.epochs.remove(&own);
     }
 
@@ -113,7 +114,7 @@
             self.work(member);
             let node = self.nodes.get_mut(&member).unwrap();
             node.tick(clock, 10, |_| (0, 60));
-            for effect in node.effects() {
+            for effect in node.take_effects() {
                 match effect {
                     Effect::Node(fleet::Effect::Send { to, bytes }) => {
                         if self.cut.contains(&(member, to)) || self.draws.f64() < self.loss {
@@ -129,9 +130,9 @@
                             Write::Append(bytes) => self.disks.entry(member).or_default().extend(bytes),
                             Write::Replace(bytes) => drop(self.disks.insert(member, bytes)),
                         }
-                        self.nodes.get_mut(&member).unwrap().written(clock, true);
+                        self.nodes.get_mut(&member).unwrap().on_written(clock, true);
                     }
-                    Effect::Zones(zones::Effect::Decided(zones::Decided { epoch, table, .. })) => {
+                    Effect::Zones(zones::Effect::Decided(zones::TableChange { epoch, table, .. })) => {
                         let first = self.decided.entry(epoch).or_insert_with(|| table.clone());
                         assert_eq!(*first, table, "two decisions of epoch {epoch}");
                         let known = self.epochs.insert(member, epoch).unwrap_or(0);
@@ -158,9 +159,9 @@
             _ if near => own,
             _ => return,
         };
-        let end = if self.dead[zone] { End::Refused } else { End::Answered };
-        node.zones_mut().tally().arrived(false);
-        node.zones_mut().tally().ended(zone, end, 20.0);
+        let end = if self.dead[zone] { AttemptResult::Refused } else { AttemptResult::Answered };
+        node.zones_mut().outcome_counter().record_arrival(false);
+        node.zones_mut().outcome_counter().record_attempt(zone, end, 20.0);
     }
 
     fn run(&mut self, ms: f64) {
@@ -180,16 +181,16 @@
         self.now - began
     }
 
-    fn state(&self, member: MemberId, zone: usize) -> State {
+    fn state(&self, member: MemberId, zone: usize) -> ZoneState {
         self.nodes[&member].zones().newest().1.zones[zone].state
     }
 
     fn shut(&self, zone: usize, members: &[MemberId]) -> bool {
-        members.iter().all(|m| self.state(*m, zone) == State::Closed)
+        members.iter().all(|m| self.state(*m, zone) == ZoneState::Closed)
     }
 
     fn leader(&self) -> MemberId {
-        *self.nodes.iter().find(|(m, n)| n.node().leads() && !self.frozen.contains(m)).unwrap().0
+        *self.nodes.iter().find(|(m, n)| n.node().is_leader() && !self.frozen.contains(m)).unwrap().0
     }
 }
 
@@ -201,13 +202,13 @@
 
 fn calm(seed: u64) -> World {
     let mut world = World::new(seed);
-    let all = |w: &World| w.nodes.values().all(|n| n.node().up().iter().all(|up| *up));
+    let all = |w: &World| w.nodes.values().all(|n| n.node().alive().iter().all(|up| *up));
     world.until(10_000.0, "all know all", all);
     world.run(3000.0);
     assert!(all(&world), "and go on knowing");
-    assert_eq!(world.nodes.values().filter(|n| n.node().leads()).count(), 1);
+    assert_eq!(world.nodes.values().filter(|n| n.node().is_leader()).count(), 1);
     assert!(world.decided.is_empty(), "calm decides nothing");
-    assert!(world.nodes.values().all(|n| n.zones().view().unwrap().standing == Standing::Common));
+    assert!(world.nodes.values().all(|n| n.zones().view().unwrap().status == AgreementStatus::Common));
     world
 }
 
@@ -225,7 +226,7 @@
     );
     world.run(1000.0);
     world.dead[1] = false;
-    world.until(15_000.0, "open to all", |w| ALL.iter().all(|m| w.state(*m, 1) == State::Open));
+    world.until(15_000.0, "open to all", |w| ALL.iter().all(|m| w.state(*m, 1) == ZoneState::Open));
 }
 
 /// Its servers and dispatchers live, but nobody outside hears of them.
@@ -237,13 +238,13 @@
     world.run(14_000.0);
     for inside in C {
         let view = world.nodes[&inside].zones().view().unwrap();
-        assert_eq!((view.standing, view.shares[2]), (Standing::Alone, 1000));
+        assert_eq!((view.status, view.shares[2]), (AgreementStatus::Alone, 1000));
     }
     world.cut.clear();
     world.until(3000.0, "heard again", |w| {
-        C.iter().all(|m| w.nodes[m].zones().view().unwrap().standing == Standing::Common)
+        C.iter().all(|m| w.nodes[m].zones().view().unwrap().status == AgreementStatus::Common)
     });
-    world.until(20_000.0, "open to all", |w| ALL.iter().all(|m| w.state(*m, 2) == State::Open));
+    world.until(20_000.0, "open to all", |w| ALL.iter().all(|m| w.state(*m, 2) == ZoneState::Open));
 }
 
 /// One dispatcher that nobody hears closes nothing for the others.
@@ -254,11 +255,11 @@
     world.split(&[2], &others);
     world.run(20_000.0);
     assert!(world.decided.is_empty(), "{:?}", world.decided);
-    assert_eq!(world.nodes[&2].zones().view().unwrap().standing, Standing::Alone);
-    assert!(!world.nodes[&0].node().up()[2]);
+    assert_eq!(world.nodes[&2].zones().view().unwrap().status, AgreementStatus::Alone);
+    assert!(!world.nodes[&0].node().alive()[2]);
     world.cut.clear();
     world.until(4000.0, "back", |w| {
-        w.nodes[&0].node().up()[2] && w.nodes[&2].node().up().iter().all(|up| *up)
+        w.nodes[&0].node().alive()[2] && w.nodes[&2].node().alive().iter().all(|up| *up)
     });
 }
 
@@ -291,9 +292,10 @@
     world.frozen.clear();
     world.until(3000.0, "the thawed one follows", |w| w.shut(zone, &[leader]));
     world.run(1000.0);
-    assert_eq!(world.nodes.values().filter(|n| n.node().leads()).count(), 1);
-    world
-        .until(4000.0, "all know it again", |w| w.nodes.values().all(|n| n.node().up()[usize::from(leader)]));
+    assert_eq!(world.nodes.values().filter(|n| n.node().is_leader()).count(), 1);
+    world.until(4000.0, "all know it again", |w| {
+        w.nodes.values().all(|n| n.node().alive()[usize::from(leader)])
+    });
 }
 
 /// Voters 0 1 | 3 4 6, then 0 1 | 3 4 | 6: the larger side decides, and with no majority nobody does.
@@ -304,20 +306,20 @@
     world.until(4000.0, "the three voters close the zone they cannot hear", |w| {
         w.shut(0, &[3, 4, 5, 6, 7, 8])
     });
-    assert!(A.iter().all(|m| world.state(*m, 0) == State::Open), "the two have decided nothing");
+    assert!(A.iter().all(|m| world.state(*m, 0) == ZoneState::Open), "the two have decided nothing");
     world.split(&B, &C);
     world.run(2000.0);
     let newest = world.decided.keys().max().copied();
     world.run(15_000.0);
     assert_eq!(world.decided.keys().max().copied(), newest);
-    assert!(world.nodes.values().all(|n| n.zones().view().unwrap().standing == Standing::Alone));
+    assert!(world.nodes.values().all(|n| n.zones().view().unwrap().status == AgreementStatus::Alone));
     assert!(
         B.iter().chain(&C).all(|m| world.nodes[m].zones().view().unwrap().shares[0] == 0),
         "stays closed to them"
     );
     world.cut.clear();
     world.until(30_000.0, "open to all", |w| {
-        (0..ZONES).all(|z| ALL.iter().all(|m| w.state(*m, z) == State::Open))
+        (0..ZONES).all(|z| ALL.iter().all(|m| w.state(*m, z) == ZoneState::Open))
     });
 }
 
@@ -339,7 +341,7 @@
     world.dead[2] = true;
     world.until(3000.0, "closed by all", |w| w.shut(2, &ALL));
     world.dead[2] = false;
-    world.until(15_000.0, "open to all", |w| ALL.iter().all(|m| w.state(*m, 2) == State::Open));
+    world.until(15_000.0, "open to all", |w| ALL.iter().all(|m| w.state(*m, 2) == ZoneState::Open));
 }
 
 #[test]
@@ -356,35 +358,37 @@
     assert!(world.nodes.values().all(|n| n.zones().newest().0 >= epoch));
 }
 
-/// A process that is killed and started under its name is known again, by its later session.
+/// A process that is killed and started under its name is known again, by its later incarnation.
 #[test]
 fn a_member_killed_and_started_again_is_known_again() {
     let mut world = calm(10);
     world.kill(8);
-    world.until(5000.0, "known to be gone", |w| w.nodes.values().all(|n| !n.node().up()[8]));
+    world.until(5000.0, "known to be gone", |w| w.nodes.values().all(|n| !n.node().alive()[8]));
     world.start(8);
-    world.until(5000.0, "known again", |w| w.nodes.values().all(|n| n.node().up().iter().all(|up| *up)));
+    world.until(5000.0, "known again", |w| w.nodes.values().all(|n| n.node().alive().iter().all(|up| *up)));
     world.frozen.insert(7);
     world.run(10_000.0);
-    assert!(!world.nodes[&0].node().up()[7]);
+    assert!(!world.nodes[&0].node().alive()[7]);
     world.frozen.clear();
-    world.until(5000.0, "thawed and known", |w| w.nodes.values().all(|n| n.node().up().iter().all(|up| *up)));
+    world.until(5000.0, "thawed and known", |w| {
+        w.nodes.values().all(|n| n.node().alive().iter().all(|up| *up))
+    });
 }
 
 /// What a dispatcher sends is bounded.
 #[test]
 fn calm_costs_a_few_kilobytes_a_second() {
     let mut world = calm(11);
-    let before: Vec<u64> = world.nodes.values().map(|n| n.node().counts().sent_bytes).collect();
+    let before: Vec<u64> = world.nodes.values().map(|n| n.node().counters().sent_bytes).collect();
     world.run(10_000.0);
     for (node, before) in world.nodes.values().zip(before) {
-        let rate = (node.node().counts().sent_bytes - before) / 10;
+        let rate = (node.node().counters().sent_bytes - before) / 10;
         assert!(rate < 16_000, "{rate} bytes a second");
     }
 }
 
 fn frame(number: u64) -> Frame {
-    Frame { from: 1, session: 5, number, body: Body::Swim(vec![1, 2, 3]) }
+    Frame { from: 1, incarnation: 5, number, body: Body::Swim(vec![1, 2, 3]) }
 }
 
 #[test]
@@ -396,7 +400,7 @@
     for (bytes, why) in [
         (frame(2).encode("prod", 1), FrameError::Cluster),
         (frame(2).encode("test", 2), FrameError::Cluster),
-        (vec![0; LONGEST + 1], FrameError::Long),
+        (vec![0; MAX_FRAME_BYTES + 1], FrameError::Long),
         (b"MB\x09rest".to_vec(), FrameError::Version),
         (b"GET / HTTP/1.1".to_vec(), FrameError::Damaged),
         (good[..good.len() - 1].to_vec(), FrameError::Damaged),
@@ -405,13 +409,13 @@
         assert_eq!(node.receive(1e6, 1, &bytes), Err(why));
     }
     assert_eq!(node.receive(1e6, 2, &good), Err(FrameError::Damaged), "under another's name");
-    assert_eq!(node.node().counts().dropped, 8);
+    assert_eq!(node.node().counters().dropped, 8);
     let decisions = vec![Decision { topic: zones::TOPIC, epoch: 9, body: vec![0xff; 9] }];
-    let news = Body::News { decisions, term: crate::consensus::LeaderTerm::default() };
+    let news = Body::DecisionUpdate { decisions, term: crate::consensus::LeaderTerm::default() };
     let news = Frame { body: news, ..frame(3) }.encode("test", 1);
     assert_eq!(node.receive(1e6, 1, &news), Ok(()), "whether it reads is the part's to say");
     assert_eq!(node.receive(1e6, 1, &news), Ok(()), "late or twice");
-    assert_eq!(node.node().counts().stale, 1);
+    assert_eq!(node.node().counters().stale, 1);
     assert_eq!(node.zones().newest().0, 0);
 }
 
@@ -478,8 +482,8 @@
         world.until(90_000.0, "all open and all agree", |w| {
             let epoch = w.nodes[&0].zones().newest().0;
             w.nodes.values().all(|n| {
-                let open = n.zones().newest().1.zones.iter().all(|zone| zone.state == State::Open);
-                n.zones().newest().0 == epoch && open && n.zones().view().is_some_and(|v| v.standing == Standing::Common)
+                let open = n.zones().newest().1.zones.iter().all(|zone| zone.state == ZoneState::Open);
+                n.zones().newest().0 == epoch && open && n.zones().view().is_some_and(|v| v.status == AgreementStatus::Common)
             })
         });
     }
--- a/src/core/traffic_split.rs
+++ b/src/core/traffic_split.rs
@@ -2,7 +2,7 @@
 //! steers. Off, it is not there.
 
 use crate::routing::{Endpoint, EndpointStatus, Outcome};
-use crate::zones::{End, Gate, WHOLE};
+use crate::zones::{AdmissionShare, AttemptResult, FULL_SHARE};
 
 /// Most events that are kept between two looks.
 const KEPT: usize = 1 << 16;
@@ -20,7 +20,7 @@
         /// The zone of its server, by the site's order.
         zone: u16,
         /// How, as far as the zone goes.
-        end: End,
+        end: AttemptResult,
         /// After so many milliseconds.
         took: f64,
     },
@@ -33,13 +33,18 @@
     pub(super) shares: Vec<u16>,
     /// What of the requests is taken.
     pub(super) admit: u16,
-    gate: Gate,
+    gate: AdmissionShare,
     pub(super) seen: Vec<TrafficEvent>,
 }
 
 impl TrafficSplit {
     pub(super) fn new(zones: usize) -> TrafficSplit {
-        TrafficSplit { shares: vec![WHOLE; zones], admit: WHOLE, gate: Gate::default(), seen: Vec::new() }
+        TrafficSplit {
+            shares: vec![FULL_SHARE; zones],
+            admit: FULL_SHARE,
+            gate: AdmissionShare::default(),
+            seen: Vec::new(),
+        }
     }
 
     pub(super) fn note(&mut self, seen: TrafficEvent) {
@@ -50,7 +55,7 @@
 
     /// Whether the next request is taken.
     pub(super) fn takes(&mut self) -> bool {
-        let takes = self.admit >= WHOLE || self.gate.takes(self.admit);
+        let takes = self.admit >= FULL_SHARE || self.gate.admits(self.admit);
         self.note(TrafficEvent::Came { turned: !takes });
         takes
     }
@@ -58,21 +63,21 @@
     /// Members as the module is to see them: a zone's share scales their size, and none is a drain.
     pub(super) fn fit(&self, members: &mut [Endpoint]) {
         for member in members {
-            match self.shares.get(usize::from(member.zone)).copied().unwrap_or(WHOLE) {
+            match self.shares.get(usize::from(member.zone)).copied().unwrap_or(FULL_SHARE) {
                 0 if member.status == EndpointStatus::Ready => member.status = EndpointStatus::Draining,
-                0 | WHOLE => {}
-                share => member.size *= f64::from(share) / f64::from(WHOLE),
+                0 | FULL_SHARE => {}
+                share => member.size *= f64::from(share) / f64::from(FULL_SHARE),
             }
         }
     }
 }
 
 /// What a dispatch's outcome says of its zone; none where it says nothing.
-pub(super) fn end(outcome: Outcome) -> Option<End> {
+pub(super) fn end(outcome: Outcome) -> Option<AttemptResult> {
     match outcome {
-        Outcome::Served | Outcome::Error | Outcome::Full | Outcome::Unfit => Some(End::Answered),
-        Outcome::TimedOut => Some(End::Silent),
-        Outcome::Unreachable | Outcome::Reset => Some(End::Refused),
+        Outcome::Served | Outcome::Error | Outcome::Full | Outcome::Unfit => Some(AttemptResult::Answered),
+        Outcome::TimedOut => Some(AttemptResult::Silent),
+        Outcome::Unreachable | Outcome::Reset => Some(AttemptResult::Refused),
         Outcome::Cancelled | Outcome::NotSent | Outcome::Unknown => None,
     }
 }
--- a/src/fleet/delivery.rs
+++ b/src/fleet/delivery.rs
@@ -26,10 +26,10 @@
         // that another message has overtaken is as good as before.
         Body::Consensus(message) if consensus::is_heartbeat(message) => Order::Once,
         Body::Consensus(_) => Order::Newest(1),
-        Body::Ask(_) => Order::Newest(2),
-        Body::News { .. } => Order::Newest(3),
-        Body::Part { topic, .. } => Order::Newest(4 + usize::from(*topic) % (CHANNELS - 4)),
-        Body::Want { .. } | Body::Piece { .. } => Order::Any,
+        Body::DecisionQuery(_) => Order::Newest(2),
+        Body::DecisionUpdate { .. } => Order::Newest(3),
+        Body::ModuleMessage { topic, .. } => Order::Newest(4 + usize::from(*topic) % (CHANNELS - 4)),
+        Body::ChunkRequest { .. } | Body::DocumentChunk { .. } => Order::Any,
     }
 }
 
@@ -61,20 +61,20 @@
 
 /// What came last from one member: the process that sent it, and the numbers of each kind.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Newest {
-    session: u64,
+pub(super) struct ReorderFilter {
+    incarnation: u64,
     numbers: [u64; CHANNELS],
     heartbeats: Window,
 }
 
-impl Newest {
+impl ReorderFilter {
     /// Whether a frame is taken; it counts as taken then.
     pub(super) fn takes(&mut self, frame: &Frame) -> bool {
-        if frame.session < self.session {
+        if frame.incarnation < self.incarnation {
             return false;
         }
-        if frame.session > self.session {
-            *self = Newest { session: frame.session, ..Newest::default() };
+        if frame.incarnation > self.incarnation {
+            *self = ReorderFilter { incarnation: frame.incarnation, ..ReorderFilter::default() };
         }
         match order(&frame.body) {
             Order::Any => true,
--- a/src/fleet/documents.rs
+++ b/src/fleet/documents.rs
@@ -7,10 +7,10 @@
 use super::MemberId;
 
 /// A document's name: the BLAKE3 hash of its bytes.
-pub type Hash = [u8; 32];
+pub type DocumentHash = [u8; 32];
 
 /// Longest document, in bytes.
-pub const LONGEST_DOCUMENT: usize = 256 << 10;
+pub const MAX_DOCUMENT_BYTES: usize = 256 << 10;
 /// Bytes of a piece: a few of them and their frame fit a datagram.
 const PIECE: usize = 16 << 10;
 /// Documents that are kept.
@@ -21,12 +21,12 @@
 const AGAIN: f64 = 100.0;
 
 /// A document's name.
-pub fn hash(bytes: &[u8]) -> Hash {
+pub fn hash(bytes: &[u8]) -> DocumentHash {
     *blake3::hash(bytes).as_bytes()
 }
 
 /// The beginning of a name, for people.
-pub fn short(hash: &Hash) -> String {
+pub fn short(hash: &DocumentHash) -> String {
     hash[..6].iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -43,14 +43,14 @@
 /// The documents of a member.
 #[derive(Default)]
 pub struct Documents {
-    kept: VecDeque<(Hash, Arc<[u8]>)>,
-    wanted: BTreeMap<Hash, Wanted>,
+    kept: VecDeque<(DocumentHash, Arc<[u8]>)>,
+    wanted: BTreeMap<DocumentHash, Wanted>,
 }
 
 impl Documents {
     /// Keeps a document, and gives its name; none where it is too long.
-    pub fn keep(&mut self, bytes: &[u8]) -> Option<Hash> {
-        if bytes.len() > LONGEST_DOCUMENT {
+    pub fn keep(&mut self, bytes: &[u8]) -> Option<DocumentHash> {
+        if bytes.len() > MAX_DOCUMENT_BYTES {
             return None;
         }
         let hash = hash(bytes);
@@ -65,7 +65,7 @@
     }
 
     /// A document that is here. What is asked for stays longest.
-    pub fn get(&mut self, hash: &Hash) -> Option<Arc<[u8]>> {
+    pub fn get(&mut self, hash: &DocumentHash) -> Option<Arc<[u8]>> {
         let at = self.kept.iter().position(|(kept, _)| kept == hash)?;
         let document = self.kept.remove(at)?;
         let bytes = Arc::clone(&document.1);
@@ -74,7 +74,7 @@
     }
 
     /// Has a document asked for until it is here, first of a member that should have it.
-    pub fn want(&mut self, hash: Hash, source: Option<MemberId>) {
+    pub fn want(&mut self, hash: DocumentHash, source: Option<MemberId>) {
         if self.wanted.len() < WANTED && self.get(&hash).is_none() {
             let (length, pieces, asked) = (None, Vec::new(), f64::NEG_INFINITY);
             self.wanted.entry(hash).or_insert(Wanted { length, pieces, asked, tries: 0, source });
@@ -82,12 +82,12 @@
     }
 
     /// Gives a document up.
-    pub fn forget(&mut self, hash: &Hash) {
+    pub fn forget(&mut self, hash: &DocumentHash) {
         self.wanted.remove(hash);
     }
 
     /// What to ask by now, of whom: `there` are the members that are there, but for this one.
-    pub fn due(&mut self, now: f64, there: &[MemberId]) -> Vec<(MemberId, Hash, u16)> {
+    pub fn due(&mut self, now: f64, there: &[MemberId]) -> Vec<(MemberId, DocumentHash, u16)> {
         let mut asks = Vec::new();
         for (hash, wanted) in self.wanted.iter_mut().filter(|(_, w)| now >= w.asked + AGAIN) {
             let next = there.get(wanted.tries / 2 % there.len().max(1)).copied();
@@ -107,7 +107,7 @@
     }
 
     /// A piece of a document that is here: the document's length, and its bytes.
-    pub fn piece(&mut self, hash: &Hash, at: u16) -> Option<(u32, Vec<u8>)> {
+    pub fn piece(&mut self, hash: &DocumentHash, at: u16) -> Option<(u32, Vec<u8>)> {
         let document = self.get(hash)?;
         let from = usize::from(at) * PIECE;
         let bytes = document.get(from..document.len().min(from + PIECE))?;
@@ -115,10 +115,17 @@
     }
 
     /// A piece has come. True where the document is whole now; one that is not what its name says begins anew.
-    pub fn take(&mut self, from: MemberId, hash: &Hash, length: u32, at: u16, bytes: Vec<u8>) -> bool {
+    pub fn take(
+        &mut self,
+        from: MemberId,
+        hash: &DocumentHash,
+        length: u32,
+        at: u16,
+        bytes: Vec<u8>,
+    ) -> bool {
         let Some(wanted) = self.wanted.get_mut(hash) else { return false };
         let length = length as usize;
-        if length > LONGEST_DOCUMENT || wanted.length.is_some_and(|known| known != length) {
+        if length > MAX_DOCUMENT_BYTES || wanted.length.is_some_and(|known| known != length) {
             return false;
         }
         if wanted.length.is_none() {
@@ -175,7 +182,7 @@
         assert!(to.get(&hash).is_none());
         assert!((2..6).any(|turn| carry(&mut from, &mut to, f64::from(turn) * 1000.0)));
         assert_eq!(to.get(&hash).as_deref(), Some(&bytes[..]));
-        assert!(from.keep(&vec![0; LONGEST_DOCUMENT + 1]).is_none(), "too long");
+        assert!(from.keep(&vec![0; MAX_DOCUMENT_BYTES + 1]).is_none(), "too long");
     }
 
     #[test]
--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -1,25 +1,25 @@
 //! Frames: what members send one another in a datagram. A frame is `MB`, a version byte, the CRC-32C of what follows
-//! (four bytes, little-endian), and by postcard the cluster's name, its generation, the sender, its session and the
+//! (four bytes, little-endian), and by postcard the cluster's name, its generation, the sender, its incarnation and the
 //! frame's number, and a body with its length before it.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use super::MemberId;
-use super::documents::Hash;
+use super::documents::DocumentHash;
 use crate::consensus::LeaderTerm;
 
 const MAGIC: &[u8; 2] = b"MB";
 /// The version of the form that is written and read.
 const VERSION: u8 = 3;
 /// Longest frame, in bytes.
-pub const LONGEST: usize = 60_000;
+pub const MAX_FRAME_BYTES: usize = 60_000;
 
 /// Why a frame is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// It is longer than any that is sent.
-    #[error("a frame of more than {LONGEST} bytes")]
+    #[error("a frame of more than {MAX_FRAME_BYTES} bytes")]
     Long,
     /// It is of another version.
     #[error("a frame of another version")]
@@ -51,32 +51,32 @@
     /// A message of the consensus.
     Consensus(Vec<u8>),
     /// A member asks a voter for what is newer than the epochs that it knows, by topic.
-    Ask(Vec<(u8, u64)>),
+    DecisionQuery(Vec<(u8, u64)>),
     /// What a voter knows to be decided and the other may not have, and how far that is confirmed.
-    News {
+    DecisionUpdate {
         /// The decisions.
         decisions: Vec<Decision>,
         /// The newest term.
         term: LeaderTerm,
     },
     /// A message of one part to the same part of another member.
-    Part {
+    ModuleMessage {
         /// The part's topic.
         topic: u8,
         /// What it says.
         bytes: Vec<u8>,
     },
     /// A piece of a document is asked for.
-    Want {
+    ChunkRequest {
         /// The document.
-        hash: Hash,
+        hash: DocumentHash,
         /// The piece, from 0.
         at: u16,
     },
     /// A piece of a document.
-    Piece {
+    DocumentChunk {
         /// The document.
-        hash: Hash,
+        hash: DocumentHash,
         /// The document's length in bytes.
         length: u32,
         /// The piece, from 0.
@@ -91,7 +91,7 @@
     cluster: &'a str,
     generation: u32,
     from: MemberId,
-    session: u64,
+    incarnation: u64,
     number: u64,
     body: &'a [u8],
 }
@@ -102,7 +102,7 @@
     /// The sender's place in the operator's file.
     pub from: MemberId,
     /// When the sender's process started, by its clock.
-    pub session: u64,
+    pub incarnation: u64,
     /// The frame's number on its way from the one to the other.
     pub number: u64,
     /// What it carries.
@@ -114,8 +114,8 @@
     pub fn encode(&self, cluster: &str, generation: u32) -> Vec<u8> {
         // Into vectors nothing can fail to fit.
         let body = postcard::to_stdvec(&self.body).unwrap_or_default();
-        let Frame { from, session, number, .. } = *self;
-        let head = Head { cluster, generation, from, session, number, body: &body };
+        let Frame { from, incarnation, number, .. } = *self;
+        let head = Head { cluster, generation, from, incarnation, number, body: &body };
         let head = postcard::to_stdvec(&head).unwrap_or_default();
         let mut bytes = MAGIC.to_vec();
         bytes.push(VERSION);
@@ -126,7 +126,7 @@
 
     /// Reads one. Whatever the bytes, it does not panic.
     pub fn decode(bytes: &[u8], cluster: &str, generation: u32) -> Result<Frame, FrameError> {
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::Long);
         }
         let rest = bytes.strip_prefix(MAGIC).ok_or(FrameError::Damaged)?;
@@ -147,6 +147,6 @@
         let Ok((body, [])) = postcard::take_from_bytes(head.body) else {
             return Err(FrameError::Damaged);
         };
-        Ok(Frame { from: head.from, session: head.session, number: head.number, body })
+        Ok(Frame { from: head.from, incarnation: head.incarnation, number: head.number, body })
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -18,21 +18,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-pub use documents::{Hash, LONGEST_DOCUMENT, hash, short};
-pub use frame::{Body, Decision, Frame, FrameError, LONGEST};
+pub use documents::{DocumentHash, MAX_DOCUMENT_BYTES, hash, short};
+pub use frame::{Body, Decision, Frame, FrameError, MAX_FRAME_BYTES};
 
 use crate::consensus::{
-    Batch, Consensus, ConsensusError, Kept, LeaderTerm, Setup as VoterSetup, Voter, Write,
+    Batch, Consensus, ConsensusConfig, ConsensusError, LeaderTerm, Persisted, VoterId, Write,
 };
-use delivery::Newest;
+use delivery::ReorderFilter;
 use documents::Documents;
 use swim::Swim;
-pub use types::{Counts, Effect, MemberId, News, Place, Setup};
+pub use types::{Effect, MemberConfig, MemberId, NodeConfig, NodeCounters, NodeEvent};
 
 /// Most members of a fleet.
-pub const MOST_MEMBERS: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 /// Time between two ticks, in milliseconds.
-pub const TICK: f64 = 50.0;
+pub const TICK_MS: f64 = 50.0;
 /// A member asks voters for news so often, in milliseconds: what was sent to it at once may have been lost.
 const ASKS: f64 = 250.0;
 /// Most messages that wait for a write.
@@ -41,15 +41,15 @@
 const TOPICS: usize = 16;
 
 /// The node.
-pub struct Node {
-    setup: Setup,
+pub struct FleetNode {
+    setup: NodeConfig,
     /// The members that vote, in order.
     voters: Vec<MemberId>,
     /// Its number among them.
-    voter: Option<Voter>,
+    voter: Option<VoterId>,
     consensus: Option<Consensus>,
     /// Messages that wait for a write, of each batch; the first for the write that is under way.
-    held: VecDeque<Vec<(Voter, Vec<u8>)>>,
+    held: VecDeque<Vec<(VoterId, Vec<u8>)>>,
     swim: Swim,
     documents: Documents,
     /// The newest decision of each topic, by its epoch.
@@ -57,31 +57,31 @@
     term: LeaderTerm,
     /// When the term last rose.
     term_raised: f64,
-    newest: Vec<Newest>,
+    newest: Vec<ReorderFilter>,
     numbers: Vec<u64>,
     ticked: f64,
     asked: f64,
     /// Times that voters were asked.
     asks: usize,
     effects: Vec<Effect>,
-    news: VecDeque<News>,
-    counts: Counts,
+    news: VecDeque<NodeEvent>,
+    counters: NodeCounters,
     draws: fastrand::Rng,
 }
 
-impl Node {
+impl FleetNode {
     /// A node, with what its voter's file says.
-    pub fn new(setup: Setup, kept: Option<Kept>, now: f64) -> Result<Node, ConsensusError> {
-        let members = setup.places.len();
+    pub fn new(setup: NodeConfig, kept: Option<Persisted>, now: f64) -> Result<FleetNode, ConsensusError> {
+        let members = setup.members.len();
         let voters: Vec<MemberId> =
-            (0..members).filter(|&at| setup.places[at].voter).map(|at| at as MemberId).collect();
-        let voter = voters.iter().position(|&member| member == setup.own).map(|at| at as Voter + 1);
+            (0..members).filter(|&at| setup.members[at].is_voter).map(|at| at as MemberId).collect();
+        let voter = voters.iter().position(|&member| member == setup.own).map(|at| at as VoterId + 1);
         let consensus = voter.map(|own| {
             let (voters, generation) = (voters.len() as u64, setup.generation);
-            Consensus::new(VoterSetup { own, voters, generation, nonce: setup.session }, kept, now)
+            Consensus::new(ConsensusConfig { own, voters, generation, nonce: setup.incarnation }, kept, now)
         });
-        Ok(Node {
-            swim: Swim::new(setup.own, members, setup.session, setup.seed),
+        Ok(FleetNode {
+            swim: Swim::new(setup.own, members, setup.incarnation, setup.seed),
             consensus: consensus.transpose()?,
             documents: Documents::default(),
             voters,
@@ -90,33 +90,33 @@
             decided: BTreeMap::new(),
             term: LeaderTerm::default(),
             term_raised: now,
-            newest: vec![Newest::default(); members],
+            newest: vec![ReorderFilter::default(); members],
             numbers: vec![0; members],
             ticked: f64::NEG_INFINITY,
             asked: f64::NEG_INFINITY,
             asks: 0,
             effects: Vec::new(),
             news: VecDeque::new(),
-            counts: Counts::default(),
+            counters: NodeCounters::default(),
             draws: fastrand::Rng::with_seed(setup.seed),
             setup,
         })
     }
 
     /// What is to be done since the last call, in order. The caller carries out all of it.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         self.flush();
         std::mem::take(&mut self.effects)
     }
 
     /// What a part is to be told next. The caller asks until there is none.
-    pub fn news(&mut self) -> Option<News> {
+    pub fn next_event(&mut self) -> Option<NodeEvent> {
         self.news.pop_front()
     }
 
     /// When `tick` is to be called next.
-    pub fn next(&self) -> f64 {
-        self.ticked + TICK
+    pub fn next_deadline(&self) -> f64 {
+        self.ticked + TICK_MS
     }
 
     /// Does what is due.
@@ -133,7 +133,7 @@
             let known: Vec<(u8, u64)> =
                 self.decided.iter().map(|(topic, (epoch, _))| (*topic, *epoch)).collect();
             for voter in self.voters_to_ask() {
-                self.send(voter, Body::Ask(known.clone()));
+                self.send(voter, Body::DecisionQuery(known.clone()));
             }
         }
         self.ask_documents(now);
@@ -155,48 +155,48 @@
 
     /// A datagram from a member's address. What cannot be taken is counted and dropped.
     pub fn receive(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> Result<(), FrameError> {
-        self.counts.heard_bytes += bytes.len() as u64;
+        self.counters.received_bytes += bytes.len() as u64;
         let frame = Frame::decode(bytes, &self.setup.cluster, self.setup.generation);
         let frame = match frame {
             Ok(frame) if frame.from == from && from != self.setup.own => frame,
             other => {
-                self.counts.dropped += 1;
+                self.counters.dropped += 1;
                 return other.and(Err(FrameError::Damaged));
             }
         };
         let Some(newest) = self.newest.get_mut(usize::from(from)) else {
-            self.counts.dropped += 1;
+            self.counters.dropped += 1;
             return Err(FrameError::Damaged);
         };
         // What comes late or twice is dropped: parts above see each link in order.
         if !newest.takes(&frame) {
-            self.counts.stale += 1;
+            self.counters.stale += 1;
             return Ok(());
         }
-        let taken = self.take(now, from, frame.session, frame.body);
-        let count = if taken { &mut self.counts.frames } else { &mut self.counts.dropped };
+        let taken = self.take(now, from, frame.incarnation, frame.body);
+        let count = if taken { &mut self.counters.frames } else { &mut self.counters.dropped };
         *count += 1;
         self.step(now);
         if taken { Ok(()) } else { Err(FrameError::Damaged) }
     }
 
-    fn take(&mut self, now: f64, from: MemberId, session: u64, body: Body) -> bool {
+    fn take(&mut self, now: f64, from: MemberId, incarnation: u64, body: Body) -> bool {
         match body {
             Body::Swim(packet) => self.swim.receive(now, &packet),
             Body::Consensus(message) => {
                 let Some(voter) = self.voters.iter().position(|member| *member == from) else { return false };
                 self.consensus
                     .as_mut()
-                    .is_some_and(|consensus| consensus.receive(now, voter as Voter + 1, &message))
+                    .is_some_and(|consensus| consensus.receive(now, voter as VoterId + 1, &message))
             }
-            Body::Ask(known) => {
+            Body::DecisionQuery(known) => {
                 if self.voter.is_none() || known.len() > TOPICS {
                     return false;
                 }
                 self.send_news(from, &known);
                 true
             }
-            Body::News { decisions, term } => {
+            Body::DecisionUpdate { decisions, term } => {
                 if !self.voters.contains(&from) || decisions.len() > TOPICS {
                     return false;
                 }
@@ -206,21 +206,21 @@
                 }
                 true
             }
-            Body::Part { topic, bytes } => {
+            Body::ModuleMessage { topic, bytes } => {
                 if self.news.len() < WAITING {
-                    self.news.push_back(News::Message { topic, from, session, bytes });
+                    self.news.push_back(NodeEvent::Message { topic, from, incarnation, bytes });
                 }
                 true
             }
-            Body::Want { hash, at } => {
+            Body::ChunkRequest { hash, at } => {
                 if let Some((length, bytes)) = self.documents.piece(&hash, at) {
-                    self.send(from, Body::Piece { hash, length, at, bytes });
+                    self.send(from, Body::DocumentChunk { hash, length, at, bytes });
                 }
                 true
             }
-            Body::Piece { hash, length, at, bytes } => {
+            Body::DocumentChunk { hash, length, at, bytes } => {
                 if self.documents.take(from, &hash, length, at, bytes) {
-                    self.news.push_back(News::Document(hash));
+                    self.news.push_back(NodeEvent::Document(hash));
                 }
                 self.ask_documents(now);
                 true
@@ -229,7 +229,7 @@
     }
 
     /// A write has been done, and synced, or has failed.
-    pub fn written(&mut self, done: bool) {
+    pub fn on_written(&mut self, done: bool) {
         if !done {
             self.held.clear();
             if let Some(consensus) = &mut self.consensus {
@@ -265,9 +265,9 @@
 
     /// Tells all members who leads.
     fn announce(&mut self) {
-        for member in 0..self.setup.places.len() as MemberId {
+        for member in 0..self.setup.members.len() as MemberId {
             if member != self.setup.own {
-                self.send(member, Body::News { decisions: Vec::new(), term: self.term });
+                self.send(member, Body::DecisionUpdate { decisions: Vec::new(), term: self.term });
             }
         }
     }
@@ -284,15 +284,15 @@
             return;
         }
         *known = (epoch, body.to_vec());
-        self.counts.decisions += 1;
-        self.news.push_back(News::Decided { topic });
+        self.counters.decisions += 1;
+        self.news.push_back(NodeEvent::Decided { topic });
         // What is new goes to all at once; voters alone have it first.
         if self.voter.is_some() {
             let decision = Decision { topic, epoch, body: body.to_vec() };
-            for member in 0..self.setup.places.len() as MemberId {
+            for member in 0..self.setup.members.len() as MemberId {
                 if member != self.setup.own {
                     let decisions = vec![decision.clone()];
-                    self.send(member, Body::News { decisions, term: self.term });
+                    self.send(member, Body::DecisionUpdate { decisions, term: self.term });
                 }
             }
         }
@@ -307,63 +307,63 @@
         let decisions = newer
             .map(|(topic, (epoch, body))| Decision { topic: *topic, epoch: *epoch, body: body.clone() })
             .collect();
-        self.send(to, Body::News { decisions, term: self.term });
+        self.send(to, Body::DecisionUpdate { decisions, term: self.term });
     }
 
     /// Sends a message to the same part of another member, or tells it the part of this one.
     pub fn send_message(&mut self, to: MemberId, topic: u8, bytes: Vec<u8>) {
         if to == self.setup.own {
-            let session = self.setup.session;
-            return self.news.push_back(News::Message { topic, from: to, session, bytes });
+            let incarnation = self.setup.incarnation;
+            return self.news.push_back(NodeEvent::Message { topic, from: to, incarnation, bytes });
         }
-        self.send(to, Body::Part { topic, bytes });
+        self.send(to, Body::ModuleMessage { topic, bytes });
     }
 
     /// Proposes a decision that builds on the newest epoch known of its topic. False where this node does not lead, or
     /// has not decided what it proposed before.
     pub fn propose(&mut self, now: f64, topic: u8, body: Vec<u8>) -> bool {
-        let based = self.newest(topic).0;
+        let based = self.newest_decision(topic).0;
         let Some(consensus) = &mut self.consensus else { return false };
         if !consensus.propose(topic, based, body) {
             return false;
         }
-        self.counts.proposed += 1;
+        self.counters.proposed += 1;
         self.step(now);
         true
     }
 
     /// Keeps a document for others to ask for; its name, or none where it is too long.
-    pub fn keep(&mut self, bytes: &[u8]) -> Option<Hash> {
+    pub fn store_document(&mut self, bytes: &[u8]) -> Option<DocumentHash> {
         self.documents.keep(bytes)
     }
 
     /// A document, where it is here.
-    pub fn document(&mut self, hash: &Hash) -> Option<Arc<[u8]>> {
+    pub fn document(&mut self, hash: &DocumentHash) -> Option<Arc<[u8]>> {
         self.documents.get(hash)
     }
 
     /// Has a document asked for until it is here, or given up by `forget`, first of a member that should have it.
-    pub fn want(&mut self, now: f64, hash: Hash, source: Option<MemberId>) {
+    pub fn request_document(&mut self, now: f64, hash: DocumentHash, source: Option<MemberId>) {
         self.documents.want(hash, source);
         self.ask_documents(now);
     }
 
     fn ask_documents(&mut self, now: f64) {
-        let there: Vec<MemberId> = (0..self.setup.places.len() as MemberId)
+        let there: Vec<MemberId> = (0..self.setup.members.len() as MemberId)
             .filter(|m| *m != self.setup.own && self.swim.up().get(usize::from(*m)) == Some(&true))
             .collect();
         for (member, hash, at) in self.documents.due(now, &there) {
-            self.send(member, Body::Want { hash, at });
+            self.send(member, Body::ChunkRequest { hash, at });
         }
     }
 
     /// Gives a document up that was wanted.
-    pub fn forget(&mut self, hash: &Hash) {
+    pub fn cancel_document_request(&mut self, hash: &DocumentHash) {
         self.documents.forget(hash);
     }
 
     /// The newest decision of a topic, with its epoch; 0 where there is none.
-    pub fn newest(&self, topic: u8) -> (u64, &[u8]) {
+    pub fn newest_decision(&self, topic: u8) -> (u64, &[u8]) {
         self.decided.get(&topic).map_or((0, &[]), |(epoch, body)| (*epoch, body))
     }
 
@@ -374,15 +374,15 @@
 
     /// When the last round began in which a majority followed this node as the leader; none where the newest term known
     /// is another leader's.
-    pub fn confirmed(&self) -> Option<f64> {
+    pub fn last_confirmed_round(&self) -> Option<f64> {
         let own = self.term.leader() == self.voter;
-        self.consensus.as_ref().filter(|_| own)?.confirmed()
+        self.consensus.as_ref().filter(|_| own)?.last_confirmed_round()
     }
 
     /// The latest time at which a leader before this one may have begun a round that a majority followed; none where this
     /// node does not lead, or does not know yet.
-    pub fn succeeded(&self) -> Option<f64> {
-        self.consensus.as_ref()?.succeeded()
+    pub fn predecessors_last_round(&self) -> Option<f64> {
+        self.consensus.as_ref()?.predecessors_last_round()
     }
 
     /// The voter that leads, as a member, as far as is known here: the one that a majority was last known to follow. A
@@ -409,8 +409,8 @@
     }
 
     /// All members' places.
-    pub fn places(&self) -> &[Place] {
-        &self.setup.places
+    pub fn members(&self) -> &[MemberConfig] {
+        &self.setup.members
     }
 
     /// Gives out what the parts want written and sent.
@@ -418,7 +418,9 @@
         for (to, packet) in self.swim.take() {
             self.send(to, Body::Swim(packet));
         }
-        let Some(Batch { write, send }) = self.consensus.as_mut().and_then(Consensus::batch) else { return };
+        let Some(Batch { write, send }) = self.consensus.as_mut().and_then(Consensus::take_batch) else {
+            return;
+        };
         if write == Write::Nothing && self.held.is_empty() {
             return self.post(send);
         }
@@ -436,7 +438,7 @@
         }
     }
 
-    fn post(&mut self, messages: Vec<(Voter, Vec<u8>)>) {
+    fn post(&mut self, messages: Vec<(VoterId, Vec<u8>)>) {
         for (voter, message) in messages {
             if let Some(&to) = self.voters.get(voter as usize - 1) {
                 self.send(to, Body::Consensus(message));
@@ -447,41 +449,42 @@
     fn send(&mut self, to: MemberId, body: Body) {
         let Some(number) = self.numbers.get_mut(usize::from(to)) else { return };
         *number += 1;
-        let frame = Frame { from: self.setup.own, session: self.setup.session, number: *number, body };
+        let frame =
+            Frame { from: self.setup.own, incarnation: self.setup.incarnation, number: *number, body };
         let bytes = frame.encode(&self.setup.cluster, self.setup.generation);
-        if bytes.len() <= LONGEST {
-            self.counts.sent_bytes += bytes.len() as u64;
+        if bytes.len() <= MAX_FRAME_BYTES {
+            self.counters.sent_bytes += bytes.len() as u64;
             self.effects.push(Effect::Send { to, bytes });
         }
     }
 
     /// What it has counted.
-    pub fn counts(&self) -> &Counts {
-        &self.counts
+    pub fn counters(&self) -> &NodeCounters {
+        &self.counters
     }
 
     /// Which members are there.
-    pub fn up(&self) -> &[bool] {
+    pub fn alive(&self) -> &[bool] {
         self.swim.up()
     }
 
     /// Whether it votes: none where it is no voter.
-    pub fn votes(&self) -> Option<bool> {
-        self.consensus.as_ref().map(Consensus::votes)
+    pub fn is_voting(&self) -> Option<bool> {
+        self.consensus.as_ref().map(Consensus::is_voting)
     }
 
     /// Whether it leads.
-    pub fn leads(&self) -> bool {
-        self.consensus.as_ref().is_some_and(Consensus::leads)
+    pub fn is_leader(&self) -> bool {
+        self.consensus.as_ref().is_some_and(Consensus::is_leader)
     }
 
     /// Whether all that this voter has in its log is decided.
-    pub fn settled(&self) -> bool {
-        self.consensus.as_ref().is_some_and(Consensus::settled)
+    pub fn log_is_committed(&self) -> bool {
+        self.consensus.as_ref().is_some_and(Consensus::log_is_committed)
     }
 
     /// Proposals that were void, as another was decided before them.
-    pub fn void(&self) -> u64 {
-        self.consensus.as_ref().map_or(0, Consensus::void)
+    pub fn superseded(&self) -> u64 {
+        self.consensus.as_ref().map_or(0, Consensus::superseded)
     }
 }
--- a/src/fleet/swim.rs
+++ b/src/fleet/swim.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Id {
     member: MemberId,
-    session: u64,
+    incarnation: u64,
     renewed: u32,
 }
 
@@ -38,7 +38,7 @@
     }
 
     fn win_addr_conflict(&self, other: &Id) -> bool {
-        (self.session, self.renewed) > (other.session, other.renewed)
+        (self.incarnation, self.renewed) > (other.incarnation, other.renewed)
     }
 }
 
@@ -118,7 +118,7 @@
 const ANNOUNCE: f64 = 500.0;
 
 impl Swim {
-    pub(super) fn new(own: MemberId, members: usize, session: u64, seed: u64) -> Swim {
+    pub(super) fn new(own: MemberId, members: usize, incarnation: u64, seed: u64) -> Swim {
         let some = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
         let each = |ms: u64, count: usize| {
             Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members: some(count) })
@@ -140,7 +140,7 @@
             periodic_announce_to_down_members: None,
             periodic_gossip: each(200, 2),
         };
-        let id = Id { member: own, session, renewed: 0 };
+        let id = Id { member: own, incarnation, renewed: 0 };
         let mut up = vec![false; members];
         if let Some(up) = up.get_mut(usize::from(own)) {
             *up = true;
@@ -178,7 +178,7 @@
             let missing: Vec<MemberId> = missing.map(|(at, _)| at as MemberId).collect();
             if !missing.is_empty() {
                 let member = missing[pick(missing.len()) % missing.len()];
-                let _ = self.foca.announce(Id { member, session: 0, renewed: 0 }, &mut self.asked);
+                let _ = self.foca.announce(Id { member, incarnation: 0, renewed: 0 }, &mut self.asked);
             }
         }
         self.look();
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -2,35 +2,36 @@
 
 use proptest::prelude::*;
 
-use super::delivery::Newest;
+use super::delivery::ReorderFilter;
 use super::frame::{Body, Frame};
-use crate::consensus::{Consensus, Setup, is_heartbeat};
+use crate::consensus::{Consensus, ConsensusConfig, is_heartbeat};
 
 /// A heartbeat as a voter sends it.
 fn heartbeat() -> Vec<u8> {
-    let setup = Setup { own: 1, voters: 3, generation: 1, nonce: 1 };
+    let setup = ConsensusConfig { own: 1, voters: 3, generation: 1, nonce: 1 };
     let mut voter = Consensus::new(setup, Some(Default::default()), 0.0).unwrap();
     voter.tick(50.0);
-    let sent = voter.batch().unwrap().send;
+    let sent = voter.take_batch().unwrap().send;
     sent.into_iter().map(|(_, bytes)| bytes).find(|bytes| is_heartbeat(bytes)).unwrap()
 }
 
 fn frame(number: u64, body: Body) -> Frame {
-    Frame { from: 1, session: 5, number, body }
+    Frame { from: 1, incarnation: 5, number, body }
 }
 
 /// Guards against leaders that are replaced for nothing where the network reorders.
 #[test]
 fn heartbeats_are_taken_once_in_any_order_and_others_only_forward() {
-    let (mut newest, body) = (Newest::default(), Body::Consensus(heartbeat()));
-    let takes = |newest: &mut Newest, number| newest.takes(&frame(number, body.clone()));
+    let (mut newest, body) = (ReorderFilter::default(), Body::Consensus(heartbeat()));
+    let takes = |newest: &mut ReorderFilter, number| newest.takes(&frame(number, body.clone()));
     assert!(takes(&mut newest, 9) && takes(&mut newest, 7) && takes(&mut newest, 8));
     assert!(!takes(&mut newest, 8) && !takes(&mut newest, 9), "each once");
-    let ask = |newest: &mut Newest, number| newest.takes(&frame(number, Body::Ask(Vec::new())));
+    let ask =
+        |newest: &mut ReorderFilter, number| newest.takes(&frame(number, Body::DecisionQuery(Vec::new())));
     assert!(ask(&mut newest, 6), "another kind is numbered for itself");
     assert!(!ask(&mut newest, 5) && !ask(&mut newest, 6));
     assert!(takes(&mut newest, 500) && !takes(&mut newest, 10), "too old to tell");
-    let later = Frame { session: 6, ..frame(1, body.clone()) };
+    let later = Frame { incarnation: 6, ..frame(1, body.clone()) };
     assert!(
         newest.takes(&later) && !takes(&mut newest, 501),
         "a later process, and then not the earlier one"
@@ -41,7 +42,7 @@
     /// Whatever the order, no heartbeat is taken twice.
     #[test]
     fn no_heartbeat_is_taken_twice(numbers in proptest::collection::vec(1u64..400, 0..200)) {
-        let (mut newest, body) = (Newest::default(), Body::Consensus(heartbeat()));
+        let (mut newest, body) = (ReorderFilter::default(), Body::Consensus(heartbeat()));
         let mut taken = std::collections::BTreeSet::new();
         for number in numbers {
             if newest.takes(&frame(number, body.clone())) {
--- a/src/fleet/types.rs
+++ b/src/fleet/types.rs
@@ -1,6 +1,6 @@
 //! What a node is, what it gives out, and what it counts.
 
-use super::documents::Hash;
+use super::documents::DocumentHash;
 use crate::consensus::Write;
 
 /// A dispatcher's place among the members of the operator's file, from 0.
@@ -8,26 +8,26 @@
 
 /// What the operator's file says of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct MemberConfig {
     /// Its zone.
     pub zone: usize,
     /// Whether it is a voter.
-    pub voter: bool,
+    pub is_voter: bool,
 }
 
 /// What a node is.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct NodeConfig {
     /// The cluster's name.
     pub cluster: String,
     /// The fleet's generation.
     pub generation: u32,
     /// All members.
-    pub places: Vec<Place>,
+    pub members: Vec<MemberConfig>,
     /// This one.
     pub own: MemberId,
     /// When this process started, in milliseconds of its clock: it tells it from an earlier one.
-    pub session: u64,
+    pub incarnation: u64,
     /// For random numbers.
     pub seed: u64,
 }
@@ -48,7 +48,7 @@
 
 /// What parts are to be told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum NodeEvent {
     /// A message of the same part of another member.
     Message {
         /// The part.
@@ -56,7 +56,7 @@
         /// Who sent it.
         from: MemberId,
         /// The process that sent it, by its start.
-        session: u64,
+        incarnation: u64,
         /// What it says.
         bytes: Vec<u8>,
     },
@@ -66,12 +66,12 @@
         topic: u8,
     },
     /// A document that was wanted is here.
-    Document(Hash),
+    Document(DocumentHash),
 }
 
 /// What a node has counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct NodeCounters {
     /// Frames that were taken.
     pub frames: u64,
     /// Frames that were dropped: of another cluster, damaged, too long, or from nobody.
@@ -81,7 +81,7 @@
     /// Bytes sent.
     pub sent_bytes: u64,
     /// Bytes received.
-    pub heard_bytes: u64,
+    pub received_bytes: u64,
     /// Decisions read.
     pub decisions: u64,
     /// Decisions proposed here.
--- a/src/fleet/wire_tests.rs
+++ b/src/fleet/wire_tests.rs
@@ -12,13 +12,13 @@
     for (name, body) in [
         ("fleet.swim", Body::Swim(vec![1, 2, 3])),
         ("fleet.consensus", Body::Consensus(vec![4, 5])),
-        ("fleet.ask", Body::Ask(vec![(1, 300), (2, 4)])),
-        ("fleet.news", Body::News { decisions, term }),
-        ("fleet.part", Body::Part { topic: 1, bytes: vec![6] }),
-        ("fleet.want", Body::Want { hash: [7; 32], at: 300 }),
-        ("fleet.piece", Body::Piece { hash: [8; 32], length: 70_000, at: 4, bytes: vec![9, 10] }),
+        ("fleet.ask", Body::DecisionQuery(vec![(1, 300), (2, 4)])),
+        ("fleet.news", Body::DecisionUpdate { decisions, term }),
+        ("fleet.part", Body::ModuleMessage { topic: 1, bytes: vec![6] }),
+        ("fleet.want", Body::ChunkRequest { hash: [7; 32], at: 300 }),
+        ("fleet.piece", Body::DocumentChunk { hash: [8; 32], length: 70_000, at: 4, bytes: vec![9, 10] }),
     ] {
-        let frame = Frame { from: 3, session: 1_700_000_000_000, number: 77, body };
+        let frame = Frame { from: 3, incarnation: 1_700_000_000_000, number: 77, body };
         let bytes = frame.encode("example", 5);
         assert_bytes(name, &bytes);
         assert_eq!(Frame::decode(&bytes, "example", 5), Ok(frame), "{name}");
--- a/src/frontend/fleet/config.rs
+++ b/src/frontend/fleet/config.rs
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::fleet::{LONGEST_DOCUMENT, MOST_MEMBERS, Place};
+use crate::fleet::{MAX_DOCUMENT_BYTES, MAX_MEMBERS, MemberConfig};
 use crate::ingest::Policy;
 use crate::rollout;
-use crate::zones::{MOST_ZONES, Rules};
+use crate::zones::{FailoverSettings, MAX_ZONES};
 
 /// What is wrong with the table.
 #[derive(Clone, Debug, PartialEq, Error)]
@@ -89,7 +89,7 @@
     /// Where policies are kept.
     pub keep: PathBuf,
     /// How changes are made.
-    pub rules: rollout::Rules,
+    pub rules: rollout::RolloutSettings,
     /// By decision of all; without, each member takes its own file over by itself.
     pub agreed: bool,
 }
@@ -99,8 +99,8 @@
     pub fn read(&self) -> Result<(u64, String), String> {
         let path = self.policy.display();
         let text = std::fs::read_to_string(&self.policy).map_err(|e| format!("{path}: {e}"))?;
-        if text.len() > LONGEST_DOCUMENT {
-            return Err(format!("{path}: {} bytes, and {LONGEST_DOCUMENT} at most", text.len()));
+        if text.len() > MAX_DOCUMENT_BYTES {
+            return Err(format!("{path}: {} bytes, and {MAX_DOCUMENT_BYTES} at most", text.len()));
         }
         let version = Policy::version(&text).map_err(|e| format!("{path}: {e}"))?;
         Ok((version, text))
@@ -154,13 +154,13 @@
     /// Jobs at once of a server of size 1.
     pub slots: f64,
     /// How zones are decided on.
-    pub rules: Rules,
+    pub rules: FailoverSettings,
     /// The members' names.
     pub names: Vec<String>,
     /// Their addresses.
     pub addresses: Vec<SocketAddr>,
     /// Their places.
-    pub places: Vec<Place>,
+    pub places: Vec<MemberConfig>,
     /// This member.
     pub own: usize,
     /// How policies are shared, where they are.
@@ -185,35 +185,40 @@
             value
         };
         within("cluster (its length)", self.cluster.len() as f64, 1.0, 64.0);
-        within("zones (their number)", self.zones.len() as f64, 1.0, MOST_ZONES as f64);
-        within("member (their number)", self.member.len() as f64, 3.0, MOST_MEMBERS as f64);
+        within("zones (their number)", self.zones.len() as f64, 1.0, MAX_ZONES as f64);
+        within("member (their number)", self.member.len() as f64, 3.0, MAX_MEMBERS as f64);
         within("generation", f64::from(self.generation), 1.0, 1e6);
         within("slots", self.slots, 0.01, 10_000.0);
-        let (given, usual) = (self.rules, Rules::default());
-        let rules = Rules {
-            close_after: within(
+        let (given, usual) = (self.rules, FailoverSettings::default());
+        let rules = FailoverSettings {
+            close_after_ms: within(
                 "close_after_ms",
-                given.close_after_ms.unwrap_or(usual.close_after),
+                given.close_after_ms.unwrap_or(usual.close_after_ms),
                 100.0,
                 6e4,
             ),
-            closed_for: within("closed_for_ms", given.closed_for_ms.unwrap_or(usual.closed_for), 500.0, 6e5),
-            step: within("step_ms", given.step_ms.unwrap_or(usual.step), 250.0, 6e5),
-            forgive: within("forgive_ms", given.forgive_ms.unwrap_or(usual.forgive), 1000.0, 864e5),
+            closed_for_ms: within(
+                "closed_for_ms",
+                given.closed_for_ms.unwrap_or(usual.closed_for_ms),
+                500.0,
+                6e5,
+            ),
+            step_ms: within("step_ms", given.step_ms.unwrap_or(usual.step_ms), 250.0, 6e5),
+            forgive_ms: within("forgive_ms", given.forgive_ms.unwrap_or(usual.forgive_ms), 1000.0, 864e5),
             margin: within("margin", given.margin.unwrap_or(usual.margin), 0.1, 1.0),
-            keep: within("keep_ms", given.keep_ms.unwrap_or(usual.keep), 3000.0, 36e5),
+            keep_ms: within("keep_ms", given.keep_ms.unwrap_or(usual.keep_ms), 3000.0, 36e5),
         };
         let rollout = rollout.map(|table| {
-            let usual = rollout::Rules::default();
-            let lease = within("rollout.lease_ms", table.lease_ms.unwrap_or(usual.lease), 2000.0, 6e5);
-            let hold = within("rollout.hold_ms", table.hold_ms.unwrap_or(usual.hold), 50.0, 1000.0);
-            let rules = rollout::Rules { lease, hold };
+            let usual = rollout::RolloutSettings::default();
+            let lease = within("rollout.lease_ms", table.lease_ms.unwrap_or(usual.lease_ms), 2000.0, 6e5);
+            let hold = within("rollout.hold_ms", table.hold_ms.unwrap_or(usual.pause_ms), 50.0, 1000.0);
+            let rules = rollout::RolloutSettings { lease_ms: lease, pause_ms: hold };
             Rollout { policy: table.policy, keep: table.keep, rules, agreed: table.agreed }
         });
         let mut places = Vec::new();
         for member in &self.member {
             match self.zones.iter().position(|zone| *zone == member.zone) {
-                Some(zone) => places.push(Place { zone, voter: member.voter }),
+                Some(zone) => places.push(MemberConfig { zone, is_voter: member.voter }),
                 None => {
                     errors.push(ConfigError::Zone { member: member.name.clone(), zone: member.zone.clone() })
                 }
--- a/src/frontend/fleet/figures.rs
+++ b/src/frontend/fleet/figures.rs
@@ -1,12 +1,12 @@
 //! The fleet's figures, in the text exposition format.
 
-use crate::control_plane::Shared;
-use crate::fleet::Counts;
+use crate::control_plane::ControlPlane;
+use crate::fleet::NodeCounters;
 use crate::telemetry::{escape, row};
-use crate::zones::Standing;
+use crate::zones::AgreementStatus;
 
 /// Datagrams that came to nothing.
-pub(super) struct Drops {
+pub(super) struct DatagramDrops {
     /// From addresses that nobody has.
     pub strangers: u64,
     /// That the system did not take.
@@ -21,18 +21,19 @@
 }
 
 /// All of them, while the address is held.
-pub(super) fn render(names: &[String], shared: &Shared, drops: Drops, now: f64) -> String {
+pub(super) fn render(names: &[String], shared: &ControlPlane, drops: DatagramDrops, now: f64) -> String {
     let mut text = open(true);
     let mut row = |name: &str, kind: &str, help: &str, values: &[(String, f64)]| {
         row(&mut text, name, kind, help, values);
     };
     let one = |value: f64| [(String::new(), value)];
     let (node, part) = (shared.node(), shared.zones());
-    let Counts { frames, dropped, stale, sent_bytes, heard_bytes, decisions, proposed } = *node.counts();
+    let NodeCounters { frames, dropped, stale, sent_bytes, received_bytes: heard_bytes, decisions, proposed } =
+        *node.counters();
     let flag = |on: bool| f64::from(u8::from(on));
     let (epoch, table) = part.newest();
-    let standing = part.view().map_or(Standing::Kept, |view| view.standing) as u8;
-    let up = node.up().iter().filter(|up| **up).count();
+    let standing = part.view().map_or(AgreementStatus::Kept, |view| view.status) as u8;
+    let up = node.alive().iter().filter(|up| **up).count();
     row("lb_fleet_epoch", "gauge", "The newest decision.", &one(epoch as f64));
     row(
         "lb_fleet_standing",
@@ -41,8 +42,8 @@
         &one(f64::from(standing)),
     );
     row("lb_fleet_members_up", "gauge", "Members that are there.", &one(up as f64));
-    row("lb_fleet_leads", "gauge", "Whether it leads the consensus.", &one(flag(node.leads())));
-    row("lb_fleet_votes", "gauge", "Whether it votes.", &one(flag(node.votes() == Some(true))));
+    row("lb_fleet_leads", "gauge", "Whether it leads the consensus.", &one(flag(node.is_leader())));
+    row("lb_fleet_votes", "gauge", "Whether it votes.", &one(flag(node.is_voting() == Some(true))));
     let followers = node.followers().len() as f64;
     row(
         "lb_fleet_followers",
@@ -51,10 +52,10 @@
         &one(followers),
     );
     let mut seen = Vec::new();
-    for (zone, sight) in names.iter().zip(part.sights(now, node)) {
+    for (zone, sight) in names.iter().zip(part.summaries(now, node)) {
         let zone = escape(zone);
         let parts = [("answered", sight.answered), ("refused", sight.refused), ("silent", sight.silent)];
-        for (what, count) in parts.into_iter().chain([("sources", sight.sources)]) {
+        for (what, count) in parts.into_iter().chain([("sources", sight.reporters)]) {
             seen.push((format!("{{zone=\"{zone}\",what=\"{what}\"}}"), f64::from(count)));
         }
     }
@@ -78,7 +79,7 @@
         ("lb_fleet_heard_bytes_total", "Bytes received from members.", heard_bytes),
         ("lb_fleet_decisions_total", "Decisions read.", decisions),
         ("lb_fleet_proposed_total", "Decisions proposed here.", proposed),
-        ("lb_fleet_void_total", "Proposals that another was decided before.", node.void()),
+        ("lb_fleet_void_total", "Proposals that another was decided before.", node.superseded()),
     ] {
         row(name, "counter", help, &one(value as f64));
     }
--- a/src/frontend/fleet/mod.rs
+++ b/src/frontend/fleet/mod.rs
@@ -19,11 +19,11 @@
 use super::http::Platform;
 use super::{Gateway, Sockets};
 use crate::core::{Clock, Core, TrafficEvent};
-use crate::fleet::TICK;
-use crate::zones::WHOLE;
-use thread::{Said, Told};
+use crate::fleet::TICK_MS;
+use crate::zones::FULL_SHARE;
+use thread::{FleetCommand, FleetEvent};
 
-pub use thread::Order;
+pub use thread::PolicyCommand;
 
 /// Messages that may wait on their way, each way: a few seconds of them.
 const WAITING: usize = 256;
@@ -35,7 +35,7 @@
     names: Vec<String>,
     slots: f64,
     /// To the thread; none once the process stops.
-    tell: Option<SyncSender<Told>>,
+    tell: Option<SyncSender<FleetCommand>>,
     token: Option<RegistrationToken>,
     /// The zones of the core, as places among the fleet's.
     zones: Vec<Option<usize>>,
@@ -45,9 +45,9 @@
     view: Option<(Vec<u16>, u16)>,
     figures: String,
     /// What the thread wants done with the policy, in order.
-    orders: VecDeque<Order>,
+    orders: VecDeque<PolicyCommand>,
     /// Answers to it that the thread had no room for yet, in order.
-    answers: VecDeque<Told>,
+    answers: VecDeque<FleetCommand>,
     /// Where the policy stands, where one is shared.
     policy: Option<String>,
     shares_policy: bool,
@@ -101,12 +101,12 @@
         core.enable_traffic_split();
     }
 
-    fn hear(&mut self, said: Said) {
+    fn hear(&mut self, said: FleetEvent) {
         match said {
-            Said::View { shares, admit } => self.view = Some((shares, admit)),
-            Said::Figures(text) => self.figures = text,
-            Said::Standing(text) => self.policy = Some(text),
-            Said::Order(order) => self.orders.push_back(order),
+            FleetEvent::View { shares, admit } => self.view = Some((shares, admit)),
+            FleetEvent::Figures(text) => self.figures = text,
+            FleetEvent::Standing(text) => self.policy = Some(text),
+            FleetEvent::PolicyCommand(order) => self.orders.push_back(order),
         }
     }
 
@@ -122,31 +122,31 @@
 
     /// The operator wants this version.
     pub fn want(&mut self, version: u64, text: String) {
-        self.answers.push_back(Told::Want { version, text });
+        self.answers.push_back(FleetCommand::Want { version, text });
         self.flush();
     }
 
     /// What is to be done next with the policy.
-    pub fn order(&mut self) -> Option<Order> {
+    pub fn order(&mut self) -> Option<PolicyCommand> {
         self.orders.pop_front()
     }
 
     /// Has a front carry an order out, and tells the thread what came of it.
-    pub fn carry_out(&mut self, net: &mut Sockets, front: &mut Platform, order: Order) {
+    pub fn carry_out(&mut self, net: &mut Sockets, front: &mut Platform, order: PolicyCommand) {
         match order {
-            Order::Check { version, text } => {
+            PolicyCommand::Check { version, text } => {
                 let errors = front.check(&text).err().unwrap_or_default();
                 let error = (!errors.is_empty())
                     .then(|| errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "));
-                self.answers.push_back(Told::Checked { version, error });
+                self.answers.push_back(FleetCommand::Checked { version, error });
             }
-            Order::Hold(hold) => {
+            PolicyCommand::Pause(hold) => {
                 front.hold(net, true);
-                self.answers.push_back(Told::Holding(hold));
+                self.answers.push_back(FleetCommand::Paused(hold));
             }
-            Order::Release => front.hold(net, false),
-            Order::Apply { text } => front.apply(&text),
-            Order::Serve(until) => front.serve_until(net, until),
+            PolicyCommand::Release => front.hold(net, false),
+            PolicyCommand::Apply { text } => front.apply(&text),
+            PolicyCommand::Serve(until) => front.serve_until(net, until),
         }
         self.flush();
     }
@@ -164,14 +164,14 @@
     /// Tells the core what its zones may get, and the thread what happened here.
     pub fn tick(&mut self, mut core: Option<&mut Core>) {
         if let (Some((shares, admit)), Some(core)) = (self.view.take(), &mut core) {
-            let share = |at: &Option<usize>| at.and_then(|at| shares.get(at).copied()).unwrap_or(WHOLE);
+            let share = |at: &Option<usize>| at.and_then(|at| shares.get(at).copied()).unwrap_or(FULL_SHARE);
             core.set_traffic_split(self.zones.iter().map(share).collect(), admit);
         }
         let now = self.clock.now();
         if now < self.next {
             return;
         }
-        self.next = now + TICK;
+        self.next = now + TICK_MS;
         self.flush();
         let (mut came, mut ended) = (Vec::new(), Vec::new());
         let mut there = vec![(0, 0); self.names.len()];
@@ -191,11 +191,11 @@
             }
         }
         let open = core.map_or(0, |core| core.open_jobs());
-        self.send(Told::Work { came, ended, open, there });
+        self.send(FleetCommand::Work { came, ended, open, there });
     }
 
     /// Tells the thread, which may be behind: then what is told is lost, as a datagram would be.
-    fn send(&mut self, told: Told) {
+    fn send(&mut self, told: FleetCommand) {
         if let Some(tell) = &self.tell {
             self.lost += u64::from(tell.try_send(told).is_err());
         }
@@ -218,7 +218,7 @@
     /// Leaves the address to the process that follows: the thread ends when nobody can tell it anything and the leader
     /// knows. `serves` says whether requests are started until the lease is over; if not, it is given back.
     pub fn stop(&mut self, serves: bool) {
-        self.answers.push_back(Told::Leave { serves });
+        self.answers.push_back(FleetCommand::Leave { serves });
         self.flush();
         self.orders.clear();
         self.tell = None;
--- a/src/frontend/fleet/policy_store.rs
+++ b/src/frontend/fleet/policy_store.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::SystemTime;
 
-use crate::fleet::{Hash, LONGEST_DOCUMENT, hash};
+use crate::fleet::{DocumentHash, MAX_DOCUMENT_BYTES, hash};
 
 /// Files that are kept; the oldest go.
 const KEPT: usize = 8;
@@ -18,7 +18,7 @@
     let mut documents = Vec::new();
     for (path, _) in files(dir)? {
         let length = fs::metadata(&path)?.len();
-        let bytes = if length <= LONGEST_DOCUMENT as u64 { fs::read(&path)? } else { Vec::new() };
+        let bytes = if length <= MAX_DOCUMENT_BYTES as u64 { fs::read(&path)? } else { Vec::new() };
         if path.file_name().is_some_and(|name| *name == *name_of(&hash(&bytes))) {
             documents.push(bytes);
         } else {
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-fn name_of(hash: &Hash) -> String {
+fn name_of(hash: &DocumentHash) -> String {
     hash.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + END
 }
 
--- a/src/frontend/fleet/thread.rs
+++ b/src/frontend/fleet/thread.rs
@@ -16,14 +16,14 @@
 
 use super::config::Config;
 use super::log_lines::{log, standing_line};
-use super::vote_log::{self, Disk};
+use super::vote_log::{self, VoteLog};
 use super::{figures, policy_store};
 use crate::consensus::Write;
-use crate::control_plane::{Effect, Setup, Shared};
+use crate::control_plane::{ControlPlane, ControlPlaneConfig, Effect};
 use crate::core::Clock;
-use crate::fleet::{self, LONGEST, MemberId};
+use crate::fleet::{self, MAX_FRAME_BYTES, MemberId};
 use crate::rollout;
-use crate::zones::{self, End};
+use crate::zones::{self, AttemptResult};
 
 /// While another process holds the address, as the one that an upgrade replaces, it is tried again so often, in
 /// milliseconds.
@@ -38,22 +38,22 @@
 const FIGURES: f64 = 200.0;
 
 /// What the fronts tell the thread.
-pub(super) enum Told {
+pub(super) enum FleetCommand {
     /// What happened since the last time: requests that came, turned away or not; dispatches that ended, by zone; the
     /// requests that are open; and of each zone what is out there and how many slots are listed.
-    Work { came: Vec<bool>, ended: Vec<(usize, End, f64)>, open: usize, there: Vec<(u16, u16)> },
+    Work { came: Vec<bool>, ended: Vec<(usize, AttemptResult, f64)>, open: usize, there: Vec<(u16, u16)> },
     /// The operator wants this version of the policy.
     Want { version: u64, text: String },
     /// A policy was checked: nothing, or what is wrong with it here.
     Checked { version: u64, error: Option<String> },
     /// The fronts hold what comes in.
-    Holding(rollout::Hold),
+    Paused(rollout::Pause),
     /// The process stops: whether its fronts go on serving until the lease is over.
     Leave { serves: bool },
 }
 
 /// What the thread says to the fronts.
-pub(super) enum Said {
+pub(super) enum FleetEvent {
     /// What each zone may get, and what of the requests is taken.
     View { shares: Vec<u16>, admit: u16 },
     /// The figures.
@@ -61,12 +61,12 @@
     /// Where the policy stands.
     Standing(String),
     /// What is to be done with the policy.
-    Order(Order),
+    PolicyCommand(PolicyCommand),
 }
 
 /// What fronts are to do with the policy, in order.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum PolicyCommand {
     /// Check it against what is known here.
     Check {
         /// Its version.
@@ -75,7 +75,7 @@
         text: String,
     },
     /// Hold what comes in.
-    Hold(rollout::Hold),
+    Pause(rollout::Pause),
     /// Let what was held go on.
     Release,
     /// It is in force.
@@ -88,25 +88,25 @@
 }
 
 /// What is open while this process holds the fleet's address.
-struct Open {
+struct OpenNode {
     socket: Rc<UdpSocket>,
-    shared: Shared,
-    disk: Option<Disk>,
+    shared: ControlPlane,
+    disk: Option<VoteLog>,
     /// Writes that the disk's thread had no room for yet.
     writes: VecDeque<Write>,
 }
 
-struct Loop {
+struct FleetLoop {
     config: Config,
-    handle: LoopHandle<'static, Loop>,
+    handle: LoopHandle<'static, FleetLoop>,
     /// The fronts' side has gone.
     over: bool,
     /// What the fronts said of their serving as they went.
     serves: bool,
     clock: Clock,
     members: FxHashMap<SocketAddr, MemberId>,
-    say: SyncSender<Said>,
-    open: Option<Open>,
+    say: SyncSender<FleetEvent>,
+    open: Option<OpenNode>,
     /// When to try again for the address; none once it is held, or given up.
     retry: Option<f64>,
     said: bool,
@@ -117,7 +117,7 @@
     /// Shares that the fronts had no room for yet.
     view: Option<(Vec<u16>, u16)>,
     /// What the fronts are to do with the policy and had no room for yet.
-    orders: VecDeque<Order>,
+    orders: VecDeque<PolicyCommand>,
     /// The policy that the operator wants, and whether it is only the file of the start.
     wanted: Option<(u64, String)>,
     standing: String,
@@ -132,14 +132,14 @@
 pub(super) fn start(
     config: Config,
     wanted: Option<(u64, String)>,
-    told: Channel<Told>,
-    say: SyncSender<Said>,
+    told: Channel<FleetCommand>,
+    say: SyncSender<FleetEvent>,
 ) -> io::Result<()> {
     std::thread::Builder::new().name("fleet".into()).spawn(move || {
         if let Err(e) = run(config, wanted, told, say.clone()) {
             crate::say(format_args!("the fleet's loop has ended: {e}"));
             // Whoever gets the address next is taken for the only process of this member.
-            let _ = say.send(Said::Order(Order::Serve(f64::NEG_INFINITY)));
+            let _ = say.send(FleetEvent::PolicyCommand(PolicyCommand::Serve(f64::NEG_INFINITY)));
         }
     })?;
     Ok(())
@@ -148,11 +148,11 @@
 fn run(
     config: Config,
     wanted: Option<(u64, String)>,
-    told: Channel<Told>,
-    say: SyncSender<Said>,
+    told: Channel<FleetCommand>,
+    say: SyncSender<FleetEvent>,
 ) -> Result<(), calloop::Error> {
-    let mut events: EventLoop<'static, Loop> = EventLoop::try_new()?;
-    let source = events.handle().insert_source(told, |event, (), shared: &mut Loop| match event {
+    let mut events: EventLoop<'static, FleetLoop> = EventLoop::try_new()?;
+    let source = events.handle().insert_source(told, |event, (), shared: &mut FleetLoop| match event {
         channel::Event::Msg(told) => shared.hear(told),
         channel::Event::Closed => shared.over = true,
     });
@@ -161,7 +161,7 @@
     let clock = Clock::boot();
     let members = config.addresses.iter().enumerate();
     let members = members.map(|(at, address)| (*address, at as MemberId)).collect();
-    let mut shared = Loop {
+    let mut shared = FleetLoop {
         handle: events.handle(),
         over: false,
         serves: true,
@@ -179,7 +179,7 @@
         standing: String::new(),
         strangers: 0,
         unsent: 0,
-        buffer: vec![0; LONGEST + 1],
+        buffer: vec![0; MAX_FRAME_BYTES + 1],
         clock,
         config,
     };
@@ -191,44 +191,44 @@
     }
     shared.leave();
     while !shared.has_left() {
-        events.dispatch(Some(Duration::from_secs_f64(fleet::TICK / 1e3)), &mut shared)?;
+        events.dispatch(Some(Duration::from_secs_f64(fleet::TICK_MS / 1e3)), &mut shared)?;
         shared.tick();
     }
     Ok(())
 }
 
-impl Loop {
-    fn hear(&mut self, told: Told) {
+impl FleetLoop {
+    fn hear(&mut self, told: FleetCommand) {
         let now = self.clock.now();
         let (came, ended) = match told {
-            Told::Work { came, ended, open, there } => {
+            FleetCommand::Work { came, ended, open, there } => {
                 (self.requests, self.there) = (open, there);
                 (came, ended)
             }
-            Told::Want { version, text } => {
+            FleetCommand::Want { version, text } => {
                 self.wanted = Some((version, text));
                 return self.want(now);
             }
-            Told::Checked { version, error } => {
-                return self.policy(|member| member.checked(now, version, error));
+            FleetCommand::Checked { version, error } => {
+                return self.policy(|member| member.on_checked(now, version, error));
             }
-            Told::Holding(hold) => return self.policy(|member| member.holding(now, hold)),
-            Told::Leave { serves } => {
+            FleetCommand::Paused(hold) => return self.policy(|member| member.on_paused(now, hold)),
+            FleetCommand::Leave { serves } => {
                 self.serves = serves;
                 return;
             }
         };
         let Some(open) = &mut self.open else { return };
-        let tally = open.shared.zones_mut().tally();
-        came.into_iter().for_each(|turned| tally.arrived(turned));
-        ended.into_iter().for_each(|(zone, end, took)| tally.ended(zone, end, took));
+        let tally = open.shared.zones_mut().outcome_counter();
+        came.into_iter().for_each(|turned| tally.record_arrival(turned));
+        ended.into_iter().for_each(|(zone, end, took)| tally.record_attempt(zone, end, took));
     }
 
     /// Has the member's part of the policy do something.
     fn policy(&mut self, with: impl FnOnce(&mut rollout::Participant)) {
         let now = self.clock.now();
         if let Some(open) = &mut self.open {
-            open.shared.policy(now, |member, _| with(member));
+            open.shared.with_participant(now, |member, _| with(member));
         }
     }
 
@@ -248,11 +248,11 @@
         if self.config.rollout.as_ref().is_some_and(|rollout| !rollout.agreed)
             && let Some((version, text)) = self.wanted.take()
         {
-            self.orders.extend([Order::Apply { text }, Order::Serve(f64::INFINITY)]);
+            self.orders.extend([PolicyCommand::Apply { text }, PolicyCommand::Serve(f64::INFINITY)]);
             let alone = format!(
                 "runs {version} decided {version} staged none wanted none epoch 0 serves yes holds no last {version} in force, alone"
             );
-            let _ = self.say.try_send(Said::Standing(alone));
+            let _ = self.say.try_send(FleetEvent::Standing(alone));
             let reason = "";
             return tracing::info!(
                 in_force = version,
@@ -263,10 +263,10 @@
             );
         }
         let (Some(open), Some((version, text))) = (&mut self.open, &self.wanted) else { return };
-        let wants = |member: &mut rollout::Participant, node: &mut fleet::Node| {
-            member.wants(now, node, *version, text.as_bytes())
+        let wants = |member: &mut rollout::Participant, node: &mut fleet::FleetNode| {
+            member.propose(now, node, *version, text.as_bytes())
         };
-        if let Some(Err(e)) = open.shared.policy(now, wants) {
+        if let Some(Err(e)) = open.shared.with_participant(now, wants) {
             crate::say(format_args!("the policy's file is not taken: {e}"));
         }
         self.wanted = None;
@@ -282,7 +282,7 @@
     fn open(&mut self, now: f64) -> Result<(), String> {
         let own = self.config.own;
         let address = self.config.addresses[own];
-        let socket = match Loop::bind(address) {
+        let socket = match FleetLoop::bind(address) {
             Ok(socket) => Rc::new(socket),
             Err(e) => {
                 if !std::mem::replace(&mut self.said, true) {
@@ -297,35 +297,40 @@
             Some(path) => vote_log::read(path, self.config.generation)?,
             None => None,
         };
-        let fleet = fleet::Setup {
+        let fleet = fleet::NodeConfig {
             cluster: self.config.cluster.clone(),
             generation: self.config.generation,
-            places: self.config.places.clone(),
+            members: self.config.places.clone(),
             own: own as MemberId,
-            session: now as u64,
+            incarnation: now as u64,
             seed: now as u64 ^ (own as u64) << 48,
         };
         let agreed = self.config.rollout.as_ref().filter(|rollout| rollout.agreed);
         let rollout = agreed.map(|rollout| rollout.rules);
-        let setup = Setup { fleet, zones: self.config.zones.len(), rules: self.config.rules, rollout };
-        let mut shared = Shared::new(setup, kept, now).map_err(|e| e.to_string())?;
+        let setup = ControlPlaneConfig {
+            fleet,
+            zones: self.config.zones.len(),
+            failover: self.config.rules,
+            rollout,
+        };
+        let mut shared = ControlPlane::new(setup, kept, now).map_err(|e| e.to_string())?;
         if let Some(rollout) = agreed {
             let dir = rollout.keep.display();
             let documents = policy_store::read(&rollout.keep).map_err(|e| format!("{dir}: {e}"))?;
             for document in documents {
-                shared.policy(now, |_, node| node.keep(&document));
+                shared.with_participant(now, |_, node| node.store_document(&document));
             }
         }
         let source = Generic::new(Rc::clone(&socket), Interest::READ, Mode::Level);
-        let added = self.handle.insert_source(source, |_, _, shared: &mut Loop| {
+        let added = self.handle.insert_source(source, |_, _, shared: &mut FleetLoop| {
             shared.read();
             Ok(PostAction::Continue)
         });
         added.map_err(|e| e.to_string())?;
         let mut disk = None;
-        if let Some(path) = self.config.state.clone().filter(|_| self.config.places[own].voter) {
-            let (thread, told) = Disk::start(path).map_err(|e| format!("fleet: {e}"))?;
-            let added = self.handle.insert_source(told, |event, (), shared: &mut Loop| {
+        if let Some(path) = self.config.state.clone().filter(|_| self.config.places[own].is_voter) {
+            let (thread, told) = VoteLog::start(path).map_err(|e| format!("fleet: {e}"))?;
+            let added = self.handle.insert_source(told, |event, (), shared: &mut FleetLoop| {
                 if let channel::Event::Msg(done) = event {
                     shared.written(done);
                 }
@@ -334,7 +339,7 @@
             disk = Some(thread);
         }
         tracing::info!(cluster = self.config.cluster, name = self.config.names[own], %address, "fleet joined");
-        self.open = Some(Open { socket, shared, disk, writes: VecDeque::new() });
+        self.open = Some(OpenNode { socket, shared, disk, writes: VecDeque::new() });
         self.retry = None;
         Ok(())
     }
@@ -360,7 +365,7 @@
 
     fn written(&mut self, done: bool) {
         let Some(open) = &mut self.open else { return };
-        open.shared.written(self.clock.now(), done);
+        open.shared.on_written(self.clock.now(), done);
         if !done {
             open.writes.clear();
             open.disk = None;
@@ -372,7 +377,7 @@
         let now = self.clock.now();
         // Only once it knows what is decided can it tell whether its file is news.
         let alone = self.config.rollout.as_ref().is_some_and(|rollout| !rollout.agreed);
-        let follows = self.open.as_ref().is_some_and(|open| open.shared.follows(now));
+        let follows = self.open.as_ref().is_some_and(|open| open.shared.follows_leader(now));
         if self.wanted.is_some() && (alone || follows) {
             self.want(now);
         }
@@ -392,31 +397,31 @@
             self.tells = now + FIGURES;
             let text = match &self.open {
                 Some(open) => {
-                    let drops = figures::Drops { strangers: self.strangers, unsent: self.unsent };
+                    let drops = figures::DatagramDrops { strangers: self.strangers, unsent: self.unsent };
                     figures::render(&self.config.zones, &open.shared, drops, now)
                 }
                 None => figures::open(false),
             };
             // The next ones are as good.
-            let _ = self.say.try_send(Said::Figures(text));
+            let _ = self.say.try_send(FleetEvent::Figures(text));
         }
         while let Some(order) = self.orders.pop_front() {
-            if let Err(refused) = self.say.try_send(Said::Order(order)) {
-                if let TrySendError::Full(Said::Order(order)) = refused {
+            if let Err(refused) = self.say.try_send(FleetEvent::PolicyCommand(order)) {
+                if let TrySendError::Full(FleetEvent::PolicyCommand(order)) = refused {
                     self.orders.push_front(order);
                 }
                 break;
             }
         }
-        let standing = self.open.as_ref().and_then(|open| open.shared.standing());
+        let standing = self.open.as_ref().and_then(|open| open.shared.rollout_status());
         if let Some(text) =
             standing.map(|standing| standing_line(&standing, now)).filter(|text| *text != self.standing)
-            && self.say.try_send(Said::Standing(text.clone())).is_ok()
+            && self.say.try_send(FleetEvent::Standing(text.clone())).is_ok()
         {
             self.standing = text;
         }
         if let Some((shares, admit)) = self.view.take()
-            && self.say.try_send(Said::View { shares: shares.clone(), admit }).is_err()
+            && self.say.try_send(FleetEvent::View { shares: shares.clone(), admit }).is_err()
         {
             self.view = Some((shares, admit));
         }
@@ -426,7 +431,7 @@
     fn carry_out(&mut self) {
         let mut policy = Vec::new();
         let Some(open) = &mut self.open else { return };
-        for effect in open.shared.effects() {
+        for effect in open.shared.take_effects() {
             match effect {
                 Effect::Node(fleet::Effect::Send { to, bytes }) => {
                     let address = self.config.addresses[usize::from(to)];
@@ -435,7 +440,7 @@
                 Effect::Node(fleet::Effect::Write(write)) if open.writes.len() < WRITES => {
                     open.writes.push_back(write);
                 }
-                Effect::Node(fleet::Effect::Write(_)) => open.shared.written(self.clock.now(), false),
+                Effect::Node(fleet::Effect::Write(_)) => open.shared.on_written(self.clock.now(), false),
                 Effect::Zones(zones::Effect::View(view)) => self.view = Some((view.shares, view.admit)),
                 Effect::Zones(zones::Effect::Decided(decided)) => log(&self.config, &decided),
                 Effect::Rollout(effect) => policy.push(effect),
@@ -467,20 +472,20 @@
                 let kept =
                     self.config.rollout.as_ref().map(|rollout| policy_store::write(&rollout.keep, &bytes));
                 let error = kept.and_then(Result::err).map(|e| format!("it cannot be kept: {e}"));
-                self.policy(|member| member.saved(hash, error));
+                self.policy(|member| member.on_saved(hash, error));
                 return true;
             }
             Effect::Check(policy, bytes) => {
-                self.orders.push_back(Order::Check { version: policy.version, text: text(bytes) });
+                self.orders.push_back(PolicyCommand::Check { version: policy.version, text: text(bytes) });
             }
-            Effect::Hold(hold) => self.orders.push_back(Order::Hold(hold)),
-            Effect::Release => self.orders.push_back(Order::Release),
+            Effect::Pause(hold) => self.orders.push_back(PolicyCommand::Pause(hold)),
+            Effect::Release => self.orders.push_back(PolicyCommand::Release),
             // Before any policy there is nothing to take over.
             Effect::Apply(policy, _) if policy.version == 0 => {}
-            Effect::Apply(_, bytes) => self.orders.push_back(Order::Apply { text: text(bytes) }),
-            Effect::Serve(until) => self.orders.push_back(Order::Serve(self.clock.to_boot(until))),
+            Effect::Apply(_, bytes) => self.orders.push_back(PolicyCommand::Apply { text: text(bytes) }),
+            Effect::Serve(until) => self.orders.push_back(PolicyCommand::Serve(self.clock.to_boot(until))),
             Effect::Decided(decision) => {
-                let last = decision.last.clone().unwrap_or(rollout::Outcome {
+                let last = decision.last.clone().unwrap_or(rollout::ChangeOutcome {
                     version: 0,
                     in_force: false,
                     reason: String::new(),
@@ -505,7 +510,10 @@
 
     /// When `tick` is to be called next.
     fn next(&self) -> f64 {
-        let part = self.open.as_ref().map_or(self.retry.unwrap_or(f64::INFINITY), |open| open.shared.next());
+        let part = self
+            .open
+            .as_ref()
+            .map_or(self.retry.unwrap_or(f64::INFINITY), |open| open.shared.next_deadline());
         part.min(self.tells)
     }
 }
--- a/src/frontend/fleet/vote_log.rs
+++ b/src/frontend/fleet/vote_log.rs
@@ -8,17 +8,17 @@
 
 use calloop::channel::{Channel, Sender, channel};
 
-use crate::consensus::{Kept, Write, file};
+use crate::consensus::{Persisted, Write, file};
 
 /// Writes that may wait for the thread.
 const WAITING: usize = 256;
 
 /// Reads a voter's file. Nothing is remembered where there is none.
-pub(super) fn read(path: &Path, generation: u32) -> Result<Option<Kept>, String> {
+pub(super) fn read(path: &Path, generation: u32) -> Result<Option<Persisted>, String> {
     let mut bytes = Vec::new();
     match File::open(path) {
         Ok(file) => {
-            let read = file.take(file::MOST as u64 + 1).read_to_end(&mut bytes);
+            let read = file.take(file::MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes);
             read.map_err(|e| format!("{}: {e}", path.display()))?;
         }
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -42,15 +42,15 @@
 }
 
 /// The thread that writes.
-pub(super) struct Disk(SyncSender<Write>);
+pub(super) struct VoteLog(SyncSender<Write>);
 
-impl Disk {
+impl VoteLog {
     /// Starts it; the channel tells of each write whether it was done.
-    pub(super) fn start(path: PathBuf) -> io::Result<(Disk, Channel<bool>)> {
+    pub(super) fn start(path: PathBuf) -> io::Result<(VoteLog, Channel<bool>)> {
         let (jobs, take) = mpsc::sync_channel::<Write>(WAITING);
         let (tell, told) = channel();
         thread::Builder::new().name("fleet-disk".into()).spawn(move || work(&path, &take, &tell))?;
-        Ok((Disk(jobs), told))
+        Ok((VoteLog(jobs), told))
     }
 
     /// Has something written. False where the thread is far behind or gone.
@@ -118,7 +118,7 @@
         let dir = std::env::temp_dir().join(format!("micabeam-disk-{}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
         let path = dir.join("state");
-        let (disk, told) = Disk::start(path.clone()).unwrap();
+        let (disk, told) = VoteLog::start(path.clone()).unwrap();
         assert!(disk.write(Write::Replace(file::head(1))));
         assert!(wait(&told));
         assert!(disk.write(Write::Append(file::frame(&[]))));
@@ -127,10 +127,10 @@
         assert!(read(&path, 2).unwrap().is_none(), "a new generation begins");
         fs::write(&path, "something else, and long").unwrap();
         assert!(read(&path, 1).unwrap_err().contains("not a voter's file"));
-        let (full, told) = Disk::start(PathBuf::from("/dev/full")).unwrap();
+        let (full, told) = VoteLog::start(PathBuf::from("/dev/full")).unwrap();
         assert!(full.write(Write::Append(vec![1])));
         assert!(!wait(&told));
-        let (nowhere, told) = Disk::start(dir.join("no/such/place")).unwrap();
+        let (nowhere, told) = VoteLog::start(dir.join("no/such/place")).unwrap();
         assert!(nowhere.write(Write::Replace(vec![1])));
         assert!(!wait(&told));
         fs::remove_dir_all(&dir).unwrap();
--- a/src/rollout/coordinator.rs
+++ b/src/rollout/coordinator.rs
@@ -1,7 +1,9 @@
 //! The leader's part: who holds a lease, who has said yes, who holds what comes in, and when a change is decided.
 
-use super::{Decision, Hold, LeaseRequest, Message, Outcome, Policy, Rules, TOPIC, cut};
-use crate::fleet::{self, Node};
+use super::{
+    ChangeOutcome, LeaseRequest, Message, Pause, PolicyDecision, PolicyVersion, RolloutSettings, TOPIC, cut,
+};
+use crate::fleet::{self, FleetNode};
 
 /// Beyond what leases may take, all have so long to fetch and check a document, in milliseconds.
 const CHECKS: f64 = 3000.0;
@@ -15,7 +17,7 @@
 /// What is known of a member.
 #[derive(Clone, Debug)]
 struct MemberSlot {
-    session: u64,
+    incarnation: u64,
     /// When the lease of its present process that this leader granted is over for sure, by the leader's clock.
     leased: f64,
     /// The same of processes before it.
@@ -29,14 +31,14 @@
 impl MemberSlot {
     /// What is heard from now on is of this process. It speaks from the member's address, which one before it leaves only
     /// as it ends, or after it has told that it leaves.
-    fn begin(&mut self, now: f64, session: u64) {
-        if session <= self.session {
+    fn begin(&mut self, now: f64, incarnation: u64) {
+        if incarnation <= self.incarnation {
             return;
         }
         if self.leaving {
             self.before = self.before.max(self.leased);
         }
-        (self.session, self.leased, self.leaving) = (session, now, false);
+        (self.incarnation, self.leased, self.leaving) = (incarnation, now, false);
     }
 }
 
@@ -45,18 +47,18 @@
     /// All are to say yes.
     Checking,
     /// All are to hold.
-    Holding { hold: Hold, since: f64 },
+    Holding { hold: Pause, since: f64 },
     /// What was held for was proposed to the log, or that it is given up.
-    Deciding { hold: Option<Hold> },
+    Deciding { hold: Option<Pause> },
 }
 
 /// The leader's part, from when it began to lead until it does no more.
 #[derive(Clone, Debug)]
-pub struct Lead {
-    rules: Rules,
+pub struct Coordinator {
+    rules: RolloutSettings,
     slots: Vec<MemberSlot>,
     /// What is staged, and since when it leads that.
-    staged: Option<(Policy, f64)>,
+    staged: Option<(PolicyVersion, f64)>,
     phase: Phase,
     attempts: u64,
     next_hold: f64,
@@ -66,15 +68,15 @@
     inherited: f64,
 }
 
-impl Lead {
+impl Coordinator {
     /// One that begins to lead now. It knows of no lease, and takes every member for one that has one in full: a lease
     /// counts from a round that a majority followed, and no round of an earlier leader began after this one led.
-    pub fn new(rules: Rules, members: usize, now: f64) -> Lead {
-        let (session, heard) = (0, f64::NEG_INFINITY);
+    pub fn new(rules: RolloutSettings, members: usize, now: f64) -> Coordinator {
+        let (incarnation, heard) = (0, f64::NEG_INFINITY);
         let told = LeaseRequest::default();
-        let slot = MemberSlot { session, leased: now, before: now, heard, told, leaving: false };
-        Lead {
-            inherited: now + rules.over(rules.lease),
+        let slot = MemberSlot { incarnation, leased: now, before: now, heard, told, leaving: false };
+        Coordinator {
+            inherited: now + rules.over(rules.lease_ms),
             rules,
             slots: vec![slot; members],
             staged: None,
@@ -89,16 +91,16 @@
     pub(super) fn lease_requested(
         &mut self,
         now: f64,
-        node: &mut Node,
+        node: &mut FleetNode,
         from: u16,
-        session: u64,
+        incarnation: u64,
         told: LeaseRequest,
     ) {
         let Some(slot) = self.slots.get_mut(usize::from(from)) else { return };
-        if session < slot.session {
+        if incarnation < slot.incarnation {
             return;
         }
-        slot.begin(now, session);
+        slot.begin(now, incarnation);
         let nonce = told.nonce;
         (slot.told, slot.heard) = (told, now);
         let held = match self.phase {
@@ -107,29 +109,37 @@
         };
         let holds = held.is_some() && slot.told.holds == held;
         if let Some(hold) = held.filter(|_| !holds) {
-            node.send_message(from, TOPIC, Message::Hold(hold).encode());
+            node.send_message(from, TOPIC, Message::Pause(hold).encode());
         }
         // What is proposed may be decided much later, as when a majority was away: until then no lease is given but to
         // those that hold. The same for what a leader before this one may have proposed and the log still has.
-        self.settled |= node.settled();
+        self.settled |= node.log_is_committed();
         let undecided = matches!(self.phase, Phase::Deciding { hold: Some(_) }) && !holds;
         // A leader that another has followed, and that hears of it, must not give leases on the other's strength.
-        let Some(confirmed) = node.confirmed() else { return };
-        let left = self.rules.lease - (now - confirmed);
+        let Some(confirmed) = node.last_confirmed_round() else { return };
+        let left = self.rules.lease_ms - (now - confirmed);
         if left < 1.0 || undecided || !self.settled {
             return;
         }
         slot.leased = slot.leased.max(now + self.rules.over(left));
-        let (epoch, _) = node.newest(TOPIC);
+        let (epoch, _) = node.newest_decision(TOPIC);
         node.send_message(from, TOPIC, Message::LeaseGrant { nonce, lasts: left as u32, epoch }.encode());
     }
 
     /// A member's process leaves, and serves on until its lease is over, or not.
-    pub(super) fn leave(&mut self, now: f64, node: &mut Node, from: u16, session: u64, serves: bool) {
-        let Some(slot) = self.slots.get_mut(usize::from(from)).filter(|slot| session >= slot.session) else {
+    pub(super) fn leave(
+        &mut self,
+        now: f64,
+        node: &mut FleetNode,
+        from: u16,
+        incarnation: u64,
+        serves: bool,
+    ) {
+        let Some(slot) = self.slots.get_mut(usize::from(from)).filter(|slot| incarnation >= slot.incarnation)
+        else {
             return;
         };
-        slot.begin(now, session);
+        slot.begin(now, incarnation);
         (slot.told, slot.leaving) = (LeaseRequest::default(), serves);
         if !serves {
             slot.leased = slot.leased.min(now);
@@ -138,9 +148,9 @@
     }
 
     /// Learns when earlier leaders can have granted their last lease, once enough voters have told.
-    fn inherit(&mut self, node: &Node) {
-        if let Some(last_round) = node.succeeded() {
-            self.inherited = self.inherited.min(last_round + self.rules.over(self.rules.lease));
+    fn inherit(&mut self, node: &FleetNode) {
+        if let Some(last_round) = node.predecessors_last_round() {
+            self.inherited = self.inherited.min(last_round + self.rules.over(self.rules.lease_ms));
         }
     }
 
@@ -155,9 +165,9 @@
     }
 
     /// Does what is due.
-    pub(super) fn tick(&mut self, now: f64, node: &mut Node) {
+    pub(super) fn tick(&mut self, now: f64, node: &mut FleetNode) {
         self.inherit(node);
-        let decision = Decision::decode(node.newest(TOPIC).1);
+        let decision = PolicyDecision::decode(node.newest_decision(TOPIC).1);
         let Some(staged) = decision.staged else {
             // What was proposed to be staged may not be decided yet.
             self.staged = self.staged.filter(|(own, _)| own.version > decision.highest);
@@ -188,10 +198,10 @@
                 let own = yes(&self.slots[usize::from(node.own())]);
                 if ready && own && now >= self.next_hold {
                     self.attempts += 1;
-                    let hold = Hold { term: node.term().0, attempt: self.attempts, version: staged.version };
+                    let hold = Pause { term: node.term().0, attempt: self.attempts, version: staged.version };
                     self.phase = Phase::Holding { hold, since: now };
-                    self.to_all(node, &Message::Hold(hold));
-                } else if now - since > self.rules.over(self.rules.lease) + CHECKS {
+                    self.to_all(node, &Message::Pause(hold));
+                } else if now - since > self.rules.over(self.rules.lease_ms) + CHECKS {
                     let missing: Vec<usize> = self.missing(now, yes).take(MOST_NAMED).collect();
                     let why = format!("no yes in time of members {missing:?}");
                     self.give_up(now, node, decision, &why);
@@ -199,13 +209,14 @@
             }
             Phase::Holding { hold, since } => {
                 if self.missing(now, |slot| slot.told.holds == Some(hold)).next().is_none() {
-                    let last = Outcome { version: staged.version, in_force: true, reason: String::new() };
-                    let next = Decision { policy: staged, staged: None, last: Some(last), ..decision };
+                    let last =
+                        ChangeOutcome { version: staged.version, in_force: true, reason: String::new() };
+                    let next = PolicyDecision { policy: staged, staged: None, last: Some(last), ..decision };
                     // Where it is not proposed nobody can decide it, and it is tried again.
                     if node.propose(now, TOPIC, next.encode()) {
                         self.phase = Phase::Deciding { hold: Some(hold) };
                     }
-                } else if now - since > self.rules.hold {
+                } else if now - since > self.rules.pause_ms {
                     // Only this leader could have had it decided on this hold, and it did not propose it.
                     self.to_all(node, &Message::Resume(hold));
                     (self.phase, self.next_hold) = (Phase::Checking, now + RESTS);
@@ -215,31 +226,31 @@
     }
 
     /// Stages what members want: the lowest version first, so that two that are wanted come one after the other.
-    fn stage(&mut self, now: f64, node: &mut Node, decision: Decision) {
+    fn stage(&mut self, now: f64, node: &mut FleetNode, decision: PolicyDecision) {
         let fresh = |slot: &MemberSlot| now - slot.heard < 2000.0;
         let slots = self.slots.iter().enumerate().filter(|(_, slot)| fresh(slot));
         let wanted = slots.filter_map(|(at, slot)| Some((at, slot.told.wants?)));
         let newer = wanted.filter(|(_, p)| p.version > decision.highest);
         let Some((at, policy)) = newer.min_by_key(|(_, p)| p.version) else { return };
         if node.document(&policy.hash).is_none() {
-            return node.want(now, policy.hash, Some(at as fleet::MemberId));
+            return node.request_document(now, policy.hash, Some(at as fleet::MemberId));
         }
-        let next = Decision { staged: Some(policy), highest: policy.version, ..decision };
+        let next = PolicyDecision { staged: Some(policy), highest: policy.version, ..decision };
         if node.propose(now, TOPIC, next.encode()) {
             (self.staged, self.phase) = (Some((policy, now)), Phase::Checking);
         }
     }
 
-    fn give_up(&mut self, now: f64, node: &mut Node, decision: Decision, reason: &str) {
+    fn give_up(&mut self, now: f64, node: &mut FleetNode, decision: PolicyDecision, reason: &str) {
         let Some(staged) = decision.staged else { return };
-        let last = Outcome { version: staged.version, in_force: false, reason: cut(reason) };
-        let next = Decision { staged: None, last: Some(last), ..decision };
+        let last = ChangeOutcome { version: staged.version, in_force: false, reason: cut(reason) };
+        let next = PolicyDecision { staged: None, last: Some(last), ..decision };
         if node.propose(now, TOPIC, next.encode()) {
             self.phase = Phase::Deciding { hold: None };
         }
     }
 
-    fn to_all(&self, node: &mut Node, message: &Message) {
+    fn to_all(&self, node: &mut FleetNode, message: &Message) {
         for member in 0..self.slots.len() as fleet::MemberId {
             node.send_message(member, TOPIC, message.encode());
         }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -8,7 +8,7 @@
 //! its lease is over, so that the dead, the frozen and the cut off cannot go on under the old version.
 //! `docs/design/rollout.md` has the ways weighed.
 //!
-//! `Participant` is every dispatcher's part; `Lead` is the part of the consensus's leader.
+//! `Participant` is every dispatcher's part; `Coordinator` is the part of the consensus's leader.
 
 mod coordinator;
 mod participant;
@@ -17,13 +17,13 @@
 #[cfg(test)]
 mod wire_tests;
 
-pub use coordinator::Lead;
-pub use participant::{Effect, Participant, Standing};
+pub use coordinator::Coordinator;
+pub use participant::{Effect, Participant, ParticipantStatus};
 
 use serde::{Deserialize, Serialize};
 
 use crate::consensus::LeaderTerm;
-use crate::fleet::{self, Hash, Node};
+use crate::fleet::{self, DocumentHash, FleetNode};
 
 /// The consensus's topic of policies.
 pub const TOPIC: u8 = 2;
@@ -32,21 +32,21 @@
 
 /// How changes are made. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct RolloutSettings {
     /// How long a dispatcher serves without news: also how long a change may have to wait for one that does not answer. It
     /// is to be longer than a leader takes to be replaced, and short enough for a change to be in force in time.
-    pub lease: f64,
+    pub lease_ms: f64,
     /// How long what comes in may be held for a change before the leader lets it go on.
-    pub hold: f64,
+    pub pause_ms: f64,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules { lease: 2000.0, hold: 400.0 }
+impl Default for RolloutSettings {
+    fn default() -> RolloutSettings {
+        RolloutSettings { lease_ms: 2000.0, pause_ms: 400.0 }
     }
 }
 
-impl Rules {
+impl RolloutSettings {
     /// By when a lease of so long is over by another clock: clocks may run apart by a hundredth.
     fn over(&self, left: f64) -> f64 {
         left * 1.01 + 50.0
@@ -55,16 +55,16 @@
 
 /// A version and the document that it is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Policy {
+pub struct PolicyVersion {
     /// The version, as its document has it; 0: none was ever in force.
     pub version: u64,
     /// The document.
-    pub hash: Hash,
+    pub hash: DocumentHash,
 }
 
 /// What became of a version that was staged last.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Outcome {
+pub struct ChangeOutcome {
     /// The version.
     pub version: u64,
     /// Whether it came in force; if not it was given up, for good.
@@ -75,35 +75,35 @@
 
 /// A decision of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Decision {
+pub struct PolicyDecision {
     /// What is in force.
-    pub policy: Policy,
+    pub policy: PolicyVersion,
     /// What is staged, if anything is.
-    pub staged: Option<Policy>,
+    pub staged: Option<PolicyVersion>,
     /// The highest version that was ever staged: none up to it is staged again, so that what was given up stays so.
     pub highest: u64,
     /// What became of the last one.
-    pub last: Option<Outcome>,
+    pub last: Option<ChangeOutcome>,
 }
 
-impl Decision {
+impl PolicyDecision {
     fn encode(&self) -> Vec<u8> {
         // Into a vector nothing can fail to fit.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// Reads one; the first where it does not read, as where nothing was decided.
-    pub fn decode(bytes: &[u8]) -> Decision {
+    pub fn decode(bytes: &[u8]) -> PolicyDecision {
         match postcard::take_from_bytes(bytes) {
             Ok((decision, [])) => decision,
-            _ => Decision::default(),
+            _ => PolicyDecision::default(),
         }
     }
 }
 
 /// A hold of what comes in: of two the greater is the later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Hold {
+pub struct Pause {
     term: LeaderTerm,
     attempt: u64,
     /// The version that it is for.
@@ -120,9 +120,9 @@
     /// The version that it has checked, and why not, where it said no.
     checked: Option<(u64, Option<String>)>,
     /// The hold that it keeps.
-    holds: Option<Hold>,
+    holds: Option<Pause>,
     /// A newer version that its operator wants.
-    wants: Option<Policy>,
+    wants: Option<PolicyVersion>,
 }
 
 /// What members say to one another.
@@ -140,9 +140,9 @@
         epoch: u64,
     },
     /// From the leader: hold what comes in, until the version is decided on or the leader lets it go on.
-    Hold(Hold),
+    Pause(Pause),
     /// From the leader: a hold is over, and nothing has changed.
-    Resume(Hold),
+    Resume(Pause),
     /// To the leader: this process asks for no lease any more. Until the leader has answered it keeps the fleet's address,
     /// so that a later process that speaks from there without such a message before proves this one gone.
     Leave {
@@ -177,25 +177,25 @@
 
 /// The part: a member's, and the leader's while this node leads.
 pub struct Rollout {
-    rules: Rules,
+    rules: RolloutSettings,
     member: Participant,
-    lead: Option<Lead>,
+    lead: Option<Coordinator>,
 }
 
 impl Rollout {
     /// The part of a node that has just started.
-    pub fn new(rules: Rules) -> Rollout {
+    pub fn new(rules: RolloutSettings) -> Rollout {
         Rollout { rules, member: Participant::new(rules), lead: None }
     }
 
     /// The member's part.
-    pub fn member(&mut self) -> &mut Participant {
+    pub fn participant(&mut self) -> &mut Participant {
         &mut self.member
     }
 
     /// How the member stands.
-    pub fn standing(&self) -> Standing {
-        self.member.standing()
+    pub fn status(&self) -> ParticipantStatus {
+        self.member.status()
     }
 
     /// Whether the leader knows that this process leaves, or nothing is left for it to know.
@@ -204,11 +204,11 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: f64, node: &mut Node) {
-        if !node.leads() {
+    pub fn tick(&mut self, now: f64, node: &mut FleetNode) {
+        if !node.is_leader() {
             self.lead = None;
         } else if self.lead.is_none() {
-            self.lead = Some(Lead::new(self.rules, node.places().len(), now));
+            self.lead = Some(Coordinator::new(self.rules, node.members().len(), now));
         }
         self.member.tick(now, node);
         if let Some(lead) = &mut self.lead {
@@ -217,7 +217,7 @@
     }
 
     /// Follows the newest decision that the node knows.
-    pub fn follow(&mut self, now: f64, node: &mut Node) {
+    pub fn follow(&mut self, now: f64, node: &mut FleetNode) {
         self.member.follow(now, node);
     }
 
@@ -225,22 +225,22 @@
     pub fn receive(
         &mut self,
         now: f64,
-        node: &mut Node,
+        node: &mut FleetNode,
         from: fleet::MemberId,
-        session: u64,
+        incarnation: u64,
         bytes: &[u8],
     ) -> bool {
         match Message::decode(bytes) {
             None => return false,
             Some(Message::LeaseRequest(told)) => {
-                if let Some(lead) = self.lead.as_mut().filter(|_| node.leads()) {
-                    lead.lease_requested(now, node, from, session, told);
+                if let Some(lead) = self.lead.as_mut().filter(|_| node.is_leader()) {
+                    lead.lease_requested(now, node, from, incarnation, told);
                     lead.tick(now, node);
                 }
             }
             Some(Message::Leave { serves }) => {
-                if let Some(lead) = self.lead.as_mut().filter(|_| node.leads()) {
-                    lead.leave(now, node, from, session, serves);
+                if let Some(lead) = self.lead.as_mut().filter(|_| node.is_leader()) {
+                    lead.leave(now, node, from, incarnation, serves);
                 }
             }
             // Leases and holds are a leader's to give: an older one of another leader does no harm.
--- a/src/rollout/participant.rs
+++ b/src/rollout/participant.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-use super::{Decision, Hold, LeaseRequest, Message, Policy, Rules, TOPIC, cut};
-use crate::fleet::{self, Hash, Node};
+use super::{LeaseRequest, Message, Pause, PolicyDecision, PolicyVersion, RolloutSettings, TOPIC, cut};
+use crate::fleet::{self, DocumentHash, FleetNode};
 
 /// A member tells the leader how it stands so often while nothing changes, in milliseconds.
 const TELLS: f64 = 250.0;
@@ -16,28 +16,28 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Keep the document on disk, and tell by `saved`.
-    Save(Hash, Vec<u8>),
+    Save(DocumentHash, Vec<u8>),
     /// Check a document against what is known here, and tell by `checked`.
-    Check(Policy, Vec<u8>),
-    /// Hold what comes in from now on, and tell by `holding`.
-    Hold(Hold),
+    Check(PolicyVersion, Vec<u8>),
+    /// Pause what comes in from now on, and tell by `holding`.
+    Pause(Pause),
     /// The hold is over: what was held goes on under what is in force.
     Release,
     /// From now on this is in force.
-    Apply(Policy, Vec<u8>),
+    Apply(PolicyVersion, Vec<u8>),
     /// Requests may be started until then, by the caller's clock.
     Serve(f64),
     /// The newest decision, for the log.
-    Decided(Decision),
+    Decided(PolicyDecision),
 }
 
 /// How a member stands, for its operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct ParticipantStatus {
     /// What it runs.
     pub version: u64,
     /// What is decided, as far as is known here.
-    pub decision: Decision,
+    pub decision: PolicyDecision,
     /// Its epoch.
     pub epoch: u64,
     /// Whether it holds what comes in.
@@ -50,16 +50,16 @@
 
 /// The part.
 pub struct Participant {
-    rules: Rules,
+    rules: RolloutSettings,
     /// The newest decision, and its epoch.
-    decision: Decision,
+    decision: PolicyDecision,
     epoch: u64,
     /// What it runs; none before it knows.
-    runs: Option<Policy>,
+    runs: Option<PolicyVersion>,
     /// The staged version that was handed to the disk, and to the check.
-    saved: Option<(Hash, bool)>,
+    saved: Option<(DocumentHash, bool)>,
     checked: Option<(u64, Option<String>)>,
-    hold: Option<Hold>,
+    hold: Option<Pause>,
     /// The fronts have said that they hold.
     holds: bool,
     until: f64,
@@ -68,21 +68,21 @@
     /// The leader that it knew last.
     leader: Option<fleet::MemberId>,
     tells: f64,
-    wants: Option<Policy>,
+    wants: Option<PolicyVersion>,
     /// It leaves: whether it goes on serving, and whether the leader knows.
     leaves: Option<bool>,
     left: bool,
     /// The newest hold or release of a leader: older ones change nothing.
-    latest: Option<Hold>,
+    latest: Option<Pause>,
     effects: Vec<Effect>,
 }
 
 impl Participant {
     /// A member that knows nothing yet, and serves nothing.
-    pub fn new(rules: Rules) -> Participant {
+    pub fn new(rules: RolloutSettings) -> Participant {
         Participant {
             rules,
-            decision: Decision::default(),
+            decision: PolicyDecision::default(),
             epoch: 0,
             runs: None,
             saved: None,
@@ -103,12 +103,18 @@
     }
 
     /// What is to be done since the last call, in order.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     /// The operator's file has this version, in this document.
-    pub fn wants(&mut self, now: f64, node: &mut Node, version: u64, bytes: &[u8]) -> Result<(), String> {
+    pub fn propose(
+        &mut self,
+        now: f64,
+        node: &mut FleetNode,
+        version: u64,
+        bytes: &[u8],
+    ) -> Result<(), String> {
         if version <= self.decision.highest {
             // Its own newest file, read again, is no news.
             let known = self.decision.policy.hash == fleet::hash(bytes);
@@ -120,8 +126,8 @@
                 Err(format!("version {version} {what}: a higher one is needed"))
             };
         }
-        let hash = node.keep(bytes).ok_or("the policy is too long: 256 KiB at most")?;
-        self.wants = Some(Policy { version, hash });
+        let hash = node.store_document(bytes).ok_or("the policy is too long: 256 KiB at most")?;
+        self.wants = Some(PolicyVersion { version, hash });
         self.tells = now;
         Ok(())
     }
@@ -137,7 +143,7 @@
     }
 
     /// Does what is due. Gives what is for the leader, where that is this node itself.
-    pub(super) fn tick(&mut self, now: f64, node: &mut Node) {
+    pub(super) fn tick(&mut self, now: f64, node: &mut FleetNode) {
         self.follow(now, node);
         // A new leader is asked for a lease at once: it does not know of the one that is held.
         let replaced = self.leader != node.leader();
@@ -171,14 +177,14 @@
     }
 
     /// Follows the newest decision that the node knows.
-    pub(super) fn follow(&mut self, now: f64, node: &mut Node) {
-        let (epoch, body) = node.newest(TOPIC);
+    pub(super) fn follow(&mut self, now: f64, node: &mut FleetNode) {
+        let (epoch, body) = node.newest_decision(TOPIC);
         if epoch > self.epoch {
-            let decision = Decision::decode(body);
+            let decision = PolicyDecision::decode(body);
             if decision.staged != self.decision.staged {
                 (self.saved, self.checked) = (None, None);
                 if let Some(old) = self.decision.staged.filter(|old| old.hash != decision.policy.hash) {
-                    node.forget(&old.hash);
+                    node.cancel_document_request(&old.hash);
                 }
             }
             (self.epoch, self.decision, self.tells) = (epoch, decision, now);
@@ -220,7 +226,7 @@
     }
 
     /// A document is on disk, or could not be written: without it nothing is said yes to.
-    pub fn saved(&mut self, hash: Hash, error: Option<String>) {
+    pub fn on_saved(&mut self, hash: DocumentHash, error: Option<String>) {
         if let Some(staged) = self.decision.staged.filter(|staged| staged.hash == hash) {
             match error {
                 None => self.saved = Some((hash, true)),
@@ -230,7 +236,7 @@
     }
 
     /// What is staged was checked: nothing, or why it cannot be.
-    pub fn checked(&mut self, now: f64, version: u64, error: Option<String>) {
+    pub fn on_checked(&mut self, now: f64, version: u64, error: Option<String>) {
         let ours = self.decision.staged.is_some_and(|staged| staged.version == version);
         let written = self.saved.is_some_and(|(_, written)| written);
         if ours && (written || error.is_some()) && self.checked.is_none() {
@@ -240,7 +246,7 @@
     }
 
     /// The fronts hold what comes in.
-    pub fn holding(&mut self, now: f64, hold: Hold) {
+    pub fn on_paused(&mut self, now: f64, hold: Pause) {
         if self.hold == Some(hold) {
             self.holds = true;
             self.tells = now;
@@ -254,19 +260,19 @@
                 let Some(&(_, sent)) = self.asked.iter().find(|asked| asked.0 == nonce) else { return };
                 // What was granted for a newer decision than the one that runs here does not count.
                 let carried_out = self.epoch >= epoch && self.runs == Some(self.decision.policy);
-                let until = sent + f64::from(lasts).min(self.rules.lease);
+                let until = sent + f64::from(lasts).min(self.rules.lease_ms);
                 if carried_out && until > self.until && until > now {
                     self.until = until;
                     self.effects.push(Effect::Serve(until));
                 }
             }
-            Message::Hold(hold) if self.latest.is_none_or(|latest| hold > latest) => {
+            Message::Pause(hold) if self.latest.is_none_or(|latest| hold > latest) => {
                 self.latest = Some(hold);
                 let ours = self.decision.staged.is_some_and(|staged| staged.version == hold.version);
                 // One that comes before the news of what is staged is sent again.
                 if ours && self.checked == Some((hold.version, None)) {
                     (self.hold, self.holds) = (Some(hold), false);
-                    self.effects.push(Effect::Hold(hold));
+                    self.effects.push(Effect::Pause(hold));
                 } else {
                     self.latest = None;
                 }
@@ -274,13 +280,13 @@
             Message::Resume(hold) if self.hold == Some(hold) => self.release(),
             Message::Resume(hold) => self.latest = self.latest.max(Some(hold)),
             Message::Left => self.left = self.leaves.is_some(),
-            Message::Hold(_) | Message::LeaseRequest(_) | Message::Leave { .. } => {}
+            Message::Pause(_) | Message::LeaseRequest(_) | Message::Leave { .. } => {}
         }
     }
 
     /// How it stands.
-    pub fn standing(&self) -> Standing {
-        Standing {
+    pub fn status(&self) -> ParticipantStatus {
+        ParticipantStatus {
             version: self.runs.map_or(0, |policy| policy.version),
             decision: self.decision.clone(),
             epoch: self.epoch,
@@ -292,11 +298,11 @@
 }
 
 /// A document, which is asked for where it is not here.
-fn document(now: f64, node: &mut Node, hash: &Hash) -> Option<Vec<u8>> {
+fn document(now: f64, node: &mut FleetNode, hash: &DocumentHash) -> Option<Vec<u8>> {
     let document = node.document(hash);
     if document.is_none() {
         // The leader had it before it staged it.
-        node.want(now, *hash, node.leader());
+        node.request_document(now, *hash, node.leader());
     }
     document.map(|bytes| bytes.to_vec())
 }
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -7,8 +7,8 @@
 
 use super::*;
 use crate::consensus::{Write, file};
-use crate::control_plane::{self, Shared};
-use crate::fleet::{MemberId as At, Place};
+use crate::control_plane::{self, ControlPlane};
+use crate::fleet::{MemberConfig, MemberId as At};
 
 const MEMBERS: usize = 5;
 const LEASE: f64 = 2000.0;
@@ -25,7 +25,7 @@
 
 struct World {
     now: f64,
-    nodes: BTreeMap<At, Shared>,
+    nodes: BTreeMap<At, ControlPlane>,
     fronts: BTreeMap<At, Front>,
     frozen: BTreeSet<At>,
     disks: BTreeMap<At, Vec<u8>>,
@@ -80,15 +80,27 @@
     }
 
     fn start(&mut self, own: At) {
-        let places = (0..MEMBERS).map(|at| Place { zone: 0, voter: at < 3 }).collect();
-        let (session, seed) = (self.now as u64, self.draws.u64(..));
-        let fleet = fleet::Setup { cluster: "test".into(), generation: 1, places, own, session, seed };
-        let rollout = Some(Rules { lease: LEASE, hold: 400.0 });
-        let setup = control_plane::Setup { fleet, zones: 1, rules: crate::zones::Rules::default(), rollout };
+        let places = (0..MEMBERS).map(|at| MemberConfig { zone: 0, is_voter: at < 3 }).collect();
+        let (incarnation, seed) = (self.now as u64, self.draws.u64(..));
+        let fleet = fleet::NodeConfig {
+            cluster: "test".into(),
+            generation: 1,
+            members: places,
+            own,
+            incarnation,
+            seed,
+        };
+        let rollout = Some(RolloutSettings { lease_ms: LEASE, pause_ms: 400.0 });
+        let setup = control_plane::ControlPlaneConfig {
+            fleet,
+            zones: 1,
+            failover: crate::zones::FailoverSettings::default(),
+            rollout,
+        };
         let kept = self.disks.get(&own).map(|bytes| file::read(bytes, 1).unwrap().0).unwrap_or_default();
-        let mut node = Shared::new(setup, kept, self.now).unwrap();
+        let mut node = ControlPlane::new(setup, kept, self.now).unwrap();
         for document in self.documents.get(&own).into_iter().flatten() {
-            node.policy(self.now, |_, node| node.keep(document));
+            node.with_participant(self.now, |_, node| node.store_document(document));
         }
         self.nodes.insert(own, node);
         self.fronts.insert(own, Front::default());
@@ -113,7 +125,8 @@
     fn want(&mut self, at: At, version: u64) -> Result<(), String> {
         let now = self.now;
         let node = self.nodes.get_mut(&at).unwrap();
-        node.policy(now, |member, node| member.wants(now, node, version, &policy(version))).unwrap()
+        node.with_participant(now, |member, node| member.propose(now, node, version, &policy(version)))
+            .unwrap()
     }
 
     fn step(&mut self) {
@@ -129,7 +142,7 @@
             // A front serves between any two things that its node does.
             self.serve(at);
             self.nodes.get_mut(&at).unwrap().tick(now, 0, |_| (0, 0));
-            for effect in self.nodes.get_mut(&at).unwrap().effects() {
+            for effect in self.nodes.get_mut(&at).unwrap().take_effects() {
                 self.carry_out(at, effect);
             }
             self.serve(at);
@@ -177,7 +190,7 @@
                     Write::Append(bytes) => self.disks.entry(at).or_default().extend(bytes),
                     Write::Replace(bytes) => drop(self.disks.insert(at, bytes)),
                 }
-                return self.nodes.get_mut(&at).unwrap().written(now, true);
+                return self.nodes.get_mut(&at).unwrap().on_written(now, true);
             }
             control_plane::Effect::Zones(_) => return,
         };
@@ -185,16 +198,16 @@
         match effect {
             Effect::Save(hash, bytes) => {
                 self.documents.entry(at).or_default().push(bytes);
-                node.policy(now, |member, _| member.saved(hash, None));
+                node.with_participant(now, |member, _| member.on_saved(hash, None));
             }
             Effect::Check(policy, bytes) => {
                 assert!(bytes.starts_with(format!("version = {}\n", policy.version).as_bytes()));
                 let no = self.refuse.contains(&(at, policy.version)).then(|| "line 3: no such".to_string());
-                node.policy(now, |member, _| member.checked(now, policy.version, no));
+                node.with_participant(now, |member, _| member.on_checked(now, policy.version, no));
             }
-            Effect::Hold(hold) => {
+            Effect::Pause(hold) => {
                 (front.holds, front.since) = (true, now);
-                node.policy(now, |member, _| member.holding(now, hold));
+                node.with_participant(now, |member, _| member.on_paused(now, hold));
             }
             Effect::Release => {
                 self.pauses.push(now - front.since);
@@ -234,7 +247,7 @@
     }
 
     fn leader(&self) -> At {
-        *self.nodes.iter().find(|(at, n)| n.node().leads() && !self.frozen.contains(at)).unwrap().0
+        *self.nodes.iter().find(|(at, n)| n.node().is_leader() && !self.frozen.contains(at)).unwrap().0
     }
 }
 
@@ -404,7 +417,7 @@
 fn replaced(seed: u64, serves: bool) -> f64 {
     let mut world = calm(seed);
     let now = world.now;
-    world.nodes.get_mut(&4).unwrap().policy(now, |member, _| member.leave(now, serves));
+    world.nodes.get_mut(&4).unwrap().with_participant(now, |member, _| member.leave(now, serves));
     world.until(400.0, "the leader knows", |w| w.nodes[&4].has_left(w.now) && w.fronts[&4].until > w.now);
     world.kill(4);
     world.start(4);
--- a/src/rollout/wire_tests.rs
+++ b/src/rollout/wire_tests.rs
@@ -1,16 +1,16 @@
 //! Guards the form of what dispatchers send one another about changes of policy, and of what is decided of them.
 
-use super::{Decision, Hold, LeaseRequest, Message, Outcome, Policy};
+use super::{ChangeOutcome, LeaseRequest, Message, Pause, PolicyDecision, PolicyVersion};
 use crate::consensus::LeaderTerm;
 use crate::wire_fixture::assert_bytes;
 
-fn policy(version: u64) -> Policy {
-    Policy { version, hash: [version as u8; 32] }
+fn policy(version: u64) -> PolicyVersion {
+    PolicyVersion { version, hash: [version as u8; 32] }
 }
 
-fn hold() -> Hold {
+fn hold() -> Pause {
     let term: LeaderTerm = postcard::from_bytes(&[3, 2, 200, 1]).unwrap();
-    Hold { term, attempt: 4, version: 9 }
+    Pause { term, attempt: 4, version: 9 }
 }
 
 #[test]
@@ -27,7 +27,7 @@
         ("rollout.lease_request", Message::LeaseRequest(request)),
         ("rollout.lease_request_bare", Message::LeaseRequest(bare)),
         ("rollout.lease_grant", Message::LeaseGrant { nonce: 300, lasts: 1900, epoch: 5 }),
-        ("rollout.hold", Message::Hold(hold())),
+        ("rollout.hold", Message::Pause(hold())),
         ("rollout.resume", Message::Resume(hold())),
         ("rollout.leave", Message::Leave { serves: true }),
         ("rollout.left", Message::Left),
@@ -39,8 +39,9 @@
 
 #[test]
 fn a_decision_keeps_its_form() {
-    let last = Outcome { version: 8, in_force: false, reason: "why".into() };
-    let decision = Decision { policy: policy(7), staged: Some(policy(9)), highest: 9, last: Some(last) };
+    let last = ChangeOutcome { version: 8, in_force: false, reason: "why".into() };
+    let decision =
+        PolicyDecision { policy: policy(7), staged: Some(policy(9)), highest: 9, last: Some(last) };
     assert_bytes("rollout.decision", &decision.encode());
-    assert_eq!(Decision::decode(&decision.encode()), decision);
+    assert_eq!(PolicyDecision::decode(&decision.encode()), decision);
 }
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -13,39 +13,42 @@
 mod zone_failover;
 mod zone_view;
 
-pub use failover_controller::{Decider, Rules};
-pub use health_reports::{Digest, End, Evidence, FRESH, STEP, Seen, Sight, Source, Tally, Verdict};
-pub use zone_failover::{Decided, Effect, Zones};
-pub use zone_view::{Follower, Gate, Standing, View};
+pub use failover_controller::{FailoverController, FailoverSettings};
+pub use health_reports::{
+    AttemptResult, DIGEST_LIFETIME_MS, Digest, HealthReports, MemberId, OutcomeCounter, WINDOW_STEP_MS,
+    ZoneHealth, ZoneSample, ZoneSummary,
+};
+pub use zone_failover::{Effect, TableChange, ZoneFailover};
+pub use zone_view::{AdmissionShare, AgreementStatus, ZoneView, ZoneViewTracker};
 
 use serde::{Deserialize, Serialize};
 
 /// The consensus's topic of zones.
 pub const TOPIC: u8 = 1;
 /// Most zones of a fleet.
-pub const MOST_ZONES: usize = 64;
+pub const MAX_ZONES: usize = 64;
 /// A whole share.
-pub const WHOLE: u16 = 1000;
+pub const FULL_SHARE: u16 = 1000;
 
 /// What a zone may get.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum ZoneState {
     /// All.
     #[default]
     Open,
     /// A share: some find it failing.
-    Careful,
+    Degraded,
     /// Nothing.
     Closed,
     /// A share that rises.
-    Returning,
+    Recovering,
 }
 
 /// What is decided of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Zone {
+pub struct ZoneDecision {
     /// Its state.
-    pub state: State,
+    pub state: ZoneState,
     /// What of its usual work it may get.
     pub share: u16,
     /// How it stands among the zones that take what others cannot: by its free capacity.
@@ -55,26 +58,33 @@
     /// How often it was closed of late: each time it stays closed longer.
     pub closings: u8,
     /// Whether it has room for all that its dispatchers are asked for, so that they need not cross its border.
-    pub near: bool,
+    pub local_only: bool,
 }
 
-impl Default for Zone {
-    fn default() -> Zone {
-        Zone { state: State::Open, share: WHOLE, weight: WHOLE, admit: WHOLE, closings: 0, near: true }
+impl Default for ZoneDecision {
+    fn default() -> ZoneDecision {
+        ZoneDecision {
+            state: ZoneState::Open,
+            share: FULL_SHARE,
+            weight: FULL_SHARE,
+            admit: FULL_SHARE,
+            closings: 0,
+            local_only: true,
+        }
     }
 }
 
 /// A decision: all zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Table {
+pub struct ZoneTable {
     /// The zones, in the order of the operator's file.
-    pub zones: Vec<Zone>,
+    pub zones: Vec<ZoneDecision>,
 }
 
-impl Table {
+impl ZoneTable {
     /// All open.
-    pub fn open(zones: usize) -> Table {
-        Table { zones: vec![Zone::default(); zones.min(MOST_ZONES)] }
+    pub fn open(zones: usize) -> ZoneTable {
+        ZoneTable { zones: vec![ZoneDecision::default(); zones.min(MAX_ZONES)] }
     }
 
     /// Its bytes, as the consensus carries it.
@@ -84,9 +94,9 @@
     }
 
     /// Reads it back; none where it is not of so many zones or has shares that cannot be.
-    pub fn decode(bytes: &[u8], zones: usize) -> Option<Table> {
-        let (table, rest) = postcard::take_from_bytes::<Table>(bytes).ok()?;
-        let fits = |zone: &Zone| zone.share.max(zone.weight).max(zone.admit) <= WHOLE;
+    pub fn decode(bytes: &[u8], zones: usize) -> Option<ZoneTable> {
+        let (table, rest) = postcard::take_from_bytes::<ZoneTable>(bytes).ok()?;
+        let fits = |zone: &ZoneDecision| zone.share.max(zone.weight).max(zone.admit) <= FULL_SHARE;
         (rest.is_empty() && table.zones.len() == zones && table.zones.iter().all(fits)).then_some(table)
     }
 }
--- a/src/zones/zone_failover.rs
+++ b/src/zones/zone_failover.rs
@@ -3,33 +3,36 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Decider, Digest, Evidence, Follower, Rules, Seen, Sight, TOPIC, Table, Tally, View};
-use crate::fleet::{MemberId, Node};
+use super::{
+    Digest, FailoverController, FailoverSettings, HealthReports, OutcomeCounter, TOPIC, ZoneSample,
+    ZoneSummary, ZoneTable, ZoneView, ZoneViewTracker,
+};
+use crate::fleet::{FleetNode, MemberId};
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// What the zones may get has changed.
-    View(View),
+    View(ZoneView),
     /// A decision was read that is newer than any before.
-    Decided(Decided),
+    Decided(TableChange),
 }
 
 /// A decision that was read, and how it came about as far as is known here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Decided {
+pub struct TableChange {
     /// Its epoch.
     pub epoch: u64,
     /// What it says.
-    pub table: Table,
+    pub table: ZoneTable,
     /// The voter that leads, as a member.
     pub leader: Option<MemberId>,
     /// Whether this node proposed it.
-    pub own: bool,
+    pub is_own: bool,
     /// The members whose votes are known to have carried its leader; at the leader alone.
     pub voters: Vec<MemberId>,
     /// What the fleet's dispatchers saw of each zone, at a voter.
-    pub sights: Vec<Sight>,
+    pub summaries: Vec<ZoneSummary>,
 }
 
 /// Voters that do not lead get one digest in so many: within the time for which one counts.
@@ -40,27 +43,33 @@
 pub(super) struct DigestMessage(pub(super) Digest);
 
 /// The part.
-pub struct Zones {
+pub struct ZoneFailover {
     count: usize,
-    rules: Rules,
-    tally: Tally,
-    evidence: Evidence,
-    follower: Follower,
-    decider: Option<Decider>,
+    rules: FailoverSettings,
+    tally: OutcomeCounter,
+    evidence: HealthReports,
+    follower: ZoneViewTracker,
+    decider: Option<FailoverController>,
     last_proposed: u64,
-    view: Option<View>,
+    view: Option<ZoneView>,
     effects: Vec<Effect>,
 }
 
-impl Zones {
+impl ZoneFailover {
     /// The part of a member of this zone, among so many.
-    pub fn new(home: usize, count: usize, rules: Rules, session: u64, now: f64) -> Zones {
-        Zones {
+    pub fn new(
+        home: usize,
+        count: usize,
+        rules: FailoverSettings,
+        incarnation: u64,
+        now: f64,
+    ) -> ZoneFailover {
+        ZoneFailover {
             count,
             rules,
-            tally: Tally::new(home as u16, count, session, now),
-            evidence: Evidence::default(),
-            follower: Follower::new(home, count, rules, now),
+            tally: OutcomeCounter::new(home as u16, count, incarnation, now),
+            evidence: HealthReports::default(),
+            follower: ZoneViewTracker::new(home, count, rules, now),
             decider: None,
             last_proposed: 0,
             view: None,
@@ -69,69 +78,69 @@
     }
 
     /// What the dispatcher's own work adds to the evidence.
-    pub fn tally(&mut self) -> &mut Tally {
+    pub fn outcome_counter(&mut self) -> &mut OutcomeCounter {
         &mut self.tally
     }
 
     /// What is to be done since the last call, in order.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     /// Does what is due; `open` requests are open with the dispatcher, and `there` tells of a zone what is out there
     /// and how many slots are listed.
-    pub fn tick(&mut self, now: f64, node: &mut Node, open: usize, there: impl Fn(usize) -> (u16, u16)) {
+    pub fn tick(&mut self, now: f64, node: &mut FleetNode, open: usize, there: impl Fn(usize) -> (u16, u16)) {
         self.follow(now, node);
-        if !self.tally.roll(now) {
+        if !self.tally.advance(now) {
             return;
         }
-        let digest = self.tally.digest(open, &there);
+        let digest = self.tally.next_digest(open, &there);
         self.send_digest(now, node, digest);
         self.decide(now, node);
-        let seen = self.tally.seen(&there);
+        let seen = self.tally.samples(&there);
         self.look(now, &seen);
     }
 
     /// A message of another member. False where it is none that this part can take.
-    pub fn receive(&mut self, now: f64, node: &Node, from: MemberId, bytes: &[u8]) -> bool {
+    pub fn receive(&mut self, now: f64, node: &FleetNode, from: MemberId, bytes: &[u8]) -> bool {
         let Ok((DigestMessage(digest), [])) = postcard::take_from_bytes(bytes) else { return false };
-        let home = node.places().get(usize::from(from)).map(|place| place.zone);
-        let fits = node.votes().is_some() && home == Some(usize::from(digest.zone));
-        fits && self.evidence.hear(now, from, digest, self.count)
+        let home = node.members().get(usize::from(from)).map(|place| place.zone);
+        let fits = node.is_voting().is_some() && home == Some(usize::from(digest.zone));
+        fits && self.evidence.record(now, from, digest, self.count)
     }
 
     /// Follows the newest decision that the node knows.
-    pub fn follow(&mut self, now: f64, node: &Node) {
-        let (epoch, body) = node.newest(TOPIC);
+    pub fn follow(&mut self, now: f64, node: &FleetNode) {
+        let (epoch, body) = node.newest_decision(TOPIC);
         let known = self.follower.newest().0;
-        let table = if epoch > known { Table::decode(body, self.count) } else { None };
+        let table = if epoch > known { ZoneTable::decode(body, self.count) } else { None };
         let (term, _) = node.term();
-        if !self.follower.news(now, epoch, table, term) {
+        if !self.follower.on_update(now, epoch, table, term) {
             return;
         }
         let (epoch, table) = self.follower.newest();
-        self.effects.push(Effect::Decided(Decided {
+        self.effects.push(Effect::Decided(TableChange {
             epoch,
             table: table.clone(),
             leader: node.leader(),
-            own: self.last_proposed == epoch,
+            is_own: self.last_proposed == epoch,
             voters: node.followers(),
-            sights: self.sights(now, node),
+            summaries: self.summaries(now, node),
         }));
     }
 
     /// What the fleet's dispatchers saw of each zone; nothing where it is no voter.
-    pub fn sights(&self, now: f64, node: &Node) -> Vec<Sight> {
-        let zones = if node.votes().is_some() { self.count } else { 0 };
-        (0..zones).map(|zone| self.evidence.sight(now, zone)).collect()
+    pub fn summaries(&self, now: f64, node: &FleetNode) -> Vec<ZoneSummary> {
+        let zones = if node.is_voting().is_some() { self.count } else { 0 };
+        (0..zones).map(|zone| self.evidence.summary(now, zone)).collect()
     }
 
     /// Sends its sums to the voters, itself among them: to the leader each time, and to the others now and then, so that
     /// one of them that begins to lead knows what was seen lately.
-    fn send_digest(&mut self, now: f64, node: &mut Node, digest: Digest) {
+    fn send_digest(&mut self, now: f64, node: &mut FleetNode, digest: Digest) {
         let number = digest.number;
-        if node.votes().is_some() {
-            self.evidence.hear(now, node.own(), digest.clone(), self.count);
+        if node.is_voting().is_some() {
+            self.evidence.record(now, node.own(), digest.clone(), self.count);
         }
         // Into a vector nothing can fail to fit.
         let bytes = postcard::to_stdvec(&DigestMessage(digest)).unwrap_or_default();
@@ -146,24 +155,24 @@
     }
 
     /// As the leader, proposes what the evidence asks for.
-    fn decide(&mut self, now: f64, node: &mut Node) {
-        if !node.leads() {
+    fn decide(&mut self, now: f64, node: &mut FleetNode) {
+        if !node.is_leader() {
             self.decider = None;
             return;
         }
         let (epoch, table) = self.follower.newest();
-        let decider = self.decider.get_or_insert_with(|| Decider::new(self.rules, now, table));
+        let decider = self.decider.get_or_insert_with(|| FailoverController::new(self.rules, now, table));
         // A zone is cut off for the others only where half of its dispatchers are not there either.
         let gone: Vec<bool> = (0..self.count)
             .map(|zone| {
-                let here = || node.places().iter().zip(node.up()).filter(|(place, _)| place.zone == zone);
+                let here = || node.members().iter().zip(node.alive()).filter(|(place, _)| place.zone == zone);
                 let down = here().filter(|(_, up)| !**up).count();
                 here().count() > 0 && down * 2 >= here().count()
             })
             .collect();
         // What the node knows may be newer than what is followed here; then it is looked at first.
-        if let Some(next) = decider.decide(now, table, &self.evidence, &gone)
-            && node.newest(TOPIC).0 == epoch
+        if let Some(next) = decider.next_table(now, table, &self.evidence, &gone)
+            && node.newest_decision(TOPIC).0 == epoch
             && node.propose(now, TOPIC, next.encode())
         {
             self.last_proposed = epoch + 1;
@@ -172,8 +181,8 @@
     }
 
     /// What the dispatcher is to do by now.
-    fn look(&mut self, now: f64, seen: &[Seen]) {
-        let view = self.follower.view(now, seen);
+    fn look(&mut self, now: f64, seen: &[ZoneSample]) {
+        let view = self.follower.update(now, seen);
         if self.view.as_ref() != Some(view) {
             self.view = Some(view.clone());
             self.effects.push(Effect::View(view.clone()));
@@ -181,12 +190,12 @@
     }
 
     /// The newest epoch and its table.
-    pub fn newest(&self) -> (u64, &Table) {
+    pub fn newest(&self) -> (u64, &ZoneTable) {
         self.follower.newest()
     }
 
     /// What the dispatcher is to do; none before the first look.
-    pub fn view(&self) -> Option<&View> {
+    pub fn view(&self) -> Option<&ZoneView> {
         self.view.as_ref()
     }
 }
