--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -96,7 +96,7 @@
 impl Core {
     /// A core with an empty server table that holds so many sessions at most.
     pub fn new(site: Site, seed: u64, clock: Clock, limit: usize) -> Core {
-        let lanes = site.grades.iter().map(|g| g.name.clone()).collect();
+        let lanes = site.client_classes.iter().map(|g| g.name.clone()).collect();
         Core {
             telemetry: Telemetry::new(lanes),
             router: Router::new(site.settings.clone(), seed),
@@ -124,7 +124,7 @@
     /// other names take a restart.
     pub fn check_compatible(&self, site: &Site) -> Result<(), String> {
         let kinds = |site: &Site| site.settings.classes.iter().map(|c| c.kind).collect::<Vec<_>>();
-        let grades = |site: &Site| site.grades.iter().map(|g| g.name.clone()).collect::<Vec<_>>();
+        let grades = |site: &Site| site.client_classes.iter().map(|g| g.name.clone()).collect::<Vec<_>>();
         let same = grades(site) == grades(&self.site) && kinds(site) == kinds(&self.site);
         if !same || (&site.kinds, &site.zones) != (&self.site.kinds, &self.site.zones) {
             return Err("other `grades`, `kinds` or `zones` take a restart".into());
--- a/src/frontend/console/mod.rs
+++ b/src/frontend/console/mod.rs
@@ -33,25 +33,25 @@
 
 /// What came on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ParsedCall {
     /// A call.
     Call(Call),
     /// Something that is no call; the reason goes back after `NAK`.
     Wrong(&'static str),
 }
 
-impl Heard {
+impl ParsedCall {
     /// Reads one line, without its end.
-    pub fn read(line: &[u8]) -> Heard {
-        let Ok(line) = std::str::from_utf8(line) else { return Heard::Wrong("not UTF-8") };
+    pub fn read(line: &[u8]) -> ParsedCall {
+        let Ok(line) = std::str::from_utf8(line) else { return ParsedCall::Wrong("not UTF-8") };
         match line.trim() {
-            "readyz" => Heard::Call(Call::Readyz),
-            "telemetry" => Heard::Call(Call::Telemetry),
-            "evacuate" => Heard::Call(Call::Evacuate),
-            "activate" => Heard::Call(Call::Activate),
-            "policy" => Heard::Call(Call::Policy),
-            "" => Heard::Wrong("empty call"),
-            _ => Heard::Wrong("unknown call"),
+            "readyz" => ParsedCall::Call(Call::Readyz),
+            "telemetry" => ParsedCall::Call(Call::Telemetry),
+            "evacuate" => ParsedCall::Call(Call::Evacuate),
+            "activate" => ParsedCall::Call(Call::Activate),
+            "policy" => ParsedCall::Call(Call::Policy),
+            "" => ParsedCall::Wrong("empty call"),
+            _ => ParsedCall::Wrong("unknown call"),
         }
     }
 }
@@ -87,7 +87,7 @@
     }
 
     /// When to look next at callers that take too long.
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         self.callers.values().map(|c| c.due).fold(f64::INFINITY, f64::min)
     }
 
@@ -124,22 +124,22 @@
         let bytes = conn.rx.bytes();
         let end = bytes.iter().take(LINE).position(|&b| b == b'\n');
         let heard = match end {
-            Some(end) => Some(Heard::read(&bytes[..end])),
-            None if bytes.len() >= LINE => Some(Heard::Wrong("line too long")),
+            Some(end) => Some(ParsedCall::read(&bytes[..end])),
+            None if bytes.len() >= LINE => Some(ParsedCall::Wrong("line too long")),
             None if conn.broken || conn.eof && bytes.is_empty() => {
                 self.drop(net, id);
                 return None;
             }
-            None if conn.eof => Some(Heard::Wrong("no line end")),
+            None if conn.eof => Some(ParsedCall::Wrong("no line end")),
             None => None,
         };
         let unread = conn.rx.len();
         match heard? {
-            Heard::Call(call) => {
+            ParsedCall::Call(call) => {
                 conn.rx.consume(unread);
                 Some(call)
             }
-            Heard::Wrong(reason) => {
+            ParsedCall::Wrong(reason) => {
                 conn.rx.consume(unread);
                 self.answer(net, id, now, &format!("NAK {reason}\n"));
                 None
@@ -181,12 +181,12 @@
     /// Guards the calls' words and that what is not a call is named as such, never taken for one.
     #[test]
     fn lines_read_as_calls() {
-        assert_eq!(Heard::read(b"readyz"), Heard::Call(Call::Readyz));
-        assert_eq!(Heard::read(b"telemetry\r"), Heard::Call(Call::Telemetry));
-        assert_eq!(Heard::read(b" evacuate "), Heard::Call(Call::Evacuate));
-        assert_eq!(Heard::read(b"activate"), Heard::Call(Call::Activate));
-        assert_eq!(Heard::read(b"exclude h1"), Heard::Wrong("unknown call"));
-        assert_eq!(Heard::read(b""), Heard::Wrong("empty call"));
-        assert_eq!(Heard::read(&[0xff, 0xfe]), Heard::Wrong("not UTF-8"));
+        assert_eq!(ParsedCall::read(b"readyz"), ParsedCall::Call(Call::Readyz));
+        assert_eq!(ParsedCall::read(b"telemetry\r"), ParsedCall::Call(Call::Telemetry));
+        assert_eq!(ParsedCall::read(b" evacuate "), ParsedCall::Call(Call::Evacuate));
+        assert_eq!(ParsedCall::read(b"activate"), ParsedCall::Call(Call::Activate));
+        assert_eq!(ParsedCall::read(b"exclude h1"), ParsedCall::Wrong("unknown call"));
+        assert_eq!(ParsedCall::read(b""), ParsedCall::Wrong("empty call"));
+        assert_eq!(ParsedCall::read(&[0xff, 0xfe]), ParsedCall::Wrong("not UTF-8"));
     }
 }
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -56,17 +56,17 @@
 }
 
 /// What a call has brought.
-pub enum Heard {
+pub enum DiscoveryUpdate {
     /// Lines, and whether they are the whole list.
     List(Vec<ListedEndpoint>, bool),
     /// It failed. The module says when to call again.
     Failed,
 }
 
-impl Heard {
+impl DiscoveryUpdate {
     /// Tells a core, and gives the servers that were started again, or have moved: their old connections are gone.
     pub fn tell(self, core: &mut Core) -> Vec<EndpointId> {
-        let Heard::List(lines, whole) = self else {
+        let DiscoveryUpdate::List(lines, whole) = self else {
             core.on_list_failed();
             return Vec::new();
         };
@@ -117,7 +117,7 @@
     }
 
     /// When `tick` is to be called next.
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         match self.watch {
             Watch::Off => f64::INFINITY,
             Watch::Calling { until, .. } | Watch::Pausing { until } => until,
@@ -126,7 +126,7 @@
 
     /// Calls discovery, unless a call was begun just now. One that has waited for a while is begun anew, on a new
     /// connection: the old one may have fallen silent.
-    pub fn call(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<Heard> {
+    pub fn call(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
         if let Watch::Calling { since, .. } = self.watch {
             // A call that is given up takes discovery's time all the same: many would only make the line longer.
             if now < since + FRESH || settings.is_large_fleet() {
@@ -152,7 +152,13 @@
     }
 
     /// Asks for what is newer than the version held, and lets the call wait so long for it.
-    fn ask(&mut self, net: &mut Sockets, now: f64, wait: f64, settings: &Settings) -> Option<Heard> {
+    fn ask(
+        &mut self,
+        net: &mut Sockets,
+        now: f64,
+        wait: f64,
+        settings: &Settings,
+    ) -> Option<DiscoveryUpdate> {
         let waits = wait > 0.0;
         let takes = match (settings.must_subscribe, waits) {
             (false, _) => AGENT_SILENT,
@@ -182,7 +188,7 @@
     }
 
     /// Its connection can be read, or broke.
-    pub fn ready(&mut self, net: &mut Sockets, now: f64, site: &Site) -> Option<Heard> {
+    pub fn ready(&mut self, net: &mut Sockets, now: f64, site: &Site) -> Option<DiscoveryUpdate> {
         let conn = self.conn.and_then(|id| net.conn(id))?;
         conn.pump();
         let ended = conn.eof || conn.broken;
@@ -212,7 +218,7 @@
                     Ok((seq, lines, whole)) => {
                         self.seq = Some(seq);
                         self.watch = Watch::Pausing { until: now + PAUSE };
-                        Some(Heard::List(lines, whole))
+                        Some(DiscoveryUpdate::List(lines, whole))
                     }
                     Err(e) => {
                         crate::say(format_args!("discovery's answer does not read: {e}"));
@@ -245,7 +251,7 @@
         now: f64,
         told: Option<SocketAddr>,
         settings: &Settings,
-    ) -> Option<Heard> {
+    ) -> Option<DiscoveryUpdate> {
         let address = told.filter(|_| told != self.told)?;
         self.hang_up(net);
         let watch = Watch::Pausing { until: now };
@@ -261,18 +267,18 @@
     }
 
     /// The module says when to call again, but for an agent, which is asked again at once.
-    fn failed(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<Heard> {
+    fn failed(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
         self.hang_up(net);
         if !settings.must_subscribe {
             self.watch = Watch::Pausing { until: now + AGENT_PAUSE };
             return None;
         }
         self.watch = Watch::Off;
-        Some(Heard::Failed)
+        Some(DiscoveryUpdate::Failed)
     }
 
     /// Does what is due by now.
-    pub fn tick(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<Heard> {
+    pub fn tick(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
         match self.watch {
             // Guards against a watch that has fallen silent and is missed only when the module calls again: it is
             // asked anew at once, on a new connection. Watches of many end at unlike times, so that this is no rush.
--- a/src/frontend/fleet/mod.rs
+++ b/src/frontend/fleet/mod.rs
@@ -16,7 +16,7 @@
 
 pub use config::{Config, ConfigError, FleetTable, Rollout, RolloutTable};
 
-use super::http::Platform;
+use super::http::HttpFrontend;
 use super::{Gateway, Sockets};
 use crate::core::{Clock, Core, TrafficEvent};
 use crate::fleet::TICK_MS;
@@ -132,7 +132,7 @@
     }
 
     /// Has a front carry an order out, and tells the thread what came of it.
-    pub fn carry_out(&mut self, net: &mut Sockets, front: &mut Platform, order: PolicyCommand) {
+    pub fn carry_out(&mut self, net: &mut Sockets, front: &mut HttpFrontend, order: PolicyCommand) {
         match order {
             PolicyCommand::Check { version, text } => {
                 let errors = front.check(&text).err().unwrap_or_default();
@@ -202,7 +202,7 @@
     }
 
     /// When `tick` is to be called next.
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         match &self.tell {
             Some(_) if self.view.is_some() || !self.orders.is_empty() => 0.0,
             Some(_) => self.next,
--- a/src/frontend/fleet/thread.rs
+++ b/src/frontend/fleet/thread.rs
@@ -185,7 +185,7 @@
     };
     shared.tick();
     while !shared.over {
-        let wait = (shared.next() - shared.clock.now()).clamp(0.0, ROUND);
+        let wait = (shared.next_deadline() - shared.clock.now()).clamp(0.0, ROUND);
         events.dispatch(Some(Duration::from_secs_f64(wait / 1e3)), &mut shared)?;
         shared.tick();
     }
@@ -509,7 +509,7 @@
     }
 
     /// When `tick` is to be called next.
-    fn next(&self) -> f64 {
+    fn next_deadline(&self) -> f64 {
         let part = self
             .open
             .as_ref()
--- a/src/frontend/gearman/admin.rs
+++ b/src/frontend/gearman/admin.rs
@@ -1,10 +1,10 @@
 //! The administrative protocol: lines of text.
 
-use super::Gearman;
+use super::GearmanFrontend;
 use crate::frontend::Sockets;
 use crate::net::ConnId;
 
-impl Gearman {
+impl GearmanFrontend {
     /// Answers a line.
     pub(super) fn admin(&mut self, net: &mut Sockets, id: ConnId, line: &str) {
         let text = match line {
--- a/src/frontend/gearman/clients.rs
+++ b/src/frontend/gearman/clients.rs
@@ -2,7 +2,7 @@
 
 use super::packets::{answer, arguments, kind};
 use super::record::{Answer, Entry};
-use super::{Gearman, Job};
+use super::{GearmanFrontend, Job};
 use crate::core::{FinalAnswer, JobRequest};
 use crate::frontend::Sockets;
 use crate::net::ConnId;
@@ -12,7 +12,7 @@
 /// submits as well, and must be read, is told so.
 pub(super) const WAITS: usize = 256;
 
-impl Gearman {
+impl GearmanFrontend {
     /// Reads a client's packet; false where it does not read.
     pub(super) fn client_packet(&mut self, net: &mut Sockets, id: ConnId, number: u32, body: &[u8]) -> bool {
         match number {
--- a/src/frontend/gearman/config.rs
+++ b/src/frontend/gearman/config.rs
@@ -58,7 +58,7 @@
                 return Err(format!("function \"{name}\": a name has no blanks and is not empty"));
             }
             let class = text(line, "class").ok_or_else(|| format!("function {name}: no `class`"))?;
-            let at = site.grades.iter().position(|g| g.name == class);
+            let at = site.client_classes.iter().position(|g| g.name == class);
             let at = at.ok_or_else(|| format!("function {name}: the settings have no class {class}"))?;
             let tenant = text(line, "tenant").unwrap_or("").to_string();
             if !tenant.is_empty() && !site.tenants.contains(&tenant) {
@@ -72,8 +72,8 @@
             let mut class = site.settings.classes[at].clone();
             class.kind = Some(u16::try_from(kind).map_err(|_| "too many kinds")?);
             classes.push(class);
-            grades.push(site.grades[at].clone());
-            let wait = site.grades[at].hard_limit;
+            grades.push(site.client_classes[at].clone());
+            let wait = site.client_classes[at].hard_limit;
             functions.push(Function { name: name.clone().into_bytes(), tenant, wait, kind });
         }
         if functions.is_empty() {
@@ -87,7 +87,7 @@
             (false, true, true);
         // What has not started waits in this program, not at a worker.
         (settings.capabilities.may_cancel, settings.capabilities.cancel_frees_slot) = (true, true);
-        (settings.classes, site.grades) = (classes, grades);
+        (settings.classes, site.client_classes) = (classes, grades);
         let record = field(file, "record").unwrap_or(&JsonValue::Null);
         let bound = |name, usual: f64| number(record, name).unwrap_or(usual).max(1.0) as usize;
         let identity = field(file, "identity").map(IdentityFiles::read).transpose()?;
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -15,7 +15,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Leaving, Sockets};
+use super::{Shutdown, Sockets};
 use crate::core::{Clock, Command, Core};
 use crate::net::{ConnId, HELD};
 use crate::routing::{EndpointId, JobId};
@@ -74,7 +74,7 @@
 }
 
 /// The front.
-pub struct Gearman {
+pub struct GearmanFrontend {
     core: Core,
     config: Config,
     listener: usize,
@@ -83,7 +83,7 @@
     jobs: FxHashMap<JobId, Job>,
     record: Record,
     identity: Option<Identity>,
-    stopping: Option<Leaving>,
+    stopping: Option<Shutdown>,
     /// Bytes in the outboxes of all peers.
     outbox: usize,
     /// Connections to be looked at again.
@@ -92,13 +92,13 @@
     later: Vec<ConnId>,
 }
 
-impl Gearman {
+impl GearmanFrontend {
     /// A front on a listener that is open.
-    pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> Result<Gearman, String> {
+    pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> Result<GearmanFrontend, String> {
         let identity = config.identity.clone().map(Identity::load).transpose()?;
         let mut core = Core::new(config.site.clone(), seed, clock, config.peers * JOBS);
         core.on_list(Vec::new(), true);
-        Ok(Gearman {
+        Ok(GearmanFrontend {
             core,
             listener,
             peers: FxHashMap::default(),
@@ -372,7 +372,7 @@
     }
 
     /// When `tick` is to be called next.
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         let now = self.core.clock().now();
         if !self.later.is_empty() {
             return now;
@@ -386,7 +386,7 @@
 
     /// Begins to stop.
     pub fn stop(&mut self) {
-        self.stopping.get_or_insert_with(|| Leaving::begin(&mut self.core));
+        self.stopping.get_or_insert_with(|| Shutdown::begin(&mut self.core));
     }
 
     /// Whether it is past its last call.
--- a/src/frontend/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -6,7 +6,7 @@
 
 use super::packets::{answer, arguments, kind};
 use super::record::{Answer, Key};
-use super::{FlightId, Gearman};
+use super::{FlightId, GearmanFrontend};
 use crate::core::ListedEndpoint;
 use crate::frontend::Sockets;
 use crate::net::ConnId;
@@ -90,7 +90,7 @@
     LoadReport { free_slots: Some(1.0), ..LoadReport::default() }
 }
 
-impl Gearman {
+impl GearmanFrontend {
     /// Reads a worker's packet; false where it does not read.
     pub(super) fn worker_packet(&mut self, net: &mut Sockets, id: ConnId, number: u32, body: &[u8]) -> bool {
         let Some(peer) = self.peers.get(&id) else { return true };
--- a/src/frontend/handover.rs
+++ b/src/frontend/handover.rs
@@ -14,26 +14,26 @@
 
 /// A process's note.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct HandoverNote {
     /// Its process id.
     pub pid: u32,
     /// When it began to listen, in milliseconds since the Unix epoch.
     pub at: u64,
 }
 
-impl Note {
+impl HandoverNote {
     fn text(&self) -> String {
         format!("{MAGIC} pid={} at={}\n", self.pid, self.at)
     }
 
     /// Reads a note's text; none where it is torn or not of this form.
-    pub fn parse(text: &str) -> Option<Note> {
+    pub fn parse(text: &str) -> Option<HandoverNote> {
         let line = text.strip_suffix('\n').filter(|line| !line.contains('\n'))?;
         let rest = line.strip_prefix(MAGIC)?.strip_prefix(' ')?;
         let mut fields = rest.split(' ');
         let pid = fields.next()?.strip_prefix("pid=")?.parse().ok()?;
         let at = fields.next()?.strip_prefix("at=")?.parse().ok()?;
-        fields.next().is_none().then_some(Note { pid, at })
+        fields.next().is_none().then_some(HandoverNote { pid, at })
     }
 }
 
@@ -43,7 +43,7 @@
 }
 
 /// Leaves this process's note: whole or not at all.
-pub fn leave(path: &Path, note: Note) -> std::io::Result<()> {
+pub fn leave(path: &Path, note: HandoverNote) -> std::io::Result<()> {
     let temporary = path.with_extension(format!("handover.{}", note.pid));
     let mut file = std::fs::File::create(&temporary)?;
     file.write_all(note.text().as_bytes())?;
@@ -80,7 +80,7 @@
             return false;
         }
     };
-    let Some(note) = Note::parse(&text) else {
+    let Some(note) = HandoverNote::parse(&text) else {
         crate::say(format_args!("the hand-over note {} is ignored: it does not read", path.display()));
         return false;
     };
@@ -89,7 +89,7 @@
 
 /// The live process beside this one that the note names, if there is one. What does not read names none.
 pub fn beside(path: &Path, own: u32) -> Option<u32> {
-    let note = Note::parse(&read(path).ok()??)?;
+    let note = HandoverNote::parse(&read(path).ok()??)?;
     (note.pid != own && lives(note.pid)).then_some(note.pid)
 }
 
@@ -120,8 +120,8 @@
     /// Guards against a torn, stale or foreign note being taken for a successor.
     #[test]
     fn only_a_whole_note_of_another_live_process_is_a_successor() {
-        let note = Note { pid: 42, at: 1000 };
-        assert_eq!(Note::parse(&note.text()), Some(note));
+        let note = HandoverNote { pid: 42, at: 1000 };
+        assert_eq!(HandoverNote::parse(&note.text()), Some(note));
         for torn in [
             "",
             "micabeam-handover 1 pid=42 at=1000",
@@ -131,7 +131,7 @@
             "micabeam-handover 1 pid=-4 at=1000\n",
             "micabeam-handover 1 pid=42 at=1000\nmicabeam-handover 1 pid=42 at=1000\n",
         ] {
-            assert_eq!(Note::parse(torn), None, "{torn:?}");
+            assert_eq!(HandoverNote::parse(torn), None, "{torn:?}");
         }
         let dir = std::env::temp_dir().join(format!("micabeam-handover-test-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
@@ -139,7 +139,7 @@
         let own = std::process::id();
         assert!(!successor(&at, own, 0), "no note");
         // This process is alive: as another's it is a successor.
-        leave(&at, Note { pid: own, at: 5000 }).unwrap();
+        leave(&at, HandoverNote { pid: own, at: 5000 }).unwrap();
         assert!(successor(&at, own + 1, 4000));
         assert!(!successor(&at, own, 4000), "its own note");
         assert!(!successor(&at, own + 1, 6000), "older than the one that reads");
--- a/src/frontend/http/callbacks.rs
+++ b/src/frontend/http/callbacks.rs
@@ -1,6 +1,6 @@
 //! Call-backs: what booking workers tell of the jobs that they took.
 
-use super::Platform;
+use super::HttpFrontend;
 use crate::json::{self, JsonValue, field, text};
 use crate::routing::{LoadReport, Outcome};
 
@@ -16,7 +16,7 @@
     Unknown,
 }
 
-impl Platform {
+impl HttpFrontend {
     /// Reads one call.
     pub(super) fn call_back(&mut self, body: &[u8]) -> Called {
         let Ok(call) = json::parse(body) else { return Called::Malformed };
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -6,8 +6,8 @@
 
 use super::callbacks::Called;
 use super::headers::{PATIENCE, slots, span, work};
-use super::policy_gate::Way;
-use super::{ClientJob, Platform, upgrade_link};
+use super::policy_gate::RouteDecision;
+use super::{ClientJob, HttpFrontend, upgrade_link};
 use crate::core::{FinalAnswer, JobRequest};
 use crate::frontend::Sockets;
 use crate::net::http::{self, Bad, Message};
@@ -87,7 +87,7 @@
     }
 
     /// When to look again.
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         if !self.later.is_empty() {
             return 0.0;
         }
@@ -118,7 +118,7 @@
     }
 }
 
-impl Platform {
+impl HttpFrontend {
     /// Accepts what waits. At the limit the connection that has been idle longest makes room: the backlog
     /// counts as taken, so that nothing may be left in it.
     pub fn accept(&mut self, net: &mut Sockets) {
@@ -424,13 +424,14 @@
         let close = message.close;
         let path = message.target.split('?').next().unwrap_or("");
         let name = path.split('/').nth(1).unwrap_or("");
-        let Some(class) = self.core.site().grades.iter().position(|g| g.name == name && !name.is_empty())
+        let Some(class) =
+            self.core.site().client_classes.iter().position(|g| g.name == name && !name.is_empty())
         else {
             return self.reply(net, id, 404, &[], b"unknown class\n", close);
         };
         let wait = match message.header("req-deadline") {
             Some(text) => span(text),
-            None => Some(self.core.site().grades[class].hard_limit),
+            None => Some(self.core.site().client_classes[class].hard_limit),
         };
         let req_id = message.header("req-id").filter(|id| is_id(id) && !self.ids.contains_key(*id));
         let (Some(wait), Some(req_id)) = (wait, req_id) else {
@@ -439,7 +440,9 @@
         let slots = message.header("req-extra").and_then(slots).unwrap_or(1.0);
         let work = message.header("req-cost").and_then(work);
         let req_id: Rc<str> = req_id.into();
-        let Way::To(pool) = self.way(class, &message) else { return self.turn_away(net, id, close) };
+        let RouteDecision::To(pool) = self.way(class, &message) else {
+            return self.turn_away(net, id, close);
+        };
         let due = now + wait.min(PATIENCE);
         match self.core.submit(JobRequest { class, deadline: due, slots, work, partition: pool }) {
             Err(verdict) => self.say(net, id, verdict, close),
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -16,16 +16,16 @@
 
 use rustc_hash::FxHashMap;
 
-use super::discovery::{Discovery, Heard};
-use super::{Leaving, Sockets};
+use super::discovery::{Discovery, DiscoveryUpdate};
+use super::{Shutdown, Sockets};
 use crate::core::{Clock, Command, Core};
 use crate::net::ConnId;
 use crate::routing::{JobId, LoadReport, Outcome};
 
 use clients::Clients;
 pub use config::Config;
-use policy_gate::Gate;
-use upstream::Backends;
+use policy_gate::PolicyGate;
+use upstream::Upstreams;
 
 /// What a session's request looked like on the wire.
 struct ClientJob {
@@ -40,18 +40,18 @@
 const AWAY_LOOK: f64 = 100.0;
 
 /// The front.
-pub struct Platform {
+pub struct HttpFrontend {
     core: Core,
     clients: Clients,
-    backends: Backends,
+    backends: Upstreams,
     discovery: Discovery,
     jobs: FxHashMap<JobId, ClientJob>,
     ids: FxHashMap<Rc<str>, JobId>,
     /// The processes beside this one at an upgrade.
-    links: Option<upgrade_link::Links>,
+    links: Option<upgrade_link::UpgradeLinks>,
     /// Whether requests may be started now, where a policy is shared.
-    gate: Option<Box<Gate>>,
-    stopping: Option<Leaving>,
+    gate: Option<Box<PolicyGate>>,
+    stopping: Option<Shutdown>,
     /// Its last connections are being ended.
     farewell: bool,
     /// Clients are sent away: `/up` says no, and connections are closed once they are idle.
@@ -60,13 +60,13 @@
     away_look: f64,
 }
 
-impl Platform {
+impl HttpFrontend {
     /// A front on a listener that is open, with the list as last held.
-    pub fn new(config: Config, clock: Clock, listener: usize, discovery: SocketAddr) -> Platform {
+    pub fn new(config: Config, clock: Clock, listener: usize, discovery: SocketAddr) -> HttpFrontend {
         let Config { site, seed, budget, known, .. } = config;
-        let mut front = Platform {
+        let mut front = HttpFrontend {
             clients: Clients::new(listener, budget),
-            backends: Backends::new(site.conn_idle, budget.backends),
+            backends: Upstreams::new(site.conn_idle, budget.backends),
             discovery: Discovery::new(discovery, config.discovery, known.0, seed),
             core: Core::new(site, seed, clock, budget.sessions),
             jobs: FxHashMap::default(),
@@ -164,7 +164,7 @@
     }
 
     /// Tells the core what discovery has brought.
-    fn heard(&mut self, net: &mut Sockets, heard: Option<Heard>) {
+    fn heard(&mut self, net: &mut Sockets, heard: Option<DiscoveryUpdate>) {
         for server in heard.map(|heard| heard.tell(&mut self.core)).unwrap_or_default() {
             self.drop_idle(net, server);
         }
@@ -206,7 +206,7 @@
     }
 
     /// When `tick` is to be called next.
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         let last_call = self.stopping.map_or(f64::INFINITY, |leaving| {
             let end = leaving.last_call;
             // Past it, look again and again whether all is finished.
@@ -214,8 +214,12 @@
         });
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let away = if self.evacuating { self.away_look } else { f64::INFINITY };
-        let front = self.backends.next().min(self.discovery.next()).min(self.clients.next());
-        let links = self.links.as_ref().map_or(f64::INFINITY, |links| links.next());
+        let front = self
+            .backends
+            .next_deadline()
+            .min(self.discovery.next_deadline())
+            .min(self.clients.next_deadline());
+        let links = self.links.as_ref().map_or(f64::INFINITY, |links| links.next_deadline());
         wake.min(front).min(last_call).min(away).min(links).min(self.gate_next())
     }
 
@@ -240,7 +244,7 @@
         if self.stopping.is_some() {
             return;
         }
-        self.stopping = Some(Leaving::begin(&mut self.core));
+        self.stopping = Some(Shutdown::begin(&mut self.core));
         if successor {
             self.accept_all(net);
             net.unlisten(self.clients.listener);
--- a/src/frontend/http/policy_gate.rs
+++ b/src/frontend/http/policy_gate.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use super::Platform;
+use super::HttpFrontend;
 use super::headers::span;
 use crate::core::{PartitionId, boot_ms};
 use crate::frontend::Sockets;
@@ -31,7 +31,7 @@
 
 /// The gate.
 #[derive(Default)]
-pub(super) struct Gate {
+pub(super) struct PolicyGate {
     policy: Option<Policy>,
     /// The pool of each partition.
     pools: Vec<PartitionId>,
@@ -46,7 +46,7 @@
     pub(super) turned: u64,
 }
 
-impl Gate {
+impl PolicyGate {
     /// Whether a request may be started now. The clock is read for each: a process that was frozen or suspended must
     /// not start what came before on the lease that it had then.
     fn is_open(&self) -> bool {
@@ -55,14 +55,14 @@
 }
 
 /// Where a request goes.
-pub(super) enum Way {
+pub(super) enum RouteDecision {
     /// To these servers.
     To(PartitionId),
     /// Its partition has none, and the policy says to deny it.
     Denied,
 }
 
-impl Platform {
+impl HttpFrontend {
     /// From now on requests are started only as the fleet's policy allows.
     pub fn guard(&mut self) {
         self.gate = Some(Box::default());
@@ -150,10 +150,10 @@
     }
 
     /// Where a request goes under the policy in force.
-    pub(super) fn way(&self, class: usize, message: &Message) -> Way {
+    pub(super) fn way(&self, class: usize, message: &Message) -> RouteDecision {
         let Some((gate, policy)) = self.gate.as_ref().and_then(|gate| Some((gate, gate.policy.as_ref()?)))
         else {
-            return Way::To(0);
+            return RouteDecision::To(0);
         };
         let event = Event {
             class,
@@ -163,16 +163,16 @@
             size: message.body.len() as u64,
             header: &|name| message.header(name),
         };
-        let Some(rule) = policy.rule(&event) else { return Way::To(0) };
+        let Some(rule) = policy.rule(&event) else { return RouteDecision::To(0) };
         let count = policy.partitions.len();
         let there = |at: &usize| self.core.has_ready_endpoint(&policy.partitions[*at].2);
         match rule.empty {
-            Empty::Wait => Way::To(gate.pools[rule.partition]),
-            _ if there(&rule.partition) => Way::To(gate.pools[rule.partition]),
-            Empty::Deny => Way::Denied,
+            Empty::Wait => RouteDecision::To(gate.pools[rule.partition]),
+            _ if there(&rule.partition) => RouteDecision::To(gate.pools[rule.partition]),
+            Empty::Deny => RouteDecision::Denied,
             Empty::Next => {
                 let next = (1..count).map(|step| (rule.partition + step) % count).find(there);
-                next.map_or(Way::Denied, |at| Way::To(gate.pools[at]))
+                next.map_or(RouteDecision::Denied, |at| RouteDecision::To(gate.pools[at]))
             }
         }
     }
--- a/src/frontend/http/probes.rs
+++ b/src/frontend/http/probes.rs
@@ -1,18 +1,18 @@
 //! Probes: a backend server's load report, asked for beside the jobs.
 
-use super::Platform;
-use super::upstream::{PATIENCE, Work};
+use super::HttpFrontend;
+use super::upstream::{ConnectionUse, PATIENCE};
 use crate::frontend::Sockets;
 use crate::json;
 use crate::net::ConnId;
 use crate::net::http::{self, Message};
 use crate::routing::{EndpointId, LoadReport};
 
-impl Platform {
+impl HttpFrontend {
     /// Probes a backend server. The module always hears of the end: it asks nobody twice meanwhile.
     pub(super) fn probe(&mut self, net: &mut Sockets, server: EndpointId) {
         let now = self.core.clock().now();
-        let Ok(conn) = self.acquire(net, server, Work::Probe { asked: now, up: now }) else {
+        let Ok(conn) = self.acquire(net, server, ConnectionUse::Probe { asked: now, up: now }) else {
             return self.core.on_probe_ended(server, false, 0.0, LoadReport::default());
         };
         self.ask_load(net, server, conn, now);
@@ -21,7 +21,7 @@
     /// Probes a backend server on a new connection, within what is left of a probe's time.
     pub(super) fn probe_anew(&mut self, net: &mut Sockets, server: EndpointId, asked: f64) {
         let now = self.core.clock().now();
-        match self.open_backend(net, server, Work::Probe { asked, up: now }) {
+        match self.open_backend(net, server, ConnectionUse::Probe { asked, up: now }) {
             Ok(conn) => self.ask_load(net, server, conn, asked),
             Err(_) => self.core.on_probe_ended(server, false, now - asked, LoadReport::default()),
         }
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use super::Platform;
+use super::HttpFrontend;
 use crate::core::{EndpointEntry, ListedEndpoint};
 use crate::frontend::{Sockets, handover};
-use crate::lifecycle::callback_forwarding::{Call, Seam, Step};
-use crate::lifecycle::warm_state::{LONGEST, StoredEndpoint, WarmStateFile};
+use crate::lifecycle::callback_forwarding::{CallbackForwarder, ForwardingAction, PendingCallback};
+use crate::lifecycle::warm_state::{MAX_WARM_STATE_BYTES, StoredEndpoint, WarmStateFile};
 use crate::net::ConnId;
 use crate::net::http::{self, Message};
 use crate::routing::{Endpoint, EndpointId, EndpointStatus};
@@ -29,7 +29,7 @@
 const NAMED: usize = 4;
 
 /// A connection that was opened to reach a process.
-struct Link {
+struct UpgradeLink {
     conn: ConnId,
     pid: u32,
     up: bool,
@@ -42,22 +42,22 @@
 }
 
 /// The links.
-pub(super) struct Links {
-    seam: Seam,
+pub(super) struct UpgradeLinks {
+    seam: CallbackForwarder,
     address: SocketAddr,
     note: PathBuf,
-    links: Vec<Link>,
+    links: Vec<UpgradeLink>,
     look: f64,
-    /// Call-backs that another process has taken.
+    /// PendingCallback-backs that another process has taken.
     passed: u64,
     /// The process that this one replaces, until its memory has been read.
     before: Option<u32>,
 }
 
-impl Links {
-    pub fn new(address: SocketAddr, note: PathBuf) -> Links {
-        Links {
-            seam: Seam::new(std::process::id()),
+impl UpgradeLinks {
+    pub fn new(address: SocketAddr, note: PathBuf) -> UpgradeLinks {
+        UpgradeLinks {
+            seam: CallbackForwarder::new(std::process::id()),
             address,
             note,
             links: Vec::new(),
@@ -71,15 +71,15 @@
         self.links.iter().any(|l| l.conn == conn)
     }
 
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         self.links.iter().filter(|l| !l.up || l.out > 0).map(|l| l.until).fold(f64::INFINITY, f64::min)
     }
 }
 
-impl Platform {
+impl HttpFrontend {
     /// Sets the seam up at the address that was listened at, beside a process that was there before.
     pub fn join(&mut self, net: &mut Sockets, address: SocketAddr, note: PathBuf, before: Option<u32>) {
-        let mut links = Links::new(address, note);
+        let mut links = UpgradeLinks::new(address, note);
         let first = before.and_then(|pid| links.seam.meet(pid));
         links.before = before;
         self.links = Some(links);
@@ -88,11 +88,12 @@
 
     /// Whether the seam is settled, so that the process beside may stop listening.
     pub fn joined(&self) -> bool {
-        let open = |l: &Links, pid| !l.seam.settled() || l.links.iter().any(|k| k.pid == pid && !k.greeted);
+        let open =
+            |l: &UpgradeLinks, pid| !l.seam.settled() || l.links.iter().any(|k| k.pid == pid && !k.greeted);
         self.links.as_ref().is_none_or(|l| l.before.is_none_or(|pid| !open(l, pid)))
     }
 
-    /// Call-backs that reached this process and were taken by another.
+    /// PendingCallback-backs that reached this process and were taken by another.
     pub fn passed_on(&self) -> u64 {
         self.links.as_ref().map_or(0, |links| links.passed)
     }
@@ -127,7 +128,7 @@
             return false;
         }
         let asked = asked.unwrap_or("").split(',').filter_map(|pid| pid.trim().parse().ok()).take(NAMED);
-        let call = Call { from, body: body.to_vec(), asked: asked.collect() };
+        let call = PendingCallback { from, body: body.to_vec(), asked: asked.collect() };
         if let Some(client) = self.clients.client(from) {
             client.waits = true;
         }
@@ -137,11 +138,11 @@
     }
 
     /// Does what the seam says.
-    fn follow(&mut self, net: &mut Sockets, steps: Vec<Step>) {
+    fn follow(&mut self, net: &mut Sockets, steps: Vec<ForwardingAction>) {
         for step in steps {
             match step {
-                Step::Open(pid) => self.open_link(net, pid),
-                Step::Pass(pid, body, asked) => {
+                ForwardingAction::Open(pid) => self.open_link(net, pid),
+                ForwardingAction::Pass(pid, body, asked) => {
                     let now = self.core.clock().now();
                     let Some(links) = &mut self.links else { return };
                     let Some(link) = links.links.iter_mut().find(|l| l.pid == pid && l.up) else { continue };
@@ -157,17 +158,17 @@
                         link.until = now;
                     }
                 }
-                Step::Taken(from) => {
+                ForwardingAction::Taken(from) => {
                     if let Some(links) = &mut self.links {
                         links.passed += 1;
                     }
                     self.acknowledge(net, from, 204);
                 }
-                Step::Unknown(from) => {
+                ForwardingAction::Unknown(from) => {
                     let passed = self.clients.client(from).is_some_and(|client| client.link);
                     self.acknowledge(net, from, if passed { 410 } else { 204 });
                 }
-                Step::Later(from) => self.acknowledge(net, from, 503),
+                ForwardingAction::Later(from) => self.acknowledge(net, from, 503),
             }
         }
     }
@@ -187,7 +188,7 @@
             let steps = links.seam.lost(pid, handover::lives(pid));
             return self.follow(net, steps);
         };
-        links.links.push(Link { conn, pid, up: false, greeted: false, until: now + PATIENCE, out: 0 });
+        links.links.push(UpgradeLink { conn, pid, up: false, greeted: false, until: now + PATIENCE, out: 0 });
         let host = [("Host", links.address.to_string())];
         net.write(conn, &http::ask("GET", "/up", &host, None));
     }
@@ -251,7 +252,7 @@
     /// Names by which what was learned is counted.
     fn names(&self) -> Vec<String> {
         let site = self.core.site();
-        let grades = site.grades.iter().map(|g| &g.name);
+        let grades = site.client_classes.iter().map(|g| &g.name);
         grades.chain(&site.kinds).chain(&site.zones).cloned().collect()
     }
 
@@ -279,7 +280,7 @@
     /// Takes over what the process before has left. What is not there or not believed costs one line.
     fn remember(&mut self, pid: u32) {
         let Some(links) = &self.links else { return };
-        let read = handover::take_memory(&links.note, LONGEST).map_err(|e| e.to_string());
+        let read = handover::take_memory(&links.note, MAX_WARM_STATE_BYTES).map_err(|e| e.to_string());
         let now = self.core.clock().now();
         let memory = read.and_then(|bytes| {
             WarmStateFile::decode(&bytes, pid, &self.names(), now).map_err(|e| e.to_string())
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -1,4 +1,4 @@
-//! Backend servers: dispatches on connections of their own or out of the pool, and what becomes of them.
+//! UpstreamConnection servers: dispatches on connections of their own or out of the pool, and what becomes of them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 use rustix::io::Errno;
 
-use super::Platform;
+use super::HttpFrontend;
 
 use crate::frontend::Sockets;
 use crate::net::http::{self, Message};
@@ -24,31 +24,31 @@
 const GIVES_UP: u32 = 3;
 
 /// A dispatch: its session and its number.
-pub(super) type FlightId = (JobId, usize);
+pub(super) type AttemptId = (JobId, usize);
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Work {
+pub(super) enum ConnectionUse {
     Idle,
     /// It was decided and not written: its connection has to come up, or an older attempt to be given up first.
-    Decided(FlightId),
-    Dispatch(FlightId),
+    Decided(AttemptId),
+    Dispatch(AttemptId),
     /// Since when it was wanted, and since when its connection has been up.
     Probe {
         asked: f64,
         up: f64,
     },
     /// An answer that nobody needs.
-    Spent,
+    Draining,
     /// The call that gives an attempt up, until it is answered: written alone, it may go to nobody.
-    GivesUp(FlightId),
+    Cancelling(AttemptId),
     /// It has turned a job away just now.
-    Rests,
+    CoolingDown,
 }
 
-struct Backend {
+struct UpstreamConnection {
     server: EndpointId,
-    work: Work,
+    work: ConnectionUse,
     until: f64,
     /// It has stood idle in the pool.
     kept: bool,
@@ -57,7 +57,7 @@
 }
 
 /// A dispatch that has not ended: its connection until the job was taken, none after.
-pub(super) struct Flight {
+pub(super) struct AttemptState {
     pub server: EndpointId,
     pub conn: Option<ConnId>,
     pub id: Rc<str>,
@@ -68,17 +68,17 @@
 }
 
 /// All connections to backend servers.
-pub(super) struct Backends {
-    conns: FxHashMap<ConnId, Backend>,
+pub(super) struct Upstreams {
+    conns: FxHashMap<ConnId, UpstreamConnection>,
     pool: Pool<EndpointId>,
-    pub flights: FxHashMap<FlightId, Flight>,
+    pub flights: FxHashMap<AttemptId, AttemptState>,
     most: usize,
 }
 
-impl Backends {
-    pub fn new(conn_idle: f64, most: usize) -> Backends {
+impl Upstreams {
+    pub fn new(conn_idle: f64, most: usize) -> Upstreams {
         let flights = FxHashMap::default();
-        Backends { conns: FxHashMap::default(), pool: Pool::new(conn_idle), flights, most }
+        Upstreams { conns: FxHashMap::default(), pool: Pool::new(conn_idle), flights, most }
     }
 
     /// Takes over another idle time and another bound.
@@ -109,12 +109,12 @@
         self.flights.retain(|(s, _), flight| *s != session || flight.leaves.is_none());
     }
 
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         self.conns.values().map(|b| b.until).fold(f64::INFINITY, f64::min)
     }
 }
 
-impl Platform {
+impl HttpFrontend {
     pub(super) fn host(&self, server: EndpointId) -> String {
         self.core.endpoints().get(server).map(|s| s.line.address.clone()).unwrap_or_default()
     }
@@ -125,15 +125,16 @@
         &mut self,
         net: &mut Sockets,
         server: EndpointId,
-        work: Work,
+        work: ConnectionUse,
     ) -> Result<ConnId, Outcome> {
         let now = self.core.clock().now();
         while let Some(id) = self.backends.pool.take(server, now) {
             // Guards against a connection that the peer has closed: a request written there would be lost.
             if net.conn(id).is_some_and(|conn| conn.is_fresh()) {
-                self.backends
-                    .conns
-                    .insert(id, Backend { server, work, until: f64::INFINITY, kept: true, up: true });
+                self.backends.conns.insert(
+                    id,
+                    UpstreamConnection { server, work, until: f64::INFINITY, kept: true, up: true },
+                );
                 return Ok(id);
             }
             self.close_backend(net, id);
@@ -146,7 +147,7 @@
         &mut self,
         net: &mut Sockets,
         server: EndpointId,
-        work: Work,
+        work: ConnectionUse,
     ) -> Result<ConnId, Outcome> {
         let now = self.core.clock().now();
         if self.backends.conns.len() >= self.backends.most {
@@ -162,7 +163,7 @@
                 _ => Outcome::Unreachable,
             })?;
         let until = now + self.core.site().connect_timeout;
-        self.backends.conns.insert(id, Backend { server, work, until, kept: false, up: false });
+        self.backends.conns.insert(id, UpstreamConnection { server, work, until, kept: false, up: false });
         Ok(id)
     }
 
@@ -172,23 +173,25 @@
         if self.has_left(net, session) {
             return;
         }
-        let conn = match self.acquire(net, server, Work::Decided(flight)) {
+        let conn = match self.acquire(net, server, ConnectionUse::Decided(flight)) {
             Ok(conn) => conn,
             Err(outcome) => return self.unserved(flight, outcome, LoadReport::default()),
         };
         let (id, address) = (Rc::clone(&self.jobs[&session].id), self.host(server));
-        self.backends.flights.insert(flight, Flight { server, conn: Some(conn), id, address, leaves: None });
+        self.backends
+            .flights
+            .insert(flight, AttemptState { server, conn: Some(conn), id, address, leaves: None });
         self.backend_ready(net, conn);
     }
 
     /// Writes a dispatch whose connection is up. Much can have come between its decision and now: the client has
     /// left, the server drains, has moved or was started anew, the time for a repeat is over. Then it never ran.
-    fn launch(&mut self, net: &mut Sockets, conn: ConnId, flight: FlightId) {
+    fn launch(&mut self, net: &mut Sockets, conn: ConnId, flight: AttemptId) {
         let (session, attempt) = flight;
         if self.has_left(net, session) {
             return;
         }
-        let Some(Flight { server, address, .. }) = self.backends.flights.get(&flight) else { return };
+        let Some(AttemptState { server, address, .. }) = self.backends.flights.get(&flight) else { return };
         let host = self.host(*server);
         let stands = host == *address && self.core.attempt_is_valid(session, attempt);
         let given_up = if self.core.site().copies { Some(true) } else { self.backends.gave_up(session) };
@@ -218,7 +221,8 @@
         headers.extend(job.headers.iter().map(|(name, value)| (name.as_str(), value.clone())));
         let bytes = http::ask("POST", &job.target, &headers, Some(&job.body));
         if let Some(backend) = self.backends.conns.get_mut(&conn) {
-            (backend.work, backend.until, backend.up) = (Work::Dispatch(flight), f64::INFINITY, true);
+            (backend.work, backend.until, backend.up) =
+                (ConnectionUse::Dispatch(flight), f64::INFINITY, true);
         }
         net.write(conn, &bytes);
         self.backend_ready(net, conn);
@@ -233,21 +237,21 @@
             let work = self.backends.conns.get(&conn).map(|b| b.work);
             self.close_backend(net, conn);
             // A 202 that was lost on its way is one for the server: then the close gives nothing up.
-            if !(waits && matches!(work, Some(Work::Dispatch(_)))) {
+            if !(waits && matches!(work, Some(ConnectionUse::Dispatch(_)))) {
                 return;
             }
         }
         let (server, id) = (flight.server, Rc::clone(&flight.id));
         if waits {
-            let flight = Flight { leaves: Some(0), conn: None, ..flight };
+            let flight = AttemptState { leaves: Some(0), conn: None, ..flight };
             self.backends.flights.insert((session, attempt), flight);
         }
         self.give_up(net, (session, attempt), server, &id);
     }
 
-    fn give_up(&mut self, net: &mut Sockets, flight: FlightId, server: EndpointId, id: &str) {
+    fn give_up(&mut self, net: &mut Sockets, flight: AttemptId, server: EndpointId, id: &str) {
         let now = self.core.clock().now();
-        let Ok(conn) = self.acquire(net, server, Work::GivesUp(flight)) else {
+        let Ok(conn) = self.acquire(net, server, ConnectionUse::Cancelling(flight)) else {
             return self.not_given_up(net, flight);
         };
         if net.conn(conn).is_some_and(|c| !c.connecting) {
@@ -259,7 +263,7 @@
     }
 
     /// A `DELETE` had no answer: it may not have come, and is made again where the next attempt waits for it.
-    fn not_given_up(&mut self, net: &mut Sockets, flight: FlightId) {
+    fn not_given_up(&mut self, net: &mut Sockets, flight: AttemptId) {
         let Some(leaving) = self.backends.flights.get_mut(&flight) else { return };
         let Some(tries) = &mut leaving.leaves else { return };
         *tries += 1;
@@ -280,11 +284,11 @@
     }
 
     /// Takes a dispatch that has ended off its connection, which still awaits an answer.
-    pub(super) fn detach(&mut self, flight: FlightId) {
+    pub(super) fn detach(&mut self, flight: AttemptId) {
         let now = self.core.clock().now();
         let conn = self.backends.flights.remove(&flight).and_then(|f| f.conn);
         if let Some(backend) = conn.and_then(|conn| self.backends.conns.get_mut(&conn)) {
-            (backend.work, backend.until) = (Work::Spent, now + SPARE);
+            (backend.work, backend.until) = (ConnectionUse::Draining, now + SPARE);
         }
     }
 
@@ -298,7 +302,7 @@
     pub(super) fn backend_ready(&mut self, net: &mut Sockets, id: ConnId) {
         let now = self.core.clock().now();
         let (Some(conn), Some(backend)) = (net.conn(id), self.backends.conns.get_mut(&id)) else { return };
-        if let Work::Decided(flight) = backend.work {
+        if let ConnectionUse::Decided(flight) = backend.work {
             if conn.come_up() {
                 return self.launch(net, id, flight);
             }
@@ -312,10 +316,13 @@
         if !backend.up && !conn.connecting && !conn.broken {
             backend.up = true;
             match &mut backend.work {
-                Work::Spent => backend.until = now + SPARE,
-                Work::GivesUp(_) => backend.until = now + PATIENCE,
-                Work::Probe { up, .. } => *up = now,
-                Work::Idle | Work::Rests | Work::Decided(_) | Work::Dispatch(_) => {}
+                ConnectionUse::Draining => backend.until = now + SPARE,
+                ConnectionUse::Cancelling(_) => backend.until = now + PATIENCE,
+                ConnectionUse::Probe { up, .. } => *up = now,
+                ConnectionUse::Idle
+                | ConnectionUse::CoolingDown
+                | ConnectionUse::Decided(_)
+                | ConnectionUse::Dispatch(_) => {}
             }
         }
         let ended = conn.eof || conn.broken;
@@ -324,23 +331,26 @@
         let stray = !conn.rx.is_empty();
         let written = !conn.connecting && conn.tx.is_empty();
         let (server, work) = (backend.server, backend.work);
-        if let (Work::Dispatch((session, attempt)), true) = (work, written) {
+        if let (ConnectionUse::Dispatch((session, attempt)), true) = (work, written) {
             // An attempt counts once its last byte has gone to the socket.
             self.core.on_request_sent(session, attempt);
         }
         match message {
-            Ok(Some(message)) if !matches!(work, Work::Idle | Work::Rests) => {
+            Ok(Some(message)) if !matches!(work, ConnectionUse::Idle | ConnectionUse::CoolingDown) => {
                 let reusable = !(ended || stray || message.close) && written;
-                let declined = matches!(work, Work::Dispatch(_)) && declines(&message);
-                (backend.work, backend.until) =
-                    if declined { (Work::Rests, now + REST) } else { (Work::Idle, f64::INFINITY) };
+                let declined = matches!(work, ConnectionUse::Dispatch(_)) && declines(&message);
+                (backend.work, backend.until) = if declined {
+                    (ConnectionUse::CoolingDown, now + REST)
+                } else {
+                    (ConnectionUse::Idle, f64::INFINITY)
+                };
                 if !reusable {
                     self.close_backend(net, id);
                 } else if !declined {
                     self.backends.pool.put(server, id, now);
                 }
                 match work {
-                    Work::GivesUp(flight) => self.given_up(net, flight),
+                    ConnectionUse::Cancelling(flight) => self.given_up(net, flight),
                     _ => self.answered(server, work, &message),
                 }
             }
@@ -350,10 +360,10 @@
         }
     }
 
-    fn answered(&mut self, server: EndpointId, work: Work, message: &Message) {
+    fn answered(&mut self, server: EndpointId, work: ConnectionUse, message: &Message) {
         match work {
-            Work::Probe { up, .. } => self.probed(server, up, message),
-            Work::Dispatch(flight) => {
+            ConnectionUse::Probe { up, .. } => self.probed(server, up, message),
+            ConnectionUse::Dispatch(flight) => {
                 let report = message.header("srv-load").map_or(LoadReport::default(), |t| self.load_text(t));
                 match message.status {
                     202 => {
@@ -370,12 +380,16 @@
                     _ => self.unserved(flight, Outcome::Error, report),
                 }
             }
-            Work::Spent | Work::Idle | Work::Rests | Work::GivesUp(_) | Work::Decided(_) => {}
+            ConnectionUse::Draining
+            | ConnectionUse::Idle
+            | ConnectionUse::CoolingDown
+            | ConnectionUse::Cancelling(_)
+            | ConnectionUse::Decided(_) => {}
         }
     }
 
     /// A server has answered that an attempt is given up: what waited for that goes on.
-    fn given_up(&mut self, net: &mut Sockets, flight: FlightId) {
+    fn given_up(&mut self, net: &mut Sockets, flight: AttemptId) {
         if self.backends.flights.get(&flight).is_some_and(|f| f.leaves.is_some()) {
             self.backends.flights.remove(&flight);
             self.resume(net, flight.0);
@@ -388,35 +402,37 @@
         let (server, work, kept) = (backend.server, backend.work, backend.kept);
         self.close_backend(net, id);
         match work {
-            Work::Decided(flight) => self.unserved(flight, Outcome::Unreachable, LoadReport::default()),
-            Work::GivesUp(flight) => self.not_given_up(net, flight),
-            Work::Dispatch(flight) => {
+            ConnectionUse::Decided(flight) => {
+                self.unserved(flight, Outcome::Unreachable, LoadReport::default())
+            }
+            ConnectionUse::Cancelling(flight) => self.not_given_up(net, flight),
+            ConnectionUse::Dispatch(flight) => {
                 let outcome = if written { Outcome::Reset } else { Outcome::Unreachable };
                 self.unserved(flight, outcome, LoadReport::default());
             }
             // Guards against a healthy server that is held to have failed: a connection that broke after it stood
             // idle tells nothing of its server, and a probe does no harm twice.
-            Work::Probe { asked, .. } if kept && self.core.clock().now() < asked + PATIENCE => {
+            ConnectionUse::Probe { asked, .. } if kept && self.core.clock().now() < asked + PATIENCE => {
                 self.drop_idle(net, server);
                 self.probe_anew(net, server, asked);
             }
-            Work::Probe { asked, .. } => {
+            ConnectionUse::Probe { asked, .. } => {
                 let latency = self.core.clock().now() - asked;
                 self.core.on_probe_ended(server, false, latency, LoadReport::default());
             }
-            Work::Idle | Work::Rests | Work::Spent => {}
+            ConnectionUse::Idle | ConnectionUse::CoolingDown | ConnectionUse::Draining => {}
         }
     }
 
     /// Gives up what has taken too long: to connect, to answer a probe, or to stand idle.
     pub(super) fn expire_backends(&mut self, net: &mut Sockets) {
         let now = self.core.clock().now();
-        if self.backends.next() <= now {
+        if self.backends.next_deadline() <= now {
             let over = self.backends.conns.iter().filter(|(_, b)| b.until <= now).map(|(&id, _)| id);
             for id in over.collect::<Vec<_>>() {
                 match self.backends.conns.get_mut(&id) {
-                    Some(backend) if matches!(backend.work, Work::Rests) => {
-                        (backend.work, backend.until) = (Work::Idle, f64::INFINITY);
+                    Some(backend) if matches!(backend.work, ConnectionUse::CoolingDown) => {
+                        (backend.work, backend.until) = (ConnectionUse::Idle, f64::INFINITY);
                         self.backends.pool.put(backend.server, id, now);
                     }
                     // A dispatch has a time limit only while it connects, so that nothing of it was written.
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -19,9 +19,9 @@
 
 use console::{Call, Console};
 use fleet::Fleet;
-use gearman::Gearman;
-use http::Platform;
-use streaming::Stream;
+use gearman::GearmanFrontend;
+use http::HttpFrontend;
+use streaming::StreamingFrontend;
 
 /// The sockets of the gateway.
 pub type Sockets = Net<Gateway>;
@@ -30,14 +30,14 @@
 /// dispatcher of the zone may be away as well, and then nobody else would take the requests. After it
 /// connections are closed between requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Leaving {
+pub struct Shutdown {
     /// Nothing new is taken from here on.
     pub last_call: f64,
     /// Since when all sessions are over.
     quiet: Option<f64>,
 }
 
-impl Leaving {
+impl Shutdown {
     /// A kill comes no sooner than the longest deadline, counted as `LONGEST` at most, and `MORE` after the
     /// signal; what came within `MORE` may be left unanswered by it.
     const LONGEST: f64 = 3000.0;
@@ -58,21 +58,21 @@
             return false;
         }
         let since = *self.quiet.get_or_insert(now);
-        now >= since + Leaving::READS || written()
+        now >= since + Shutdown::READS || written()
     }
 
     /// A stop that begins now.
-    pub fn begin(core: &mut Core) -> Leaving {
-        let longest = core.site().grades.iter().map(|g| g.hard_limit).fold(0.0, f64::max);
-        Leaving::within(core, longest.min(Leaving::LONGEST) + Leaving::MORE - Leaving::MARGIN)
+    pub fn begin(core: &mut Core) -> Shutdown {
+        let longest = core.site().client_classes.iter().map(|g| g.hard_limit).fold(0.0, f64::max);
+        Shutdown::within(core, longest.min(Shutdown::LONGEST) + Shutdown::MORE - Shutdown::MARGIN)
     }
 
     /// The same where a kill comes no sooner than `end` milliseconds after the signal.
-    pub fn within(core: &mut Core, end: f64) -> Leaving {
+    pub fn within(core: &mut Core, end: f64) -> Shutdown {
         let now = core.clock().now();
-        let serves = Leaving::SERVES.min(end / 2.0);
-        core.limit_late_deadlines(now + Leaving::MORE - Leaving::MARGIN, now + end);
-        Leaving { last_call: now + serves, quiet: None }
+        let serves = Shutdown::SERVES.min(end / 2.0);
+        core.limit_late_deadlines(now + Shutdown::MORE - Shutdown::MARGIN, now + end);
+        Shutdown { last_call: now + serves, quiet: None }
     }
 }
 
@@ -127,7 +127,7 @@
             .map(|(file, path)| gearman::Config::read(&file, settings).map_err(|e| format!("{path}: {e}")));
         let gearman = gearman.transpose()?;
         let taken = gearman.as_ref().map_or(0, |g| g.peers);
-        let taken = taken + stream.as_ref().map_or(0, streaming::Stream::descriptors);
+        let taken = taken + stream.as_ref().map_or(0, streaming::StreamingFrontend::descriptors);
         let platform = config
             .zip(self.config.as_ref())
             .map(|(config, path)| http::Config::read(&config, taken).map_err(|e| format!("{path}: {e}")));
@@ -145,11 +145,11 @@
     /// The sockets.
     pub net: Sockets,
     /// The platform's front, where it is set up.
-    pub platform: Option<Platform>,
+    pub platform: Option<HttpFrontend>,
     /// Gearman's front, where it is set up.
-    pub gearman: Option<Gearman>,
+    pub gearman: Option<GearmanFrontend>,
     /// The stream front, where it is set up.
-    pub stream: Option<Stream>,
+    pub stream: Option<StreamingFrontend>,
     /// The fleet's front, where it is set up.
     pub fleet: Option<Fleet>,
     /// The operators' console, where it is set up.
@@ -171,7 +171,7 @@
             console.sweep(&mut self.net, self.clock.now());
         }
         if let Some(fleet) = &mut self.fleet {
-            fleet.tick(self.platform.as_mut().map(Platform::core_mut));
+            fleet.tick(self.platform.as_mut().map(HttpFrontend::core_mut));
             while let Some(order) = fleet.order() {
                 if let Some(front) = &mut self.platform {
                     fleet.carry_out(&mut self.net, front, order);
@@ -194,15 +194,15 @@
     }
 
     /// When `tick` is to be called next.
-    pub fn next(&self) -> f64 {
-        let platform = self.platform.as_ref().map_or(f64::INFINITY, Platform::next);
-        let gearman = self.gearman.as_ref().map_or(f64::INFINITY, Gearman::next);
-        let console = self.console.as_ref().map_or(f64::INFINITY, Console::next);
-        let fleet = self.fleet.as_ref().map_or(f64::INFINITY, Fleet::next);
+    pub fn next_deadline(&self) -> f64 {
+        let platform = self.platform.as_ref().map_or(f64::INFINITY, HttpFrontend::next_deadline);
+        let gearman = self.gearman.as_ref().map_or(f64::INFINITY, GearmanFrontend::next_deadline);
+        let console = self.console.as_ref().map_or(f64::INFINITY, Console::next_deadline);
+        let fleet = self.fleet.as_ref().map_or(f64::INFINITY, Fleet::next_deadline);
         platform
             .min(fleet)
             .min(gearman)
-            .min(self.stream.as_ref().map_or(f64::INFINITY, Stream::next))
+            .min(self.stream.as_ref().map_or(f64::INFINITY, StreamingFrontend::next_deadline))
             .min(console)
     }
 
@@ -236,9 +236,9 @@
     /// The figures of all fronts, in the text exposition format.
     pub fn telemetry(&self) -> String {
         let mut cores: Vec<&Core> = Vec::new();
-        cores.extend(self.platform.as_ref().map(Platform::core));
-        cores.extend(self.gearman.as_ref().map(Gearman::core));
-        cores.extend(self.stream.as_ref().map(Stream::core));
+        cores.extend(self.platform.as_ref().map(HttpFrontend::core));
+        cores.extend(self.gearman.as_ref().map(GearmanFrontend::core));
+        cores.extend(self.stream.as_ref().map(StreamingFrontend::core));
         let gauges = cores.iter().fold(Gauges::default(), |sum, core| sum + core.gauges());
         let counts: Vec<_> = cores.iter().map(|core| core.telemetry()).collect();
         telemetry::render(&counts, gauges) + &self.fleet.as_ref().map(Fleet::figures).unwrap_or_default()
--- a/src/frontend/streaming/clients.rs
+++ b/src/frontend/streaming/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: their connections and heads, what is refused before it is taken, and answers of the front's own.
 
-use super::Stream;
+use super::StreamingFrontend;
 use super::relay::{Exchange, Up};
 use crate::flow::{Dispatch, Hold, StreamId, Way};
 use crate::frontend::Sockets;
@@ -45,7 +45,7 @@
     }
 }
 
-impl Stream {
+impl StreamingFrontend {
     /// Accepts what waits. At the bound the connection that has been idle longest makes room; where all are at a
     /// stream, a new one is told so and closed.
     pub fn accept(&mut self, net: &mut Sockets) {
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -11,7 +11,7 @@
 use crate::routing::{
     Capabilities, Class, Endpoint, EndpointId, EndpointStatus, Idempotency, ServiceRules, Settings,
 };
-use crate::settings::{Grade, Site};
+use crate::settings::{ClientClass, Site};
 
 /// Most of a body's prefix that can be held: it must fit a connection's buffer with its head.
 pub const MOST_HELD_KB: f64 = 64.0;
@@ -420,7 +420,7 @@
             },
             kind: None,
         };
-        let grade = |c: &ClassTable| Grade { name: c.name.clone(), hard_limit: c.longest_s * 1e3 };
+        let grade = |c: &ClassTable| ClientClass { name: c.name.clone(), hard_limit: c.longest_s * 1e3 };
         let settings = Settings {
             number: self.number,
             dispatchers: self.dispatchers,
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -10,8 +10,8 @@
 
 use rustc_hash::FxHashMap;
 
-use super::discovery::{Discovery, Heard};
-use super::{Leaving, Sockets};
+use super::discovery::{Discovery, DiscoveryUpdate};
+use super::{Shutdown, Sockets};
 use crate::core::{Clock, Command, Core, FinalAnswer};
 use crate::flow::{Admission, Flow, Slots, StreamId};
 use crate::net::{ConnId, Pipes, Pool};
@@ -27,7 +27,7 @@
 const ROUND: usize = 1 << 20;
 
 /// The front.
-pub struct Stream {
+pub struct StreamingFrontend {
     core: Core,
     config: Config,
     listener: usize,
@@ -46,14 +46,14 @@
     last: StreamId,
     /// Client connections that may hold a next request.
     later: Vec<ConnId>,
-    stopping: Option<Leaving>,
+    stopping: Option<Shutdown>,
     /// When streams that still run are cut.
     cut: f64,
 }
 
-impl Stream {
+impl StreamingFrontend {
     /// A front on a listener that is open.
-    pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> Stream {
+    pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> StreamingFrontend {
         let discovery = config.table.discovery.map(|address| Discovery::new(address, Some(address), 0, seed));
         let mut core = Core::new(config.site.clone(), seed, clock, config.bounds.total);
         if discovery.is_some() {
@@ -61,7 +61,7 @@
         } else {
             core.on_list(config.lines.clone(), true);
         }
-        Stream {
+        StreamingFrontend {
             core,
             listener,
             clients: FxHashMap::default(),
@@ -109,7 +109,7 @@
             let heard = discovery.follow(net, now, config.table.discovery, &self.core.site().settings);
             self.heard(net, heard);
         } else {
-            self.heard(net, Some(Heard::List(config.lines.clone(), true)));
+            self.heard(net, Some(DiscoveryUpdate::List(config.lines.clone(), true)));
         }
         self.config = config;
         self.carry_out(net);
@@ -160,7 +160,7 @@
     }
 
     /// Tells the core what discovery has brought.
-    fn heard(&mut self, net: &mut Sockets, heard: Option<Heard>) {
+    fn heard(&mut self, net: &mut Sockets, heard: Option<DiscoveryUpdate>) {
         for server in heard.map(|heard| heard.tell(&mut self.core)).unwrap_or_default() {
             self.drop_idle(net, server);
         }
@@ -235,7 +235,7 @@
     }
 
     /// When `tick` is to be called next.
-    pub fn next(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         let now = self.now();
         if self.flow.has_turns() || !self.later.is_empty() {
             return now;
@@ -244,7 +244,7 @@
         let servers = self.servers.values().map(|s| s.until);
         let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call.max(now + 20.0));
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
-        let discovery = self.discovery.as_ref().map_or(f64::INFINITY, Discovery::next);
+        let discovery = self.discovery.as_ref().map_or(f64::INFINITY, Discovery::next_deadline);
         let due = wake.min(stop).min(discovery).min(self.flow.due());
         let answers = self.exchanges.values().map(|e| e.answer_by);
         clients.chain(servers).chain(answers).fold(due, f64::min)
@@ -254,7 +254,7 @@
     pub fn stop(&mut self) {
         let span = self.config.table.stop_s * 1e3;
         self.cut = self.cut.min(self.now() + span);
-        self.stopping.get_or_insert_with(|| Leaving::within(&mut self.core, span));
+        self.stopping.get_or_insert_with(|| Shutdown::within(&mut self.core, span));
     }
 
     /// Whether it is past its last call.
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -1,6 +1,6 @@
 //! Exchanges: a request and its answer, from the head until both bodies have passed, and their turns.
 
-use super::Stream;
+use super::StreamingFrontend;
 use super::config::StreamClass;
 use crate::core::{FinalAnswer, JobRequest};
 use crate::flow::{Hold, Moved, Side, StreamId, Turn, Way};
@@ -265,7 +265,7 @@
     }
 }
 
-impl Stream {
+impl StreamingFrontend {
     /// Hands a request to the module.
     pub(super) fn route(&mut self, net: &mut Sockets, stream: StreamId) {
         let now = self.now();
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::Stream;
+use super::StreamingFrontend;
 use super::relay::Up;
 
 use crate::flow::{StreamId, Way};
@@ -22,7 +22,7 @@
     base: u64,
 }
 
-impl Stream {
+impl StreamingFrontend {
     /// Sends a dispatch, as far as its body has come.
     pub(super) fn send(&mut self, net: &mut Sockets, session: JobId, attempt: usize, worker: EndpointId) {
         let now = self.now();
--- a/src/ingest/policy.rs
+++ b/src/ingest/policy.rs
@@ -190,7 +190,7 @@
             };
             partitions.push((table.name.clone(), line(text, at), selector));
         }
-        let grades: Vec<String> = site.grades.iter().map(|grade| grade.name.clone()).collect();
+        let grades: Vec<String> = site.client_classes.iter().map(|grade| grade.name.clone()).collect();
         let mut rules: Vec<Rule> = Vec::new();
         let mut known = BTreeSet::new();
         for spanned in file.rule {
--- a/src/lifecycle/callback_forwarding.rs
+++ b/src/lifecycle/callback_forwarding.rs
@@ -17,7 +17,7 @@
 
 /// A call-back that this process does not know, and who has been asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct PendingCallback {
     /// The connection that it came by.
     pub from: u64,
     /// Its body.
@@ -28,7 +28,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ForwardingAction {
     /// Open a link to a process: it may turn out to be another's.
     Open(u32),
     /// Pass a call on to a process over its link; its word comes in the order of the calls.
@@ -45,16 +45,16 @@
 #[derive(Debug)]
 struct Peer {
     pid: u32,
-    state: Link,
+    state: LinkState,
     tries: u32,
     /// Calls that were passed on, or wait for the link, in order.
-    waiting: VecDeque<Call>,
+    waiting: VecDeque<PendingCallback>,
     /// Words still to come on calls that are not waited for any more.
     stale: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Link {
+enum LinkState {
     Opening,
     Up,
     /// It could not be reached.
@@ -63,15 +63,15 @@
 
 /// The machine.
 #[derive(Debug)]
-pub struct Seam {
+pub struct CallbackForwarder {
     own: u32,
     peers: Vec<Peer>,
 }
 
-impl Seam {
+impl CallbackForwarder {
     /// A process with nobody beside it.
-    pub fn new(own: u32) -> Seam {
-        Seam { own, peers: Vec::new() }
+    pub fn new(own: u32) -> CallbackForwarder {
+        CallbackForwarder { own, peers: Vec::new() }
     }
 
     /// This process.
@@ -82,7 +82,7 @@
     /// Whether no link is being opened: until then a process should not say that it is ready, since the one beside
     /// may stop listening at its word.
     pub fn settled(&self) -> bool {
-        self.peers.iter().all(|p| p.state != Link::Opening)
+        self.peers.iter().all(|p| p.state != LinkState::Opening)
     }
 
     /// The processes beside this one.
@@ -91,74 +91,84 @@
     }
 
     /// A live process is beside this one. Opens a link to it, once.
-    pub fn meet(&mut self, pid: u32) -> Option<Step> {
+    pub fn meet(&mut self, pid: u32) -> Option<ForwardingAction> {
         if pid == self.own || self.peers().any(|p| p == pid) || self.peers.len() >= PEERS {
             return None;
         }
-        self.peers.push(Peer { pid, state: Link::Opening, tries: 1, waiting: VecDeque::new(), stale: 0 });
-        Some(Step::Open(pid))
+        self.peers.push(Peer {
+            pid,
+            state: LinkState::Opening,
+            tries: 1,
+            waiting: VecDeque::new(),
+            stale: 0,
+        });
+        Some(ForwardingAction::Open(pid))
     }
 
     /// A link reached the process `reached`; it was opened for `pid`. Calls that wait are passed on.
-    pub fn reached(&mut self, pid: u32, reached: u32) -> Vec<Step> {
+    pub fn reached(&mut self, pid: u32, reached: u32) -> Vec<ForwardingAction> {
         let Some(peer) = self.peers.iter_mut().find(|p| p.pid == pid) else { return Vec::new() };
         if reached == pid {
-            (peer.state, peer.tries) = (Link::Up, 0);
-            return peer.waiting.iter().map(|c| Step::Pass(pid, c.body.clone(), c.asked.clone())).collect();
+            (peer.state, peer.tries) = (LinkState::Up, 0);
+            return peer
+                .waiting
+                .iter()
+                .map(|c| ForwardingAction::Pass(pid, c.body.clone(), c.asked.clone()))
+                .collect();
         }
         if peer.tries < TRIES {
             peer.tries += 1;
-            return vec![Step::Open(pid)];
+            return vec![ForwardingAction::Open(pid)];
         }
         self.lost(pid, true)
     }
 
     /// A process does not answer on a link that stands, as one that is frozen: its calls are to be repeated. Its
     /// words may come yet.
-    pub fn silent(&mut self, pid: u32) -> Vec<Step> {
+    pub fn silent(&mut self, pid: u32) -> Vec<ForwardingAction> {
         let Some(peer) = self.peers.iter_mut().find(|p| p.pid == pid) else { return Vec::new() };
         peer.stale += peer.waiting.len();
-        peer.waiting.drain(..).map(|c| Step::Later(c.from)).collect()
+        peer.waiting.drain(..).map(|c| ForwardingAction::Later(c.from)).collect()
     }
 
     /// A link has ended. A process that has gone knows nothing any more; calls to one that lives are to be repeated,
     /// and the next one opens a link anew.
-    pub fn lost(&mut self, pid: u32, alive: bool) -> Vec<Step> {
+    pub fn lost(&mut self, pid: u32, alive: bool) -> Vec<ForwardingAction> {
         let Some(at) = self.peers.iter().position(|p| p.pid == pid) else { return Vec::new() };
         if alive {
             let peer = &mut self.peers[at];
-            (peer.state, peer.stale) = (Link::Lost, 0);
-            return peer.waiting.drain(..).map(|c| Step::Later(c.from)).collect();
+            (peer.state, peer.stale) = (LinkState::Lost, 0);
+            return peer.waiting.drain(..).map(|c| ForwardingAction::Later(c.from)).collect();
         }
         let peer = self.peers.remove(at);
         peer.waiting.into_iter().flat_map(|call| self.pass(call)).collect()
     }
 
     /// A call-back that this process does not know.
-    pub fn pass(&mut self, mut call: Call) -> Option<Step> {
+    pub fn pass(&mut self, mut call: PendingCallback) -> Option<ForwardingAction> {
         let next = self.peers.iter_mut().find(|p| !call.asked.contains(&p.pid));
-        let Some(peer) = next else { return Some(Step::Unknown(call.from)) };
+        let Some(peer) = next else { return Some(ForwardingAction::Unknown(call.from)) };
         if peer.waiting.len() + peer.stale >= WAITING {
-            return Some(Step::Later(call.from));
+            return Some(ForwardingAction::Later(call.from));
         }
         if !call.asked.contains(&self.own) {
             call.asked.push(self.own);
         }
-        let step = Step::Pass(peer.pid, call.body.clone(), call.asked.clone());
+        let step = ForwardingAction::Pass(peer.pid, call.body.clone(), call.asked.clone());
         peer.waiting.push_back(call);
         match peer.state {
-            Link::Up => Some(step),
-            Link::Opening => None,
-            Link::Lost => {
-                (peer.state, peer.tries) = (Link::Opening, 1);
-                Some(Step::Open(peer.pid))
+            LinkState::Up => Some(step),
+            LinkState::Opening => None,
+            LinkState::Lost => {
+                (peer.state, peer.tries) = (LinkState::Opening, 1);
+                Some(ForwardingAction::Open(peer.pid))
             }
         }
     }
 
     /// The word of a process on the oldest call passed to it: whether it has taken it, or does not know it; none
     /// where it is to be repeated.
-    pub fn word(&mut self, pid: u32, taken: Option<bool>) -> Option<Step> {
+    pub fn word(&mut self, pid: u32, taken: Option<bool>) -> Option<ForwardingAction> {
         let peer = self.peers.iter_mut().find(|p| p.pid == pid)?;
         if peer.stale > 0 {
             peer.stale -= 1;
@@ -166,12 +176,12 @@
         }
         let mut call = peer.waiting.pop_front()?;
         match taken {
-            Some(true) => Some(Step::Taken(call.from)),
+            Some(true) => Some(ForwardingAction::Taken(call.from)),
             Some(false) => {
                 call.asked.push(pid);
                 self.pass(call)
             }
-            None => Some(Step::Later(call.from)),
+            None => Some(ForwardingAction::Later(call.from)),
         }
     }
 }
@@ -181,62 +191,62 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn call(from: u64) -> Call {
-        Call { from, body: vec![from as u8], asked: Vec::new() }
+    fn call(from: u64) -> PendingCallback {
+        PendingCallback { from, body: vec![from as u8], asked: Vec::new() }
     }
 
     #[test]
     fn a_call_waits_for_the_link_and_is_acknowledged_by_its_owner_alone() {
-        let mut seam = Seam::new(1);
-        assert_eq!(seam.pass(call(7)), Some(Step::Unknown(7)), "nobody is beside");
-        assert_eq!(seam.meet(2), Some(Step::Open(2)));
+        let mut seam = CallbackForwarder::new(1);
+        assert_eq!(seam.pass(call(7)), Some(ForwardingAction::Unknown(7)), "nobody is beside");
+        assert_eq!(seam.meet(2), Some(ForwardingAction::Open(2)));
         assert!(!seam.settled());
         assert_eq!(seam.pass(call(8)), None, "the link is not up");
-        assert_eq!(seam.reached(2, 1), [Step::Open(2)], "it reached this process itself");
-        assert_eq!(seam.reached(2, 2), [Step::Pass(2, vec![8], vec![1])]);
+        assert_eq!(seam.reached(2, 1), [ForwardingAction::Open(2)], "it reached this process itself");
+        assert_eq!(seam.reached(2, 2), [ForwardingAction::Pass(2, vec![8], vec![1])]);
         assert!(seam.settled());
-        assert_eq!(seam.word(2, Some(true)), Some(Step::Taken(8)));
-        assert_eq!(seam.pass(call(9)), Some(Step::Pass(2, vec![9], vec![1])));
-        assert_eq!(seam.word(2, Some(false)), Some(Step::Unknown(9)), "nobody else to ask");
+        assert_eq!(seam.word(2, Some(true)), Some(ForwardingAction::Taken(8)));
+        assert_eq!(seam.pass(call(9)), Some(ForwardingAction::Pass(2, vec![9], vec![1])));
+        assert_eq!(seam.word(2, Some(false)), Some(ForwardingAction::Unknown(9)), "nobody else to ask");
     }
 
     #[test]
     fn a_call_goes_on_over_a_third_process_and_never_in_a_circle() {
-        let mut seam = Seam::new(2);
+        let mut seam = CallbackForwarder::new(2);
         seam.meet(1);
         seam.meet(3);
         assert_eq!(seam.meet(4), None, "two at most");
         seam.reached(1, 1);
         seam.reached(3, 3);
-        let from_three = Call { asked: vec![3], ..call(5) };
-        assert_eq!(seam.pass(from_three), Some(Step::Pass(1, vec![5], vec![3, 2])));
-        assert_eq!(seam.word(1, Some(false)), Some(Step::Unknown(5)), "three was asked before");
+        let from_three = PendingCallback { asked: vec![3], ..call(5) };
+        assert_eq!(seam.pass(from_three), Some(ForwardingAction::Pass(1, vec![5], vec![3, 2])));
+        assert_eq!(seam.word(1, Some(false)), Some(ForwardingAction::Unknown(5)), "three was asked before");
     }
 
     #[test]
     fn the_dead_know_nothing_and_the_silent_are_not_waited_for() {
-        let mut seam = Seam::new(1);
+        let mut seam = CallbackForwarder::new(1);
         seam.meet(2);
         seam.pass(call(1));
-        assert_eq!(seam.lost(2, true), [Step::Later(1)]);
-        assert_eq!(seam.pass(call(2)), Some(Step::Open(2)), "it lives, and may own the job");
+        assert_eq!(seam.lost(2, true), [ForwardingAction::Later(1)]);
+        assert_eq!(seam.pass(call(2)), Some(ForwardingAction::Open(2)), "it lives, and may own the job");
         seam.reached(2, 2);
-        assert_eq!(seam.silent(2), [Step::Later(2)], "it is frozen");
-        assert_eq!(seam.pass(call(4)), Some(Step::Pass(2, vec![4], vec![1])), "it has thawed");
+        assert_eq!(seam.silent(2), [ForwardingAction::Later(2)], "it is frozen");
+        assert_eq!(seam.pass(call(4)), Some(ForwardingAction::Pass(2, vec![4], vec![1])), "it has thawed");
         assert_eq!(seam.word(2, Some(true)), None, "its word on the call that was not waited for");
-        assert_eq!(seam.word(2, Some(true)), Some(Step::Taken(4)));
+        assert_eq!(seam.word(2, Some(true)), Some(ForwardingAction::Taken(4)));
         assert_eq!(seam.lost(2, false), []);
-        assert_eq!(seam.pass(call(3)), Some(Step::Unknown(3)));
+        assert_eq!(seam.pass(call(3)), Some(ForwardingAction::Unknown(3)));
     }
 
     proptest! {
         /// Every call is answered exactly once, whatever comes, once all others have gone.
         #[test]
         fn every_call_is_answered_once(script in proptest::collection::vec((0u8..8, 2u32..5), 0..120)) {
-            let mut seam = Seam::new(1);
+            let mut seam = CallbackForwarder::new(1);
             let (mut sent, mut answered) = (0u64, Vec::new());
-            let mut done = |steps: Vec<Step>| for step in steps {
-                if let Step::Taken(from) | Step::Unknown(from) | Step::Later(from) = step {
+            let mut done = |steps: Vec<ForwardingAction>| for step in steps {
+                if let ForwardingAction::Taken(from) | ForwardingAction::Unknown(from) | ForwardingAction::Later(from) = step {
                     answered.push(from);
                 }
             };
--- a/src/lifecycle/warm_state.rs
+++ b/src/lifecycle/warm_state.rs
@@ -22,7 +22,7 @@
 /// Bytes before the payload.
 const HEAD: usize = 18;
 /// Longest file that is read.
-pub const LONGEST: usize = 8 << 20;
+pub const MAX_WARM_STATE_BYTES: usize = 8 << 20;
 /// Age from which it is not believed, in milliseconds: what the list said then may be undone.
 const OLDEST: f64 = 10_000.0;
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -13,9 +13,9 @@
 use micabeam::core::Clock;
 use micabeam::frontend::console::Console;
 use micabeam::frontend::fleet::Fleet;
-use micabeam::frontend::gearman::{self, Gearman};
-use micabeam::frontend::http::{self, Platform};
-use micabeam::frontend::streaming::{self, Stream};
+use micabeam::frontend::gearman::{self, GearmanFrontend};
+use micabeam::frontend::http::{self, HttpFrontend};
+use micabeam::frontend::streaming::{self, StreamingFrontend};
 use micabeam::frontend::{Configs, Files, Gateway, handover};
 use micabeam::lifecycle::Lifecycle;
 use micabeam::net::Net;
@@ -100,7 +100,7 @@
     let mut gateway = Gateway { net, platform, gearman, stream, fleet, console, life, note, clock, files };
     gateway.tick();
     while !gateway.stopped() {
-        let wait = (gateway.next() - gateway.clock.now()).clamp(0.0, ROUND);
+        let wait = (gateway.next_deadline() - gateway.clock.now()).clamp(0.0, ROUND);
         let wait = Duration::from_secs_f64(wait / 1e3);
         events.dispatch(Some(wait), &mut gateway).map_err(|e| format!("the loop: {e}"))?;
         gateway.tick();
@@ -116,7 +116,7 @@
 
 /// Leaves the note that tells a process at the same address that this one takes over from it.
 fn leave_note(path: &Path, clock: &Clock) -> Option<(PathBuf, u64)> {
-    let note = handover::Note { pid: std::process::id(), at: clock.now() as u64 };
+    let note = handover::HandoverNote { pid: std::process::id(), at: clock.now() as u64 };
     match handover::leave(path, note) {
         Ok(()) => Some((path.to_path_buf(), note.at)),
         Err(e) => {
@@ -144,23 +144,31 @@
     Fleet::new(config, handle, clock.clone())
 }
 
-fn open_stream(config: streaming::Config, net: &mut Net<Gateway>, clock: &Clock) -> Result<Stream, String> {
+fn open_stream(
+    config: streaming::Config,
+    net: &mut Net<Gateway>,
+    clock: &Clock,
+) -> Result<StreamingFrontend, String> {
     let listen = config.table.listen;
     let (listener, local) =
         net.listen(listen, false).map_err(|e| format!("cannot listen at {listen}: {e}"))?;
     let _ = writeln!(std::io::stdout(), "micabeam: streams at {local}");
     // Dispatchers of one installation draw differently.
     let seed = clock.now() as u64 ^ u64::from(config.table.number) << 48;
-    Ok(Stream::new(config, seed, clock.clone(), listener))
+    Ok(StreamingFrontend::new(config, seed, clock.clone(), listener))
 }
 
-fn open_gearman(config: gearman::Config, net: &mut Net<Gateway>, clock: &Clock) -> Result<Gearman, String> {
+fn open_gearman(
+    config: gearman::Config,
+    net: &mut Net<Gateway>,
+    clock: &Clock,
+) -> Result<GearmanFrontend, String> {
     let listen = config.listen;
     let (listener, local) =
         net.listen(listen, false).map_err(|e| format!("cannot listen at {listen}: {e}"))?;
     let _ = writeln!(std::io::stdout(), "micabeam: gearman at {local}");
     // Alone in its list, it need not differ from others in what it draws.
-    Gearman::new(config, clock.now() as u64, clock.clone(), listener)
+    GearmanFrontend::new(config, clock.now() as u64, clock.clone(), listener)
 }
 
 /// An address: of the environment, or of the configuration.
@@ -175,12 +183,12 @@
     config: http::Config,
     net: &mut Net<Gateway>,
     clock: &Clock,
-) -> Result<(Platform, SocketAddr), String> {
+) -> Result<(HttpFrontend, SocketAddr), String> {
     let discovery = address("LB_DISCOVERY", "discovery", config.discovery)?;
     let listen = address("LB_LISTEN", "listen", config.listen)?;
     // A process that upgrades this one listens beside it at the same address until this one has gone.
     let (listener, local) =
         net.listen(listen, true).map_err(|e| format!("cannot listen at {listen}: {e}"))?;
     let _ = writeln!(std::io::stdout(), "micabeam: listening at {local}");
-    Ok((Platform::new(config, clock.clone(), listener, discovery), local))
+    Ok((HttpFrontend::new(config, clock.clone(), listener, discovery), local))
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -17,7 +17,7 @@
 
 /// A class as clients know it.
 #[derive(Clone, Debug)]
-pub struct Grade {
+pub struct ClientClass {
     /// Its name.
     pub name: String,
     /// How long a client waits for one of its jobs at most, in milliseconds.
@@ -30,7 +30,7 @@
     /// What the module is told.
     pub settings: Settings,
     /// The classes, in the module's order.
-    pub grades: Vec<Grade>,
+    pub client_classes: Vec<ClientClass>,
     /// Names of kinds of workers, in the module's order.
     pub kinds: Vec<String>,
     /// Names of zones, in the module's order.
@@ -50,10 +50,10 @@
 
 impl Site {
     /// Settings that no wire has stated: one kind of worker, one zone, no load reports.
-    pub fn plain(settings: Settings, grades: Vec<Grade>) -> Site {
+    pub fn plain(settings: Settings, grades: Vec<ClientClass>) -> Site {
         Site {
             settings,
-            grades,
+            client_classes: grades,
             kinds: Vec::new(),
             zones: Vec::new(),
             tenants: Vec::new(),
@@ -85,7 +85,7 @@
             let stretch = stretches.get(at).and_then(|s| s.get::<f64>()).copied();
             classes.push(class(at, line, kind.map(|&k| k as u16), stretch)?);
             let name = text(line, "name").unwrap_or("").to_string();
-            grades.push(Grade { name, hard_limit: number(line, "hardLimit").unwrap_or(5e6) / 1e3 });
+            grades.push(ClientClass { name, hard_limit: number(line, "hardLimit").unwrap_or(5e6) / 1e3 });
         }
         if classes.is_empty() {
             return Err("settings: missing field `grades`, a list that is not empty".into());
@@ -131,7 +131,7 @@
         };
         Ok(Site {
             settings,
-            grades,
+            client_classes: grades,
             kinds: texts(facts, "kinds"),
             zones: texts(facts, "zones"),
             tenants: json::list(facts, "tenants")
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 use micabeam::core::{Clock, Core, ListedEndpoint};
-use micabeam::frontend::handover::Note;
+use micabeam::frontend::handover::HandoverNote;
 use micabeam::lifecycle::warm_state::WarmStateFile;
 use micabeam::routing::{Endpoint, EndpointId, EndpointStatus};
 use micabeam::settings::Site;
@@ -134,7 +134,7 @@
 /// What a process has left at an upgrade, with jobs served before, is what the next one goes on from.
 #[test]
 fn a_stored_warm_state_and_its_note_are_read_and_used() {
-    let note = Note::parse(include_str!("fixtures/upgrade/note.handover")).expect("it reads");
+    let note = HandoverNote::parse(include_str!("fixtures/upgrade/note.handover")).expect("it reads");
     let bytes = include_bytes!("fixtures/upgrade/state.memory");
     let names: Vec<String> =
         ["avail-search", "confirm-booking", "short-hold"].into_iter().map(String::from).collect();
