--- a/benches/lists.rs
+++ b/benches/lists.rs
@@ -4,7 +4,7 @@
 use std::hint::black_box;
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use micabeam::core::{Clock, Command, Core, JobRequest, ListedEndpoint};
+use micabeam::core::{Clock, Command, Core, JobRequest, ListScope, ListedEndpoint};
 use micabeam::routing::{Endpoint, EndpointStatus, LoadReport, Outcome};
 use micabeam::settings::Site;
 
@@ -30,7 +30,7 @@
     let clock = Clock::manual(1e9);
     let site = Site::parse(include_bytes!("../examples/settings.json")).expect("the example reads");
     let mut core = Core::new(site, 1, clock.clone(), 100);
-    core.on_list(lines(workers), true);
+    core.on_list(lines(workers), ListScope::Complete);
     (core, clock)
 }
 
@@ -42,7 +42,7 @@
             let (mut core, _) = core(size);
             b.iter_batched(
                 || lines(size),
-                |lines| core.on_list(black_box(lines), true),
+                |lines| core.on_list(black_box(lines), ListScope::Complete),
                 BatchSize::LargeInput,
             );
         });
@@ -59,7 +59,7 @@
             b.iter(|| {
                 turn += 1;
                 let state = if turn % 2 == 0 { EndpointStatus::Ready } else { EndpointStatus::Draining };
-                core.on_list(vec![line(7, state)], false);
+                core.on_list(vec![line(7, state)], ListScope::Changes);
             });
         });
     }
@@ -73,8 +73,13 @@
             b.iter(|| {
                 clock.set(clock.now() + 1.0);
                 let due = clock.now() + 4000.0;
-                let _ =
-                    core.submit(JobRequest { class: 2, deadline: due, slots: 1.0, work: None, partition: 0 });
+                let _ = core.submit(JobRequest {
+                    class: 2,
+                    deadline_ms: due,
+                    slots: 1.0,
+                    work_ms: None,
+                    partition: 0,
+                });
                 while let Some(command) = core.next_command() {
                     if let Command::Send { job: session, attempt, .. } = command {
                         core.on_attempt_ended(
--- a/rig/src/scale/lists.rs
+++ b/rig/src/scale/lists.rs
@@ -97,11 +97,10 @@
     let before = resident_kb();
     let mut core = Core::new(site, 1, clock.clone(), JOBS + out);
     let began = Instant::now();
-    let (_, read, whole) =
-        read_list(&json::parse(text.as_bytes()).map_err(failed)?, core.site()).map_err(failed)?;
+    let read = read_list(&json::parse(text.as_bytes()).map_err(failed)?, core.site()).map_err(failed)?;
     let parse_ms = began.elapsed().as_secs_f64() * 1e3;
     let began = Instant::now();
-    core.on_list(read, whole);
+    core.on_list(read.lines, read.scope);
     let apply_ms = began.elapsed().as_secs_f64() * 1e3;
     let memory_kb = resident_kb().saturating_sub(before);
     let dropped = (workers - core.endpoints().listed().len()) as u64;
@@ -110,8 +109,8 @@
         let health = if version % 2 == 0 { "draining" } else { "up" };
         let text = list(version + 2, false, &[line(version / 2 % workers, health)]);
         let change = json::parse(text.as_bytes()).map_err(failed)?;
-        let (_, read, whole) = read_list(&change, core.site()).map_err(failed)?;
-        core.on_list(read, whole);
+        let read = read_list(&change, core.site()).map_err(failed)?;
+        core.on_list(read.lines, read.scope);
     }
     let change_ms = began.elapsed().as_secs_f64() * 1e3 / CHANGES as f64;
     let job_us = jobs(&mut core, &clock);
@@ -139,7 +138,8 @@
     let mut out = 0;
     for _ in 0..jobs {
         let due = clock.now() + LONG;
-        let _ = core.submit(JobRequest { class: 2, deadline: due, slots: 1.0, work: None, partition: 0 });
+        let _ =
+            core.submit(JobRequest { class: 2, deadline_ms: due, slots: 1.0, work_ms: None, partition: 0 });
         while let Some(command) = core.next_command() {
             match command {
                 Command::Send { job: session, attempt, .. } => {
@@ -164,9 +164,9 @@
         let due = clock.now() + PATIENCE;
         let _ = core.submit(JobRequest {
             class: number % 3,
-            deadline: due,
+            deadline_ms: due,
             slots: 1.0,
-            work: None,
+            work_ms: None,
             partition: 0,
         });
         while let Some(command) = core.next_command() {
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -1,106 +1,118 @@
-//! The server table: the backend servers that the list has named, under the names that the wire gives them.
+//! The endpoint table: the endpoints that the list has named, under the names that the wire gives them. It alone makes
+//! their ids and knows their addresses; the router knows an endpoint by its id.
 
 use rustc_hash::FxHashMap;
 
 use crate::routing::{Endpoint, EndpointId, EndpointStatus};
 
-/// Most backend servers that are remembered: twice the largest fleet that is planned for. A line beyond it is told by a
-/// line in the log and counted.
+/// Most endpoints that are remembered: twice the largest fleet that is planned for. A line beyond it is counted and told
+/// in the log.
 pub const MAX_ENDPOINTS: usize = 32_768;
 
-/// A line of the list, as a front reads it.
+/// An endpoint as a frontend reads it from the list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// Name of the backend server, the same after a restart.
+    /// Its name, the same after a restart.
     pub name: String,
-    /// Where its front finds it; the core only keeps it.
+    /// Where its frontend finds it; the core only keeps it.
     pub address: String,
-    /// What the module is told of it; its id is filled in here.
+    /// What the router is told of it; its id is filled in by the table.
     pub endpoint: Endpoint,
 }
 
-/// A backend server.
-#[derive(Clone, Debug)]
-pub struct EndpointEntry {
-    /// Its line as last read.
-    pub line: ListedEndpoint,
+/// How much of the list some lines are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListScope {
+    /// All of it: an endpoint that they do not name is gone.
+    Complete,
+    /// What has changed since the last one.
+    Changes,
 }
 
-/// The server table.
+/// The endpoint table.
 #[derive(Default)]
 pub struct EndpointTable {
     ids: FxHashMap<String, EndpointId>,
-    servers: FxHashMap<EndpointId, EndpointEntry>,
-    /// Lines that there was no room for.
-    dropped: u64,
+    endpoints: FxHashMap<EndpointId, ListedEndpoint>,
+    /// Lines that there was no room for, since the start.
+    dropped_lines: u64,
 }
 
 impl EndpointTable {
-    /// Takes lines in and gives them as the module reads them.
-    pub fn apply(&mut self, lines: Vec<ListedEndpoint>, whole: bool) -> Vec<Endpoint> {
-        if whole {
-            self.servers.values_mut().for_each(|s| s.line.endpoint.status = EndpointStatus::Gone);
+    /// Takes lines of the list in, and gives them as the router reads them.
+    pub fn apply(&mut self, lines: Vec<ListedEndpoint>, scope: ListScope) -> Vec<Endpoint> {
+        if scope == ListScope::Complete {
+            for known in self.endpoints.values_mut() {
+                known.endpoint.status = EndpointStatus::Gone;
+            }
         }
-        let mut members = Vec::with_capacity(lines.len());
+        let mut applied = Vec::with_capacity(lines.len());
         for mut line in lines {
-            let id = match self.id(&line.name) {
-                Some(id) => id,
-                None if self.ids.len() >= MAX_ENDPOINTS && !self.forget() => {
-                    self.dropped += 1;
-                    continue;
-                }
-                None => self.name(&line.name),
+            let Some(id) = self.id_or_insert(&line.name) else {
+                self.dropped_lines += 1;
+                continue;
             };
             line.endpoint.id = id;
-            members.push(line.endpoint);
-            self.servers.insert(id, EndpointEntry { line });
+            applied.push(line.endpoint);
+            self.endpoints.insert(id, line);
         }
-        members
+        applied
     }
 
-    /// An id that every dispatcher makes of the same name, so that the fixed order is the same at all of them.
-    fn name(&mut self, name: &str) -> EndpointId {
-        let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
-            (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-        });
-        let mut id = EndpointId(hash);
-        while self.servers.contains_key(&id) {
+    /// The id of a name, a new one where it is not known; none where there is no room for another endpoint.
+    fn id_or_insert(&mut self, name: &str) -> Option<EndpointId> {
+        if let Some(id) = self.id(name) {
+            return Some(id);
+        }
+        if self.ids.len() >= MAX_ENDPOINTS && !self.remove_one_gone() {
+            return None;
+        }
+        let mut id = EndpointId(fnv1a(name));
+        while self.endpoints.contains_key(&id) {
             id = EndpointId(id.0.wrapping_add(1));
         }
         self.ids.insert(name.to_string(), id);
-        id
+        Some(id)
     }
 
-    /// Makes room by forgetting a backend server that is gone.
-    fn forget(&mut self) -> bool {
-        let gone = self.servers.iter().find(|(_, s)| s.line.endpoint.status == EndpointStatus::Gone);
+    /// Makes room by forgetting an endpoint that is gone. False where there is none.
+    fn remove_one_gone(&mut self) -> bool {
+        let gone = self.endpoints.iter().find(|(_, known)| known.endpoint.status == EndpointStatus::Gone);
         let Some((&id, _)) = gone else { return false };
-        if let Some(server) = self.servers.remove(&id) {
-            self.ids.remove(&server.line.name);
+        if let Some(removed) = self.endpoints.remove(&id) {
+            self.ids.remove(&removed.name);
         }
         true
     }
 
     /// Lines that there was no room for, since the start.
-    pub fn dropped(&self) -> u64 {
-        self.dropped
+    pub fn dropped_lines(&self) -> u64 {
+        self.dropped_lines
     }
 
-    /// A backend server by its id.
-    pub fn get(&self, id: EndpointId) -> Option<&EndpointEntry> {
-        self.servers.get(&id)
+    /// An endpoint by its id.
+    pub fn get(&self, id: EndpointId) -> Option<&ListedEndpoint> {
+        self.endpoints.get(&id)
     }
 
-    /// A backend server's id by its name.
+    /// An endpoint's id by its name.
     pub fn id(&self, name: &str) -> Option<EndpointId> {
         self.ids.get(name).copied()
     }
 
-    /// All that are not gone, in the order of their names.
-    pub fn listed(&self) -> Vec<&EndpointEntry> {
-        let present = |s: &&EndpointEntry| s.line.endpoint.status != EndpointStatus::Gone;
-        let mut listed: Vec<&EndpointEntry> = self.servers.values().filter(present).collect();
-        listed.sort_unstable_by(|a, b| a.line.name.cmp(&b.line.name));
+    /// All endpoints that are not gone, in the order of their names.
+    pub fn listed(&self) -> Vec<&ListedEndpoint> {
+        let is_present = |known: &&ListedEndpoint| known.endpoint.status != EndpointStatus::Gone;
+        let mut listed: Vec<&ListedEndpoint> = self.endpoints.values().filter(is_present).collect();
+        listed.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         listed
     }
 }
+
+/// The FNV-1a hash of a name: every dispatcher makes the same id of it, so that the fixed order of endpoints is the same at
+/// all of them.
+fn fnv1a(name: &str) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
+}
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,62 +1,100 @@
-//! Sessions and their dispatches.
+//! What a frontend hands in, what its client gets in the end, and what the core keeps of a job in between.
 
+use super::partition::PartitionId;
 use crate::routing::EndpointId;
 
-/// What a front hands in.
+/// A request as a frontend hands it in.
 #[derive(Clone, Copy, Debug)]
 pub struct JobRequest {
-    /// Its class, by index.
+    /// Its class, by index in the settings.
     pub class: usize,
-    /// When its client gives up.
-    pub deadline: f64,
-    /// Slots that it takes.
+    /// When its client gives up, in milliseconds of the core's clock.
+    pub deadline_ms: f64,
+    /// Slots that it takes at its endpoint.
     pub slots: f64,
-    /// Work that the client expects it to be, in milliseconds on a core of speed 1; none: not told.
-    pub work: Option<f64>,
-    /// The pool of servers that it is kept to; 0: all.
-    pub partition: super::PartitionId,
+    /// Work that the client expects it to be, in milliseconds on a core of speed 1; none where it is not told.
+    pub work_ms: Option<f64>,
+    /// The partition of the endpoints that it may be sent to; 0 for all of them.
+    pub partition: PartitionId,
 }
 
-/// A final answer.
+/// The one final answer to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// Served, with the backend server's result.
+    /// It was served, with the endpoint's result.
     Served(Vec<u8>),
-    /// Denied: trying again does no harm. Advice when to come back in milliseconds; 0: none.
+    /// It was rejected: trying again does no harm.
     Rejected {
-        /// The advice.
-        retry_after: f64,
+        /// Advice when to come back, in milliseconds; 0 for no advice.
+        retry_after_ms: f64,
     },
-    /// Failed; nothing is promised.
+    /// It failed; nothing is promised.
     Failed,
 }
 
-/// One dispatch of a session.
+/// One attempt of a job at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// The backend server.
+    /// Where it was sent.
     pub endpoint: EndpointId,
-    /// When it was sent; of a body that was relayed as it came, when the last of it was.
-    pub sent: f64,
-    /// When its answer began, where that is relayed as it comes.
-    pub began: Option<f64>,
-    /// It has not ended.
-    pub out: bool,
-    /// It is known never to have run.
-    pub never_ran: bool,
-    /// Its request has been written whole to the server, and counted so.
-    pub whole: bool,
+    /// Whether it has not ended yet.
+    pub is_open: bool,
+    /// When it was sent; where a body is relayed as it comes, when the last of it was.
+    pub(super) sent_at_ms: f64,
+    /// When its response began, where that is relayed as it comes.
+    pub(super) response_started_at_ms: Option<f64>,
+    /// Whether its request is complete at the endpoint, and counted so.
+    pub(super) request_sent: bool,
 }
 
-/// A request from the time it was taken until its one final answer.
+impl Attempt {
+    /// An attempt that is sent at `now_ms`.
+    pub(super) fn new(endpoint: EndpointId, now_ms: f64) -> Attempt {
+        Attempt {
+            endpoint,
+            is_open: true,
+            sent_at_ms: now_ms,
+            response_started_at_ms: None,
+            request_sent: false,
+        }
+    }
+
+    /// How long the endpoint took, by `now_ms`. A long response ends at the pace of its client, so that only the time to its
+    /// beginning is the endpoint's.
+    pub(super) fn latency_ms(&self, now_ms: f64) -> f64 {
+        self.response_started_at_ms.unwrap_or(now_ms) - self.sent_at_ms
+    }
+}
+
+/// How far a job has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum JobPhase {
+    /// It is owed a final answer.
+    Open,
+    /// Its response has begun to be relayed: as that attempt ends, so does the job.
+    Streaming,
+    /// It has had its final answer, or its client has left.
+    Finished,
+}
+
+/// A job from the time it is taken until its one final answer.
 #[derive(Debug)]
 pub struct ActiveJob {
     /// What was asked.
     pub request: JobRequest,
-    /// Its dispatches; the module counts them in the same order.
+    /// Its attempts; the router counts them in the same order.
     pub attempts: Vec<Attempt>,
-    /// It has had its answer, or its client left.
-    pub over: bool,
-    /// Its answer has begun to be relayed: what becomes of the dispatch is what becomes of the session.
-    pub streaming: bool,
+    pub(super) phase: JobPhase,
+}
+
+impl ActiveJob {
+    /// A job that has just been admitted.
+    pub(super) fn new(request: JobRequest) -> ActiveJob {
+        ActiveJob { request, attempts: Vec::new(), phase: JobPhase::Open }
+    }
+
+    /// An attempt that has not ended.
+    pub(super) fn open_attempt(&mut self, attempt: usize) -> Option<&mut Attempt> {
+        self.attempts.get_mut(attempt).filter(|attempt| attempt.is_open)
+    }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,387 +1,425 @@
-//! The core: sessions, the server table and the decision module. It knows no socket and no wire. A front
-//! hands it plain events and carries out the commands that come of them.
+//! The core of one frontend: its jobs, its endpoint table, its routers and what it counts. It knows no socket and no wire.
+//!
+//! A frontend calls the core with plain events (`submit`, `on_…`, `tick`) and then carries out all commands that
+//! `next_command` gives, in their order. It must tell the end of each attempt that it was told to send, once; and it calls
+//! `tick` when `next_deadline` has come.
+//!
+//! Who owns what: [`jobs::Jobs`] the jobs and their attempts, [`EndpointTable`] the endpoints' names and addresses,
+//! [`routers::Routers`] the routers with their wake-ups and the partitions, [`statistics::Statistics`] the counters. An event
+//! goes one way: `accept`, `admit` or `complete` takes it in, `route` hands it to a router, `send` and `answer` turn the
+//! router's actions into commands, and jobs that are finished are closed (`Core::drive`).
 
 mod clock;
+mod command;
 mod counters;
 mod endpoint_table;
 mod job;
+mod jobs;
 mod partition;
+mod routers;
 mod stages;
+mod statistics;
 mod traffic_split;
 
 use std::collections::VecDeque;
 
-use rustc_hash::FxHashMap;
+use thiserror::Error;
 
 pub use clock::{Clock, boot_ms, micros, millis};
+pub use command::Command;
 pub use counters::Counters;
-pub use endpoint_table::{EndpointEntry, EndpointTable, ListedEndpoint, MAX_ENDPOINTS};
+pub use endpoint_table::{EndpointTable, ListScope, ListedEndpoint, MAX_ENDPOINTS};
 pub use job::{ActiveJob, Attempt, FinalAnswer, JobRequest};
-pub use partition::{EndpointSelector, PartitionId};
-pub use traffic_split::TrafficEvent;
+pub use partition::{ALL_ENDPOINTS, EndpointSelector, PartitionId};
+pub use traffic_split::{Admission, TrafficEvent};
 
-use crate::routing::Router;
-use crate::routing::WarmState;
 use crate::routing::{
-    Action, Endpoint, EndpointId, EndpointStatus, Event, JobId, LoadReport, Micros, Outcome,
+    Action, AttemptEnd, Endpoint, EndpointId, EndpointStatus, Event, JobId, LoadReport, Outcome, WarmState,
 };
 use crate::settings::Site;
 use crate::telemetry::{Gauges, Telemetry};
-use partition::PartitionRouter;
+use jobs::Jobs;
+use routers::Routers;
+use stages::admit::{AdmissionLimits, ShutdownDeadline};
+use stages::complete::ResponseStart;
+use stages::{accept, admit, answer, complete, route, send};
+use statistics::Statistics;
 use traffic_split::TrafficSplit;
 
-/// What a front is to do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Command {
-    /// Send a dispatch to a backend server.
-    Send {
-        /// The session.
-        job: JobId,
-        /// Number of the attempt.
-        attempt: usize,
-        /// The endpoint.
-        endpoint: EndpointId,
-    },
-    /// Call a dispatch off; it has ended as far as the core goes.
-    Cancel {
-        /// The job.
-        job: JobId,
-        /// Number of the dispatch.
-        attempt: usize,
-    },
-    /// Give a session its one final answer.
-    Answer {
-        /// The job.
-        job: JobId,
-        /// The answer.
-        answer: FinalAnswer,
-    },
-    /// Probe a backend server.
-    Probe {
-        /// The endpoint.
-        endpoint: EndpointId,
-    },
-    /// Start a watch of the list.
-    Subscribe,
+/// Settings that cannot be taken over while the program runs: names are numbers in all that is open.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("other `grades`, `kinds` or `zones` take a restart")]
+pub struct IncompatibleSettings;
+
+/// What a zone has at one moment, as its dispatcher knows it.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ZoneLoad {
+    /// Attempts that are open there.
+    pub open_attempts: usize,
+    /// The sizes of its listed endpoints that take work, in sum.
+    pub ready_size: f64,
 }
 
-/// The core of one front.
+/// The core of one frontend.
 pub struct Core {
     clock: Clock,
     site: Site,
-    router: Router,
+    jobs: Jobs,
     endpoints: EndpointTable,
-    jobs: FxHashMap<JobId, ActiveJob>,
-    max_jobs: usize,
-    last_job: JobId,
-    /// When the module is to be woken, on its own clock.
-    wake_at: Option<Micros>,
-    /// Sessions that ended while the module's present answer is carried out.
-    ended: Vec<JobId>,
-    actions: Vec<Action>,
-    commands: VecDeque<Command>,
-    counters: Counters,
-    telemetry: Telemetry,
-    stopping: bool,
-    /// Since when, and by when all that came since is to be over.
-    late_deadline: Option<(f64, f64)>,
-    /// What each zone may get, where that is steered.
+    routers: Routers,
+    limits: AdmissionLimits,
+    /// What each zone may get, where a fleet decides on that.
     traffic_split: Option<Box<TrafficSplit>>,
-    /// Parts of the servers that some requests are kept to.
-    partitions: FxHashMap<PartitionId, PartitionRouter>,
-    last_partition: PartitionId,
-    seed: u64,
+    statistics: Statistics,
+    commands: VecDeque<Command>,
+    /// Room for a router's actions, empty between two events.
+    actions: Vec<Action>,
 }
 
 impl Core {
-    /// A core with an empty server table that holds so many sessions at most.
-    pub fn new(site: Site, seed: u64, clock: Clock, limit: usize) -> Core {
-        let lanes = site.client_classes.iter().map(|g| g.name.clone()).collect();
+    /// A core with an empty endpoint table that holds `max_jobs` open jobs at most. All its randomness comes from `seed`.
+    pub fn new(site: Site, seed: u64, clock: Clock, max_jobs: usize) -> Core {
+        let class_names = site.client_classes.iter().map(|class| class.name.clone()).collect();
         Core {
-            telemetry: Telemetry::new(lanes),
-            router: Router::new(site.settings.clone(), seed),
             clock,
-            site,
+            jobs: Jobs::default(),
             endpoints: EndpointTable::default(),
-            jobs: FxHashMap::default(),
-            max_jobs: limit,
-            last_job: JobId(0),
-            wake_at: None,
-            ended: Vec::new(),
-            actions: Vec::new(),
-            commands: VecDeque::new(),
-            counters: Counters::default(),
-            stopping: false,
-            late_deadline: None,
+            routers: Routers::new(site.settings.clone(), seed),
+            limits: AdmissionLimits { max_jobs, is_stopping: false, shutdown_deadline: None },
             traffic_split: None,
-            partitions: FxHashMap::default(),
-            last_partition: 0,
-            seed,
+            statistics: Statistics::new(class_names),
+            commands: VecDeque::new(),
+            actions: Vec::new(),
+            site,
         }
     }
 
-    /// Whether settings that were read again can be taken over. Names are numbers in all that is open, so that
-    /// other names take a restart.
-    pub fn check_compatible(&self, site: &Site) -> Result<(), String> {
-        let kinds = |site: &Site| site.settings.classes.iter().map(|c| c.kind).collect::<Vec<_>>();
-        let grades = |site: &Site| site.client_classes.iter().map(|g| g.name.clone()).collect::<Vec<_>>();
-        let same = grades(site) == grades(&self.site) && kinds(site) == kinds(&self.site);
-        if !same || (&site.kinds, &site.zones) != (&self.site.kinds, &self.site.zones) {
-            return Err("other `grades`, `kinds` or `zones` take a restart".into());
-        }
-        Ok(())
+    /// Checks whether settings that were read again can be taken over.
+    ///
+    /// # Errors
+    /// Where they name other classes, kinds or zones than those that the program was started with.
+    pub fn check_compatible(&self, site: &Site) -> Result<(), IncompatibleSettings> {
+        let kinds = |site: &Site| site.settings.classes.iter().map(|class| class.kind).collect::<Vec<_>>();
+        let names =
+            |site: &Site| site.client_classes.iter().map(|class| class.name.clone()).collect::<Vec<_>>();
+        let same_classes = names(site) == names(&self.site) && kinds(site) == kinds(&self.site);
+        let same_places = (&site.kinds, &site.zones) == (&self.site.kinds, &self.site.zones);
+        if same_classes && same_places { Ok(()) } else { Err(IncompatibleSettings) }
     }
 
-    /// Takes over settings that fit, and a bound on sessions; what is open goes on under them.
-    pub fn reconfigure(&mut self, site: Site, limit: usize) {
-        self.router.reconfigure(site.settings.clone());
-        self.partitions.values_mut().for_each(|pool| pool.adopt(site.settings.clone()));
-        (self.site, self.max_jobs) = (site, limit);
+    /// Takes over compatible settings and another bound on open jobs; what is open goes on under them.
+    pub fn reconfigure(&mut self, site: Site, max_jobs: usize) {
+        self.routers.reconfigure(&site.settings);
+        self.site = site;
+        self.limits.max_jobs = max_jobs;
     }
 
-    /// Takes a request in. Without an id it was turned away, and the verdict is its answer.
+    /// Takes a request in, and gives its id.
+    ///
+    /// # Errors
+    /// Where it is not admitted, with its final answer: no command follows for it.
     pub fn submit(&mut self, request: JobRequest) -> Result<JobId, FinalAnswer> {
-        let id = stages::accept::accept(self);
-        let request = stages::admit::admit(self, request)?;
-        stages::route::arrive(self, id, request);
+        let id = accept::accept(&mut self.jobs, &mut self.statistics.counters);
+        let class = request.class;
+        let traffic_split = self.traffic_split.as_deref_mut();
+        let admitted = admit::admit(&self.limits, traffic_split, self.jobs.len(), self.clock.now(), request);
+        let request = admitted.map_err(|refusal| {
+            self.statistics.count_not_admitted(class);
+            let retry_after_ms = if refusal.is_worth_a_retry() { self.site.max_retry_after } else { 0.0 };
+            FinalAnswer::Rejected { retry_after_ms }
+        })?;
+        self.jobs.insert(id, request);
+        self.routers.job_opened(request.partition);
+        self.drive(request.partition, route::job_event(id, &request));
         Ok(id)
     }
 
-    /// A session's client has left.
-    pub fn on_client_left(&mut self, session: JobId) {
-        stages::complete::client_left(self, session);
+    /// A job's client has left: it gets no answer, and its open attempts are cancelled.
+    pub fn on_client_left(&mut self, job: JobId) {
+        if let Some(request) = complete::client_left(&mut self.jobs, &mut self.statistics.counters, job) {
+            self.drive(request.partition, Event::ClientLeft(job));
+        }
     }
 
-    /// A dispatch has ended; `result` is what it served. False if it was over already.
+    /// An attempt has ended; `result` is what it served. False if it was over already: then nothing changes.
     pub fn on_attempt_ended(
         &mut self,
-        session: JobId,
+        job: JobId,
         attempt: usize,
         outcome: Outcome,
         report: LoadReport,
         result: Vec<u8>,
     ) -> bool {
-        stages::complete::ended(self, session, attempt, outcome, report, result)
+        let (now_ms, counters) = (self.clock.now(), &mut self.statistics.counters);
+        let Some(ended) = complete::end_attempt(&mut self.jobs, counters, now_ms, job, attempt) else {
+            return false;
+        };
+        if let Some(split) = &mut self.traffic_split
+            && let Some(line) = self.endpoints.get(ended.endpoint)
+        {
+            split.record_attempt(line.endpoint.zone, outcome, millis(ended.latency));
+        }
+        let finished = outcome == Outcome::Served || ended.was_streaming;
+        if outcome == Outcome::Served {
+            self.answer(job, FinalAnswer::Served(result));
+        } else {
+            complete::count_unserved(&mut self.statistics.counters, &ended, outcome);
+            // Bytes of its response are out: nothing else can follow.
+            if ended.was_streaming {
+                self.answer(job, FinalAnswer::Failed);
+            }
+        }
+        let (endpoint, latency) = (ended.endpoint, ended.latency);
+        let end = AttemptEnd { job, attempt, endpoint, outcome, latency, finished, report };
+        self.drive(self.partition_of(job), Event::Ended(end));
+        true
     }
 
-    /// A dispatch's job was started by its backend server.
-    pub fn on_attempt_started(&mut self, session: JobId, attempt: usize) {
-        stages::complete::started(self, session, attempt);
+    /// An attempt's job was started by its endpoint.
+    pub fn on_attempt_started(&mut self, job: JobId, attempt: usize) {
+        let known = self.jobs.get(job).and_then(|job| job.attempts.get(attempt));
+        if known.is_some_and(|attempt| attempt.is_open) {
+            self.drive(self.partition_of(job), Event::Started { job, attempt });
+        }
     }
 
-    /// All of a dispatch's request, relayed as it came, is with its server.
-    pub fn on_body_relayed(&mut self, session: JobId, attempt: usize) {
-        stages::complete::written(self, session, attempt);
+    /// An attempt's request was written to its endpoint to the last byte, where its body was not relayed as it came.
+    pub fn on_request_sent(&mut self, job: JobId, attempt: usize) {
+        complete::request_sent(&mut self.jobs, &mut self.statistics, job, attempt);
     }
 
-    /// The answer of a dispatch has begun, and is relayed as it comes: from now on the session has no deadline, and
-    /// ends as the dispatch does. False if the dispatch is over already, and its answer must not be passed on.
-    pub fn on_response_started(&mut self, session: JobId, attempt: usize) -> bool {
-        stages::complete::streaming(self, session, attempt)
+    /// All of an attempt's request, relayed as it came, is at its endpoint.
+    pub fn on_body_relayed(&mut self, job: JobId, attempt: usize) {
+        complete::request_sent(&mut self.jobs, &mut self.statistics, job, attempt);
+        complete::body_relayed(&mut self.jobs, self.clock.now(), job, attempt);
     }
 
-    /// Takes lines into the server table, and gives members as the module is to see them.
-    fn take_lines(&mut self, lines: Vec<ListedEndpoint>, whole: bool) -> Vec<Endpoint> {
-        let (before, mut members) = (self.endpoints.dropped(), self.endpoints.apply(lines, whole));
-        let dropped = self.endpoints.dropped() - before;
-        if dropped > 0 {
-            self.counters.lines_dropped += dropped;
-            crate::say(format_args!(
-                "the list has {dropped} servers more than the {MAX_ENDPOINTS} that are held"
-            ));
-        }
-        if let Some(steer) = &self.traffic_split {
-            steer.fit(&mut members);
+    /// The response of an attempt has begun, and is relayed as it comes: from now on the job has no deadline, and ends as
+    /// the attempt does. False if the attempt is over already, and its response must not be passed on.
+    pub fn on_response_started(&mut self, job: JobId, attempt: usize) -> bool {
+        match complete::response_started(&mut self.jobs, self.clock.now(), job, attempt) {
+            ResponseStart::Stale => false,
+            ResponseStart::Repeated => true,
+            ResponseStart::First => {
+                self.drive(self.partition_of(job), Event::Streaming(job));
+                true
+            }
         }
-        members
     }
 
-    /// From now on its zones are steered, and what they do is kept for `seen`.
-    pub fn enable_traffic_split(&mut self) {
-        self.traffic_split = Some(Box::new(TrafficSplit::new(self.site.zones.len())));
+    /// Whether an attempt may be written now that its connection is up. What has happened since it was decided is looked at
+    /// again: if it may not, it never ran, and the frontend ends it so.
+    pub fn attempt_is_valid(&self, job: JobId, attempt: usize) -> bool {
+        let Some(open) = self.jobs.get(job).filter(|job| job.phase != job::JobPhase::Finished) else {
+            return false;
+        };
+        let is_open = open.attempts.get(attempt).is_some_and(|attempt| attempt.is_open);
+        let router = self.routers.router(open.request.partition);
+        is_open && router.attempt_is_valid(micros(self.clock.now()), job, attempt)
     }
 
-    /// What each zone may get from now on, in thousandths, and what of the requests is taken.
-    pub fn set_traffic_split(&mut self, shares: Vec<u16>, admit: u16) {
-        let Some(steer) = self.traffic_split.as_mut() else { return };
-        steer.admit = admit;
-        if steer.shares == shares {
-            return;
+    /// The list as last held before a restart.
+    pub fn restore_list(&mut self, lines: Vec<ListedEndpoint>) {
+        let endpoints = self.apply_lines(lines, ListScope::Complete);
+        self.drive(ALL_ENDPOINTS, Event::Cached(&endpoints));
+    }
+
+    /// The list, or its changes.
+    pub fn on_list(&mut self, lines: Vec<ListedEndpoint>, scope: ListScope) {
+        self.statistics.counters.lists += 1;
+        let endpoints = self.apply_lines(lines, scope);
+        self.notify_routers(&endpoints, scope);
+    }
+
+    /// A call to discovery has failed, or the watch broke.
+    pub fn on_list_failed(&mut self) {
+        self.statistics.counters.list_failures += 1;
+        self.drive(ALL_ENDPOINTS, Event::ListFailed);
+    }
+
+    /// A probe has come back, or has not in time.
+    pub fn on_probe_ended(
+        &mut self,
+        endpoint: EndpointId,
+        answered: bool,
+        latency_ms: f64,
+        report: LoadReport,
+    ) {
+        let event = Event::Probed { endpoint, answered, latency: micros(latency_ms), report };
+        self.drive(ALL_ENDPOINTS, event);
+        for partition in self.routers.partition_ids() {
+            self.drive(partition, event);
         }
-        steer.shares = shares;
-        let mut members: Vec<Endpoint> = self.endpoints.listed().iter().map(|s| s.line.endpoint).collect();
-        steer.fit(&mut members);
-        self.notify_routers(&members, false);
     }
 
-    /// Tells the modules of the list, or of its changes.
-    fn notify_routers(&mut self, members: &[Endpoint], whole: bool) {
-        fn event(members: &[Endpoint], whole: bool) -> Event<'_> {
-            if whole { Event::List(members) } else { Event::Changes(members) }
+    /// Lets routers know that the time has come for which they asked.
+    pub fn tick(&mut self) {
+        if self.routers.all_is_due(micros(self.clock.now())) {
+            self.drive(ALL_ENDPOINTS, Event::Wake);
         }
-        stages::route::drive(self, event(members, whole));
-        for id in self.partitions.keys().copied().collect::<Vec<_>>() {
-            let own =
-                self.partitions.get(&id).map(|pool| pool.own(&self.endpoints, members)).unwrap_or_default();
-            stages::route::drive_in(self, id, event(&own, whole));
+        for partition in self.routers.due_partitions(micros(self.clock.now())) {
+            self.drive(partition, Event::Wake);
         }
     }
 
-    /// Pools of these servers, in order, and no others from now on: those there are and are not among them end with
-    /// their last requests.
-    pub fn set_partitions<'a>(
-        &mut self,
-        selectors: impl IntoIterator<Item = &'a EndpointSelector>,
-    ) -> Vec<PartitionId> {
-        self.partitions.values_mut().for_each(|pool| pool.wanted = false);
-        let ids = selectors.into_iter().map(|selector| self.partition(selector)).collect();
-        self.drop_unused_partitions();
-        ids
+    /// When `tick` is to be called next, in milliseconds of the clock.
+    pub fn next_deadline(&self) -> Option<f64> {
+        self.routers.next_wake().map(millis)
     }
 
-    /// A pool of these servers: the one that there is, or a new one that knows what the other modules have learned.
-    fn partition(&mut self, selector: &EndpointSelector) -> PartitionId {
-        if let Some((id, pool)) = self.partitions.iter_mut().find(|(_, pool)| pool.selector == *selector) {
-            pool.wanted = true;
-            return *id;
+    /// The next command for the frontend.
+    pub fn next_command(&mut self) -> Option<Command> {
+        self.commands.pop_front()
+    }
+
+    /// Takes lines into the endpoint table, and gives them as routers are to see them.
+    fn apply_lines(&mut self, lines: Vec<ListedEndpoint>, scope: ListScope) -> Vec<Endpoint> {
+        let dropped_before = self.endpoints.dropped_lines();
+        let mut endpoints = self.endpoints.apply(lines, scope);
+        let dropped = self.endpoints.dropped_lines() - dropped_before;
+        if dropped > 0 {
+            self.statistics.counters.lines_dropped += dropped;
+            crate::say(format_args!(
+                "the list has {dropped} servers more than the {MAX_ENDPOINTS} that are held"
+            ));
         }
-        self.last_partition += 1;
-        let (id, settings) = (self.last_partition, self.site.settings.clone());
-        let known: Vec<WarmState> = self.partitions.values().map(|pool| pool.module.warm_state()).collect();
-        let pool = PartitionRouter::new(selector.clone(), settings, self.seed ^ u64::from(id) << 32);
-        self.partitions.insert(id, pool);
-        let mut members: Vec<Endpoint> = self.endpoints.listed().iter().map(|s| s.line.endpoint).collect();
-        if let Some(steer) = &self.traffic_split {
-            steer.fit(&mut members);
+        if let Some(split) = &self.traffic_split {
+            split.scale(&mut endpoints);
         }
-        let own = self.partitions[&id].own(&self.endpoints, &members);
-        stages::route::drive_in(self, id, Event::List(&own));
-        // The whole's first; of those that have sent to the same servers the least budget counts.
-        let (now, learned) = (micros(self.clock.now()), self.router.warm_state());
-        if let Some(pool) = self.partitions.get_mut(&id) {
-            [learned].into_iter().chain(known).for_each(|learned| pool.recall(now, learned));
+        endpoints
+    }
+
+    /// All listed endpoints as routers are to see them.
+    fn scaled_endpoints(&self) -> Vec<Endpoint> {
+        let mut endpoints: Vec<Endpoint> = self.endpoints.listed().iter().map(|line| line.endpoint).collect();
+        if let Some(split) = &self.traffic_split {
+            split.scale(&mut endpoints);
         }
-        id
+        endpoints
     }
 
-    /// Drops pools that nothing leads to any more. What they have learned and spent goes on in the module of the whole.
-    fn drop_unused_partitions(&mut self) {
-        let now = micros(self.clock.now());
-        for (_, pool) in self.partitions.extract_if(|_, pool| !pool.wanted && pool.open == 0) {
-            self.router.restore(now, pool.module.warm_state());
+    /// Tells all routers of the list, or of its changes.
+    fn notify_routers(&mut self, endpoints: &[Endpoint], scope: ListScope) {
+        self.drive(ALL_ENDPOINTS, list_event(endpoints, scope));
+        for partition in self.routers.partition_ids() {
+            let selector = self.routers.selector(partition);
+            let selected = selector.map(|selector| selector.select(&self.endpoints, endpoints));
+            self.drive(partition, list_event(&selected.unwrap_or_default(), scope));
         }
     }
 
-    /// Pools that there are.
-    pub fn partition_count(&self) -> usize {
-        self.partitions.len()
+    /// From now on the sizes of its zones' endpoints are scaled, and what the zones do is recorded.
+    pub fn enable_traffic_split(&mut self) {
+        self.traffic_split = Some(Box::new(TrafficSplit::new(self.site.zones.len())));
     }
 
-    /// Whether a listed server that takes work is one of these.
-    pub fn has_ready_endpoint(&self, selector: &EndpointSelector) -> bool {
-        partition::has(&self.endpoints, selector)
+    /// What each zone may get from now on, and which share of requests is admitted, in thousandths.
+    pub fn set_traffic_split(&mut self, zone_shares: Vec<u16>, admitted_share: u16) {
+        let split = self.traffic_split.as_mut();
+        if split.is_some_and(|split| split.set(zone_shares, admitted_share)) {
+            let endpoints = self.scaled_endpoints();
+            self.notify_routers(&endpoints, ListScope::Changes);
+        }
     }
 
-    /// Tells what has happened since the last look.
-    pub fn drain_traffic_events(&mut self, mut tell: impl FnMut(TrafficEvent)) {
-        if let Some(steer) = &mut self.traffic_split {
-            steer.seen.drain(..).for_each(&mut tell);
+    /// Names what has happened in its zones since the last call.
+    pub fn drain_traffic_events(&mut self, consume: impl FnMut(TrafficEvent)) {
+        if let Some(split) = &mut self.traffic_split {
+            split.drain_events(consume);
         }
     }
 
-    /// Of each zone: dispatches that are out there, and the sizes of its listed servers.
-    pub fn zone_loads(&self, zones: usize) -> Vec<(usize, f64)> {
-        let mut loads = vec![(0, 0.0); zones];
-        for server in self.endpoints.listed() {
-            let member = &server.line.endpoint;
-            if let Some(load) = loads.get_mut(usize::from(member.zone))
-                && member.status == EndpointStatus::Ready
+    /// The load of each of so many zones, by the site's order.
+    pub fn zone_loads(&self, zones: usize) -> Vec<ZoneLoad> {
+        let mut loads = vec![ZoneLoad::default(); zones];
+        for line in self.endpoints.listed() {
+            let endpoint = &line.endpoint;
+            if let Some(load) = loads.get_mut(usize::from(endpoint.zone))
+                && endpoint.status == EndpointStatus::Ready
             {
-                load.1 += member.size;
+                load.ready_size += endpoint.size;
             }
         }
-        let out = self.jobs.values().flat_map(|s| s.attempts.iter().filter(|d| d.out));
-        for dispatch in out {
-            let zone = self.endpoints.get(dispatch.endpoint).map(|s| usize::from(s.line.endpoint.zone));
+        let attempts = self.jobs.iter().flat_map(|job| &job.attempts);
+        for attempt in attempts.filter(|attempt| attempt.is_open) {
+            let zone = self.endpoints.get(attempt.endpoint).map(|line| usize::from(line.endpoint.zone));
             if let Some(load) = zone.and_then(|zone| loads.get_mut(zone)) {
-                load.0 += 1;
+                load.open_attempts += 1;
             }
         }
         loads
     }
 
-    /// The list as last held before a restart.
-    pub fn restore_list(&mut self, lines: Vec<ListedEndpoint>) {
-        let members = self.take_lines(lines, true);
-        stages::route::drive(self, Event::Cached(&members));
-    }
-
-    /// The whole list, or its changes.
-    pub fn on_list(&mut self, lines: Vec<ListedEndpoint>, whole: bool) {
-        self.counters.lists += 1;
-        let members = self.take_lines(lines, whole);
-        self.notify_routers(&members, whole);
+    /// Partitions of these endpoints, in order, and no others from now on: those that are not among them end with their
+    /// last jobs. A new one starts with what the other routers have learned.
+    pub fn set_partitions<'a>(
+        &mut self,
+        selectors: impl IntoIterator<Item = &'a EndpointSelector>,
+    ) -> Vec<PartitionId> {
+        self.routers.unwant_all();
+        let ids = selectors.into_iter().map(|selector| self.partition(selector)).collect();
+        self.routers.drop_unused(micros(self.clock.now()));
+        ids
     }
 
-    /// A call to discovery has failed, or the watch broke.
-    pub fn on_list_failed(&mut self) {
-        self.counters.list_failures += 1;
-        stages::route::drive(self, Event::ListFailed);
+    fn partition(&mut self, selector: &EndpointSelector) -> PartitionId {
+        if let Some(id) = self.routers.want(selector) {
+            return id;
+        }
+        let others = self.routers.partition_states();
+        let id = self.routers.add(selector, &self.site.settings);
+        let selected = selector.select(&self.endpoints, &self.scaled_endpoints());
+        self.drive(id, Event::List(&selected));
+        self.routers.inherit(id, micros(self.clock.now()), others);
+        id
     }
 
-    /// A probe has come back, or has not in good time.
-    pub fn on_probe_ended(&mut self, worker: EndpointId, answered: bool, latency: f64, report: LoadReport) {
-        let probed = Event::Probed { endpoint: worker, answered, latency: micros(latency), report };
-        stages::route::drive(self, probed);
-        for id in self.partitions.keys().copied().collect::<Vec<_>>() {
-            stages::route::drive_in(self, id, probed);
-        }
+    /// How many partitions there are.
+    pub fn partition_count(&self) -> usize {
+        self.routers.partition_count()
     }
 
-    /// Lets the module know that time has passed, if it asked for that.
-    pub fn tick(&mut self) {
-        if self.wake_at.is_some_and(|at| at <= micros(self.clock.now())) {
-            stages::route::drive(self, Event::Wake);
-        }
-        let now = micros(self.clock.now());
-        let due = self.partitions.iter().filter(|(_, pool)| pool.wake_at.is_some_and(|at| at <= now));
-        for id in due.map(|(id, _)| *id).collect::<Vec<_>>() {
-            stages::route::drive_in(self, id, Event::Wake);
-        }
+    /// Whether a listed endpoint that takes work belongs to these.
+    pub fn has_ready_endpoint(&self, selector: &EndpointSelector) -> bool {
+        selector.has_ready_endpoint(&self.endpoints)
     }
 
-    /// When `tick` is to be called next.
-    pub fn next_deadline(&self) -> Option<f64> {
-        let pools = self.partitions.values().filter_map(|pool| pool.wake_at);
-        pools.chain(self.wake_at).min().map(millis)
+    /// What is taken in from one time on is to be over by another, in milliseconds of the clock.
+    pub fn limit_late_deadlines(&mut self, from_ms: f64, until_ms: f64) {
+        self.limits.shutdown_deadline = Some(ShutdownDeadline { from_ms, until_ms });
     }
 
-    /// The next command for the front.
-    pub fn next_command(&mut self) -> Option<Command> {
-        self.commands.pop_front()
+    /// From now on new requests are rejected.
+    pub fn reject_new_jobs(&mut self) {
+        self.limits.is_stopping = true;
     }
 
-    /// What is taken in from one time on is to be over by another.
-    pub fn limit_late_deadlines(&mut self, from: f64, end: f64) {
-        self.late_deadline = Some((from, end));
+    /// What the router of all endpoints has learned.
+    pub fn warm_state(&self) -> WarmState {
+        self.routers.router(ALL_ENDPOINTS).warm_state()
     }
 
-    /// From now on new requests are denied.
-    pub fn reject_new_jobs(&mut self) {
-        self.stopping = true;
+    /// Takes over the list and what was learned of a process that this one replaces. The list only where none has been
+    /// read here; false where what was learned cannot be true here, and then it is not taken over.
+    pub fn restore_warm_state(&mut self, lines: Vec<ListedEndpoint>, state: WarmState) -> bool {
+        if self.statistics.counters.lists == 0 {
+            let endpoints = self.apply_lines(lines, ListScope::Complete);
+            self.notify_routers(&endpoints, ListScope::Complete);
+        }
+        self.routers.restore(micros(self.clock.now()), state)
     }
 
-    /// Sessions that have had no answer.
+    /// How many jobs have had no final answer.
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// A session that is open.
+    /// A job that is open.
     pub fn job(&self, id: JobId) -> Option<&ActiveJob> {
-        self.jobs.get(&id)
+        self.jobs.get(id)
     }
 
-    /// The server table.
+    /// The endpoint table.
     pub fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
@@ -391,59 +429,87 @@
         &self.site
     }
 
-    /// What the module has learned.
-    pub fn warm_state(&self) -> WarmState {
-        self.router.warm_state()
-    }
-
-    /// Takes over the list and what was learned of a process that this one replaces. The list only where none has
-    /// been read here; false where what was learned cannot be true here.
-    pub fn restore_warm_state(&mut self, lines: Vec<ListedEndpoint>, learned: WarmState) -> bool {
-        if self.counters.lists == 0 {
-            let members = self.take_lines(lines, true);
-            self.notify_routers(&members, true);
-        }
-        self.router.restore(micros(self.clock.now()), learned)
-    }
-
     /// The clock.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// The counts.
+    /// The counters.
     pub fn counters(&self) -> &Counters {
-        &self.counters
-    }
-
-    /// Whether a dispatch may be written now that its connection is up. What has happened since it was decided is
-    /// looked at again: if it may not, it never ran, and the front ends it so.
-    pub fn attempt_is_valid(&self, session: JobId, attempt: usize) -> bool {
-        let Some(open) = self.jobs.get(&session).filter(|s| !s.over) else { return false };
-        let module = self.partitions.get(&open.request.partition).map_or(&self.router, |pool| &pool.module);
-        let out = open.attempts.get(attempt).is_some_and(|d| d.out);
-        out && module.attempt_is_valid(micros(self.clock.now()), session, attempt)
-    }
-
-    /// A dispatch's request was written whole to its backend server, where its body was not relayed as it came.
-    pub fn on_request_sent(&mut self, session: JobId, attempt: usize) {
-        stages::complete::whole(self, session, attempt);
+        &self.statistics.counters
     }
 
     /// The operators' counters.
     pub fn telemetry(&self) -> &Telemetry {
-        &self.telemetry
+        &self.statistics.telemetry
     }
 
-    /// The operators' gauges as they are now: sessions open, backend servers listed, those that are avoided.
+    /// The operators' gauges as they are now: open jobs, listed endpoints, and those that get no jobs.
     pub fn gauges(&self) -> Gauges {
-        let now = micros(self.clock.now());
-        let listed = self.endpoints.listed();
-        let avoided = listed.iter().filter(|s| self.router.is_unavailable(now, s.line.endpoint.id)).count();
+        let (now, listed) = (micros(self.clock.now()), self.endpoints.listed());
+        let router = self.routers.router(ALL_ENDPOINTS);
+        let unavailable = listed.iter().filter(|line| router.is_unavailable(now, line.endpoint.id)).count();
         Gauges {
             pending: self.jobs.len() as u64,
             members: listed.len() as u64,
-            members_unavailable: avoided as u64,
+            members_unavailable: unavailable as u64,
+        }
+    }
+
+    /// The partition that a job is kept to.
+    fn partition_of(&self, job: JobId) -> PartitionId {
+        self.jobs.get(job).map_or(ALL_ENDPOINTS, |job| job.request.partition)
+    }
+
+    fn answer(&mut self, job: JobId, final_answer: FinalAnswer) {
+        answer::answer(&mut self.jobs, &mut self.statistics, &mut self.commands, job, final_answer);
+    }
+
+    /// Hands one event to the router of a partition, turns its actions into commands, and closes the jobs that are
+    /// finished. Every event that concerns a router comes through here, once.
+    fn drive(&mut self, partition: PartitionId, event: Event<'_>) {
+        let now = micros(self.clock.now());
+        let mut actions = std::mem::take(&mut self.actions);
+        route::route(&mut self.routers, partition, now, event, &mut actions);
+        for action in actions.drain(..) {
+            self.carry_out(action);
+        }
+        self.actions = actions;
+        let mut has_unused_partition = false;
+        self.jobs.close_finished(|request| {
+            has_unused_partition |= self.routers.job_closed(request.partition);
+        });
+        if has_unused_partition {
+            self.routers.drop_unused(micros(self.clock.now()));
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        let (counters, commands) = (&mut self.statistics.counters, &mut self.commands);
+        match action {
+            Action::Send { job, endpoint } => {
+                send::start_attempt(&mut self.jobs, counters, commands, self.clock.now(), job, endpoint);
+            }
+            Action::Cancel { job, attempt } => {
+                send::cancel_attempt(&mut self.jobs, counters, commands, job, attempt);
+            }
+            Action::Reject { job, retry_after } => {
+                let retry_after_ms = millis(retry_after).min(self.site.max_retry_after);
+                self.answer(job, FinalAnswer::Rejected { retry_after_ms });
+            }
+            Action::Fail { job } => self.answer(job, FinalAnswer::Failed),
+            Action::Probe { endpoint } => send::probe(counters, commands, endpoint),
+            Action::Subscribe => send::subscribe(commands),
+            // The routers have taken it.
+            Action::WakeAt(_) => {}
         }
     }
 }
+
+/// The event that tells a router of the list, or of its changes.
+fn list_event(endpoints: &[Endpoint], scope: ListScope) -> Event<'_> {
+    match scope {
+        ListScope::Complete => Event::List(endpoints),
+        ListScope::Changes => Event::Changes(endpoints),
+    }
+}
--- a/src/core/partition.rs
+++ b/src/core/partition.rs
@@ -1,15 +1,15 @@
-//! Pools: parts of the backend servers that some requests are kept to. Each has a decision module of its own, which sees
-//! only its servers and chooses among them as over the whole list. Where no policy is set up there is none.
+//! Which endpoints a partition has. A partition is a part of the endpoints that the policy keeps some requests to.
 
-use crate::core::endpoint_table::{EndpointTable, ListedEndpoint};
-use crate::routing::Router;
-use crate::routing::WarmState;
-use crate::routing::{Endpoint, EndpointStatus, Micros, Settings};
+use super::endpoint_table::{EndpointTable, ListedEndpoint};
+use crate::routing::{Endpoint, EndpointStatus};
 
-/// A pool's number; 0 is the whole list.
+/// A partition's number; 0 stands for all endpoints.
 pub type PartitionId = u32;
 
-/// Which servers a pool has: those that pass each test that is given.
+/// The number that stands for all endpoints.
+pub const ALL_ENDPOINTS: PartitionId = 0;
+
+/// Which endpoints a partition has: those that pass each test that is given.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointSelector {
     /// Kinds, by the site's order.
@@ -23,60 +23,24 @@
 }
 
 impl EndpointSelector {
-    /// Whether a server is one of them.
-    pub fn fits(&self, line: &ListedEndpoint) -> bool {
-        let ListedEndpoint { name, endpoint: member, .. } = line;
-        self.kinds.as_ref().is_none_or(|kinds| kinds.contains(&member.kind))
-            && self.zones.as_ref().is_none_or(|zones| zones.contains(&member.zone))
-            && self.cells.as_ref().is_none_or(|cells| cells.contains(&member.cell))
-            && self.prefixes.as_ref().is_none_or(|heads| heads.iter().any(|head| name.starts_with(head)))
-    }
-}
-
-/// A pool.
-pub(super) struct PartitionRouter {
-    pub(super) selector: EndpointSelector,
-    pub(super) module: Router,
-    /// When the module is to be woken, on its own clock.
-    pub(super) wake_at: Option<Micros>,
-    /// New requests may be kept to it.
-    pub(super) wanted: bool,
-    /// Requests that are.
-    pub(super) open: usize,
-}
-
-impl PartitionRouter {
-    /// A pool whose module knows no servers yet.
-    pub(super) fn new(selector: EndpointSelector, settings: Settings, seed: u64) -> PartitionRouter {
-        let module = Router::new(quiet(settings), seed);
-        PartitionRouter { selector, module, wake_at: None, wanted: true, open: 0 }
+    /// Whether an endpoint belongs to the partition.
+    pub fn matches(&self, line: &ListedEndpoint) -> bool {
+        let ListedEndpoint { name, endpoint, .. } = line;
+        self.kinds.as_ref().is_none_or(|kinds| kinds.contains(&endpoint.kind))
+            && self.zones.as_ref().is_none_or(|zones| zones.contains(&endpoint.zone))
+            && self.cells.as_ref().is_none_or(|cells| cells.contains(&endpoint.cell))
+            && self.prefixes.as_ref().is_none_or(|prefixes| prefixes.iter().any(|p| name.starts_with(p)))
     }
 
-    /// Its own of some members.
-    pub(super) fn own(&self, table: &EndpointTable, members: &[Endpoint]) -> Vec<Endpoint> {
-        let ours = |m: &&Endpoint| table.get(m.id).is_some_and(|server| self.selector.fits(&server.line));
-        members.iter().filter(ours).copied().collect()
+    /// Those of some endpoints that belong to the partition.
+    pub(super) fn select(&self, table: &EndpointTable, endpoints: &[Endpoint]) -> Vec<Endpoint> {
+        let belongs = |endpoint: &&Endpoint| table.get(endpoint.id).is_some_and(|line| self.matches(line));
+        endpoints.iter().filter(belongs).copied().collect()
     }
 
-    /// Takes over what another module has learned. Guards against a cold server that gets a new budget with each
-    /// change of policy.
-    pub(super) fn recall(&mut self, now: Micros, learned: WarmState) {
-        self.module.restore(now, learned);
+    /// Whether any listed endpoint that takes work belongs to the partition.
+    pub(super) fn has_ready_endpoint(&self, table: &EndpointTable) -> bool {
+        let mut listed = table.listed().into_iter();
+        listed.any(|line| line.endpoint.status == EndpointStatus::Ready && self.matches(line))
     }
-
-    /// Takes over settings that were read again.
-    pub(super) fn adopt(&mut self, settings: Settings) {
-        self.module.reconfigure(quiet(settings));
-    }
-}
-
-/// A pool's settings: the list is asked for by the module of the whole.
-fn quiet(settings: Settings) -> Settings {
-    Settings { must_subscribe: false, ..settings }
-}
-
-/// Whether any listed server that takes work is one of these.
-pub(super) fn has(table: &EndpointTable, selector: &EndpointSelector) -> bool {
-    let ready = table.listed();
-    ready.iter().any(|s| s.line.endpoint.status == EndpointStatus::Ready && selector.fits(&s.line))
 }
--- a/src/core/stages/accept.rs
+++ b/src/core/stages/accept.rs
@@ -1,11 +1,11 @@
-//! Take in: from here on the request is owed one final answer.
+//! Accept: from here on the request is owed one final answer.
 
-use crate::core::Core;
+use crate::core::counters::Counters;
+use crate::core::jobs::Jobs;
 use crate::routing::JobId;
 
 /// Counts a request and gives it an id that is never used again.
-pub fn accept(core: &mut Core) -> JobId {
-    core.counters.taken += 1;
-    core.last_job.0 += 1;
-    core.last_job
+pub(in crate::core) fn accept(jobs: &mut Jobs, counters: &mut Counters) -> JobId {
+    counters.taken += 1;
+    jobs.next_id()
 }
--- a/src/core/stages/admit.rs
+++ b/src/core/stages/admit.rs
@@ -1,28 +1,70 @@
-//! Admit: what the program itself cannot hold is denied before the module sees it.
+//! Admit: what the program itself cannot hold is rejected before the router sees it. Nothing was sent by then, so that a
+//! rejection is harmless for a job of any class.
 
-use crate::core::{Core, FinalAnswer, JobRequest};
-use crate::telemetry::Disposition;
+use crate::core::job::JobRequest;
+use crate::core::traffic_split::TrafficSplit;
 
-/// Guards against more sessions than memory is planned for, and against new ones while the program stops.
-/// Nothing was sent, so that a denial is harmless for any class.
-pub fn admit(core: &mut Core, mut request: JobRequest) -> Result<JobRequest, FinalAnswer> {
+/// What a core may hold, and until when.
+pub(in crate::core) struct AdmissionLimits {
+    /// Most open jobs, as many as memory is planned for.
+    pub(in crate::core) max_jobs: usize,
+    /// Whether the program stops, and takes no new jobs.
+    pub(in crate::core) is_stopping: bool,
+    /// The deadline of jobs that come while the program stops.
+    pub(in crate::core) shutdown_deadline: Option<ShutdownDeadline>,
+}
+
+/// What comes from one time on is to be over by another, in milliseconds of the clock.
+#[derive(Clone, Copy, Debug)]
+pub(in crate::core) struct ShutdownDeadline {
+    pub(in crate::core) from_ms: f64,
+    pub(in crate::core) until_ms: f64,
+}
+
+/// Why a request is not admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::core) enum NotAdmitted {
+    /// There are as many open jobs as may be.
+    Full,
+    /// Its deadline has passed, or the program stops.
+    TooLate,
+    /// No zone has room for it.
+    NoCapacity,
+}
+
+impl NotAdmitted {
+    /// Whether there is room again soon: a full dispatcher has it as jobs end, and one that stops has gone by then.
+    pub(in crate::core) fn is_worth_a_retry(self) -> bool {
+        match self {
+            NotAdmitted::Full | NotAdmitted::NoCapacity => true,
+            NotAdmitted::TooLate => false,
+        }
+    }
+}
+
+/// Gives a request as it is admitted, or why it is not.
+pub(in crate::core) fn admit(
+    limits: &AdmissionLimits,
+    traffic_split: Option<&mut TrafficSplit>,
+    open_jobs: usize,
+    now_ms: f64,
+    mut request: JobRequest,
+) -> Result<JobRequest, NotAdmitted> {
     // Guards against a request that is taken while the program stops and found unanswered by the kill.
-    if let Some((from, end)) = core.late_deadline
-        && core.clock.now() >= from
+    if let Some(shutdown) = limits.shutdown_deadline
+        && now_ms >= shutdown.from_ms
     {
-        request.deadline = request.deadline.min(end);
+        request.deadline_ms = request.deadline_ms.min(shutdown.until_ms);
+    }
+    if open_jobs >= limits.max_jobs {
+        return Err(NotAdmitted::Full);
+    }
+    if request.deadline_ms <= now_ms || limits.is_stopping {
+        return Err(NotAdmitted::TooLate);
     }
-    let full = core.jobs.len() >= core.max_jobs;
-    let late = request.deadline <= core.clock.now();
-    // What no zone has room for is refused at the near side.
-    let crowded =
-        !(full || late || core.stopping) && core.traffic_split.as_mut().is_some_and(|steer| !steer.takes());
-    if !(full || late || core.stopping || crowded) {
-        return Ok(request);
+    // What no zone has room for is rejected here, before it crosses a border.
+    if traffic_split.is_some_and(|split| !split.admits_next()) {
+        return Err(NotAdmitted::NoCapacity);
     }
-    core.counters.turned_away += 1;
-    core.telemetry.answered(request.class, Disposition::Rejected);
-    // A full dispatcher has room again when sessions end; one that stops has gone by then.
-    let retry_after = if full || crowded { core.site.max_retry_after } else { 0.0 };
-    Err(FinalAnswer::Rejected { retry_after })
+    Ok(request)
 }
--- a/src/core/stages/complete.rs
+++ b/src/core/stages/complete.rs
@@ -1,100 +1,101 @@
-//! Relay: what becomes of a dispatch goes to the module, and a result to the client.
+//! Complete: what becomes of an attempt. News of an attempt that is over is counted and changes nothing, so that what is
+//! repeated or comes late cannot answer a job twice.
 
-use crate::core::stages::{answer, route};
-use crate::core::{Core, FinalAnswer, TrafficEvent, micros, millis, traffic_split};
-use crate::routing::{AttemptEnd, Event, JobId, LoadReport, Outcome};
+use crate::core::clock::micros;
+use crate::core::counters::Counters;
+use crate::core::job::{JobPhase, JobRequest};
+use crate::core::jobs::Jobs;
+use crate::core::statistics::Statistics;
+use crate::routing::{EndpointId, JobId, Micros, Outcome};
 
-/// The end of a dispatch. One that is over already is counted and changes nothing, so that news that repeat or
-/// come late cannot answer a session twice.
-pub fn ended(
-    core: &mut Core,
+/// An attempt that has ended just now.
+pub(in crate::core) struct EndedAttempt {
+    pub(in crate::core) endpoint: EndpointId,
+    /// How long its endpoint took.
+    pub(in crate::core) latency: Micros,
+    /// Whether its response had begun to be relayed, so that nothing else can follow.
+    pub(in crate::core) was_streaming: bool,
+}
+
+/// Ends an attempt; none where it was over already.
+pub(in crate::core) fn end_attempt(
+    jobs: &mut Jobs,
+    counters: &mut Counters,
+    now_ms: f64,
     id: JobId,
     attempt: usize,
-    outcome: Outcome,
-    report: LoadReport,
-    result: Vec<u8>,
-) -> bool {
-    let now = core.clock.now();
-    let session = core.jobs.get_mut(&id).filter(|s| !s.over);
-    let Some(dispatch) = session.and_then(|s| s.attempts.get_mut(attempt)).filter(|d| d.out) else {
-        core.counters.stray += 1;
-        return false;
+) -> Option<EndedAttempt> {
+    let job = jobs.unfinished_mut(id);
+    let was_streaming = job.as_ref().is_some_and(|job| job.phase == JobPhase::Streaming);
+    let Some(open) = job.and_then(|job| job.open_attempt(attempt)) else {
+        counters.stray += 1;
+        return None;
     };
-    dispatch.out = false;
-    dispatch.never_ran = outcome.never_ran();
-    // How long its server took: the pace of a long answer is its client's as well.
-    let (worker, latency) = (dispatch.endpoint, micros(dispatch.began.unwrap_or(now) - dispatch.sent));
-    let streaming = core.jobs.get(&id).is_some_and(|s| s.streaming);
-    if let Some(steer) = &mut core.traffic_split
-        && let Some(end) = traffic_split::end(outcome)
-        && let Some(server) = core.endpoints.get(worker)
-    {
-        steer.note(TrafficEvent::Ended { zone: server.line.endpoint.zone, end, took: millis(latency) });
-    }
-    match outcome {
-        Outcome::Served => answer::answer(core, id, FinalAnswer::Served(result)),
-        // Bytes of the answer are out: nothing else can follow.
-        _ if streaming => {
-            core.counters.may_have_run += 1;
-            answer::answer(core, id, FinalAnswer::Failed);
-        }
-        _ if outcome.never_ran() => core.counters.never_ran += 1,
-        _ => core.counters.may_have_run += 1,
-    }
-    let finished = outcome == Outcome::Served || streaming;
-    let job = id;
-    route::drive_of(
-        core,
-        id,
-        Event::Ended(AttemptEnd { job, attempt, endpoint: worker, outcome, latency, finished, report }),
-    );
-    true
+    open.is_open = false;
+    let latency = micros(open.latency_ms(now_ms));
+    Some(EndedAttempt { endpoint: open.endpoint, latency, was_streaming })
 }
 
-/// The start of a dispatch's job.
-pub fn started(core: &mut Core, id: JobId, attempt: usize) {
-    let dispatch = core.jobs.get(&id).and_then(|s| s.attempts.get(attempt));
-    if dispatch.is_some_and(|d| d.out) {
-        route::drive_of(core, id, Event::Started { job: id, attempt });
+/// Counts an attempt that ended otherwise than served.
+pub(in crate::core) fn count_unserved(counters: &mut Counters, ended: &EndedAttempt, outcome: Outcome) {
+    if outcome.never_ran() && !ended.was_streaming {
+        counters.never_ran += 1;
+    } else {
+        counters.may_have_run += 1;
     }
 }
 
-/// All of a dispatch's request is with its server, which is waited for from now on.
-pub fn written(core: &mut Core, id: JobId, attempt: usize) {
-    whole(core, id, attempt);
-    let now = core.clock.now();
-    let dispatch = core.jobs.get_mut(&id).and_then(|s| s.attempts.get_mut(attempt));
-    if let Some(dispatch) = dispatch.filter(|d| d.out && d.began.is_none()) {
-        dispatch.sent = now;
+/// All of an attempt's request is at its endpoint: counted once, however often a frontend tells it.
+pub(in crate::core) fn request_sent(jobs: &mut Jobs, statistics: &mut Statistics, id: JobId, attempt: usize) {
+    let attempt = jobs.get_mut(id).and_then(|job| job.attempts.get_mut(attempt));
+    if let Some(attempt) = attempt.filter(|attempt| !attempt.request_sent) {
+        attempt.request_sent = true;
+        statistics.telemetry.written();
     }
 }
 
-/// A dispatch's request is with its server, all of it: counted once, however often a front tells it.
-pub fn whole(core: &mut Core, id: JobId, attempt: usize) {
-    let dispatch = core.jobs.get_mut(&id).and_then(|s| s.attempts.get_mut(attempt));
-    if let Some(dispatch) = dispatch.filter(|d| !d.whole) {
-        dispatch.whole = true;
-        core.telemetry.written();
+/// The last of a request that was relayed as it came is at its endpoint, which is waited for from now on.
+pub(in crate::core) fn body_relayed(jobs: &mut Jobs, now_ms: f64, id: JobId, attempt: usize) {
+    let open = jobs.get_mut(id).and_then(|job| job.open_attempt(attempt));
+    if let Some(open) = open.filter(|open| open.response_started_at_ms.is_none()) {
+        open.sent_at_ms = now_ms;
     }
 }
 
-/// The answer of a dispatch has begun, and is relayed as it comes. False if the dispatch is over.
-pub fn streaming(core: &mut Core, id: JobId, attempt: usize) -> bool {
-    let now = core.clock.now();
-    let Some(session) = core.jobs.get_mut(&id).filter(|s| !s.over) else { return false };
-    let Some(dispatch) = session.attempts.get_mut(attempt).filter(|d| d.out) else { return false };
-    dispatch.began.get_or_insert(now);
-    if !std::mem::replace(&mut session.streaming, true) {
-        route::drive_of(core, id, Event::Streaming(id));
+/// How the start of an attempt's response was taken.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::core) enum ResponseStart {
+    /// The attempt is over, and its response must not be passed on.
+    Stale,
+    /// It is the first news of it: from now on the job has no deadline.
+    First,
+    /// It was known.
+    Repeated,
+}
+
+/// The response of an attempt has begun, and is relayed as it comes.
+pub(in crate::core) fn response_started(
+    jobs: &mut Jobs,
+    now_ms: f64,
+    id: JobId,
+    attempt: usize,
+) -> ResponseStart {
+    let Some(job) = jobs.unfinished_mut(id) else { return ResponseStart::Stale };
+    let Some(open) = job.open_attempt(attempt) else { return ResponseStart::Stale };
+    open.response_started_at_ms.get_or_insert(now_ms);
+    match std::mem::replace(&mut job.phase, JobPhase::Streaming) {
+        JobPhase::Streaming => ResponseStart::Repeated,
+        JobPhase::Open | JobPhase::Finished => ResponseStart::First,
     }
-    true
 }
 
-/// The client has left: nothing is owed any more, and the module calls off what is out.
-pub fn client_left(core: &mut Core, id: JobId) {
-    let Some(session) = core.jobs.get_mut(&id).filter(|s| !s.over) else { return };
-    session.over = true;
-    core.ended.push(id);
-    core.counters.left += 1;
-    route::drive_of(core, id, Event::ClientLeft(id));
+/// The client has left: nothing is owed for its job any more. None where nothing was.
+pub(in crate::core) fn client_left(
+    jobs: &mut Jobs,
+    counters: &mut Counters,
+    id: JobId,
+) -> Option<JobRequest> {
+    let request = jobs.finish(id)?;
+    counters.left += 1;
+    Some(request)
 }
--- a/src/core/stages/mod.rs
+++ b/src/core/stages/mod.rs
@@ -1,13 +1,14 @@
-//! The stages that a session passes, in this order.
+//! The stages that a job passes, in this order. Each changes only the parts of the core that it is handed; `Core` calls
+//! them one after the other, and no stage calls back into it.
 
-pub mod accept;
+pub(super) mod accept;
 
-pub mod admit;
+pub(super) mod admit;
 
-pub mod route;
+pub(super) mod route;
 
-pub mod send;
+pub(super) mod send;
 
-pub mod complete;
+pub(super) mod complete;
 
-pub mod answer;
+pub(super) mod answer;
--- a/src/core/stages/send.rs
+++ b/src/core/stages/send.rs
@@ -1,41 +1,54 @@
-//! Send: a decision becomes a dispatch, and a command for the front.
+//! Send: a decision becomes an attempt, and a command for the frontend.
 
-use crate::core::{Attempt, Command, Core};
+use std::collections::VecDeque;
+
+use crate::core::command::Command;
+use crate::core::counters::Counters;
+use crate::core::job::Attempt;
+use crate::core::jobs::Jobs;
 use crate::routing::{EndpointId, JobId};
 
-/// Records a dispatch and has it sent.
-pub fn send(core: &mut Core, id: JobId, server: EndpointId) {
-    let sent = core.clock.now();
-    let Some(session) = core.jobs.get_mut(&id).filter(|s| !s.over) else { return };
-    let attempt = session.attempts.len();
-    session.attempts.push(Attempt {
-        endpoint: server,
-        sent,
-        began: None,
-        out: true,
-        never_ran: false,
-        whole: false,
-    });
-    core.counters.sent += 1;
-    core.commands.push_back(Command::Send { job: id, attempt, endpoint: server });
+/// Records an attempt and has it sent.
+pub(in crate::core) fn start_attempt(
+    jobs: &mut Jobs,
+    counters: &mut Counters,
+    commands: &mut VecDeque<Command>,
+    now_ms: f64,
+    id: JobId,
+    endpoint: EndpointId,
+) {
+    let Some(job) = jobs.unfinished_mut(id) else { return };
+    let attempt = job.attempts.len();
+    job.attempts.push(Attempt::new(endpoint, now_ms));
+    counters.sent += 1;
+    commands.push_back(Command::Send { job: id, attempt, endpoint });
 }
 
-/// Calls a dispatch off.
-pub fn cancel(core: &mut Core, id: JobId, attempt: usize) {
-    let dispatch = core.jobs.get_mut(&id).and_then(|s| s.attempts.get_mut(attempt));
-    let Some(dispatch) = dispatch.filter(|d| d.out) else { return };
-    dispatch.out = false;
-    core.counters.cancelled += 1;
-    core.commands.push_back(Command::Cancel { job: id, attempt });
+/// Cancels an attempt, which has ended as far as the core goes.
+pub(in crate::core) fn cancel_attempt(
+    jobs: &mut Jobs,
+    counters: &mut Counters,
+    commands: &mut VecDeque<Command>,
+    id: JobId,
+    attempt: usize,
+) {
+    let Some(open) = jobs.get_mut(id).and_then(|job| job.open_attempt(attempt)) else { return };
+    open.is_open = false;
+    counters.cancelled += 1;
+    commands.push_back(Command::Cancel { job: id, attempt });
 }
 
-/// Has a backend server probed.
-pub fn probe(core: &mut Core, server: EndpointId) {
-    core.counters.probes += 1;
-    core.commands.push_back(Command::Probe { endpoint: server });
+/// Has an endpoint probed.
+pub(in crate::core) fn probe(
+    counters: &mut Counters,
+    commands: &mut VecDeque<Command>,
+    endpoint: EndpointId,
+) {
+    counters.probes += 1;
+    commands.push_back(Command::Probe { endpoint });
 }
 
-/// Has a watch of the list started.
-pub fn subscribe(core: &mut Core) {
-    core.commands.push_back(Command::Subscribe);
+/// Has the list watched.
+pub(in crate::core) fn subscribe(commands: &mut VecDeque<Command>) {
+    commands.push_back(Command::Subscribe);
 }
--- a/src/core/traffic_split.rs
+++ b/src/core/traffic_split.rs
@@ -1,79 +1,108 @@
-//! Steering: what each zone may get reaches the module through its list, and what zones did is kept for whoever
-//! steers. Off, it is not there.
+//! The traffic split: what each zone may get reaches the router through the sizes on its list, and what zones did is
+//! recorded for whoever decides on them. Where no fleet is set up a core has none.
 
 use crate::routing::{Endpoint, EndpointStatus, Outcome};
 use crate::zones::{AdmissionShare, AttemptResult, FULL_SHARE};
 
-/// Most events that are kept between two looks.
-const KEPT: usize = 1 << 16;
+/// Most events that are recorded between two calls of `drain_events`: what a dispatcher can do within its interval of
+/// 50 ms, many times over.
+const MAX_RECORDED_EVENTS: usize = 1 << 16;
 
-/// What has happened since the last look.
+/// What has happened since the last call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrafficEvent {
-    /// A request came, and was turned away since zones have no room, or not.
-    Came {
-        /// It was turned away.
-        turned: bool,
-    },
-    /// A dispatch has ended.
-    Ended {
-        /// The zone of its server, by the site's order.
+    /// A request came.
+    Arrived(Admission),
+    /// An attempt has ended.
+    AttemptEnded {
+        /// The zone of its endpoint, by the site's order.
         zone: u16,
-        /// How, as far as the zone goes.
-        end: AttemptResult,
-        /// After so many milliseconds.
-        took: f64,
+        /// How it ended, as far as the zone goes.
+        result: AttemptResult,
+        /// How long its endpoint took, in milliseconds.
+        latency_ms: f64,
     },
 }
 
-/// What steers a core.
+/// Whether a request was admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// It was.
+    Admitted,
+    /// It was rejected, since no zone has room for it.
+    Rejected,
+}
+
+/// The traffic split of one core.
 #[derive(Debug)]
 pub(super) struct TrafficSplit {
-    /// What each zone of the site may get.
-    pub(super) shares: Vec<u16>,
-    /// What of the requests is taken.
-    pub(super) admit: u16,
-    gate: AdmissionShare,
-    pub(super) seen: Vec<TrafficEvent>,
+    /// What each zone of the site may get, in thousandths.
+    zone_shares: Vec<u16>,
+    /// The share of requests that is admitted, in thousandths.
+    admitted_share: u16,
+    admission: AdmissionShare,
+    events: Vec<TrafficEvent>,
 }
 
 impl TrafficSplit {
+    /// One that lets all zones have all.
     pub(super) fn new(zones: usize) -> TrafficSplit {
         TrafficSplit {
-            shares: vec![FULL_SHARE; zones],
-            admit: FULL_SHARE,
-            gate: AdmissionShare::default(),
-            seen: Vec::new(),
+            zone_shares: vec![FULL_SHARE; zones],
+            admitted_share: FULL_SHARE,
+            admission: AdmissionShare::default(),
+            events: Vec::new(),
+        }
+    }
+
+    /// Takes other shares over. True where those of the zones have changed, and routers are to be told.
+    pub(super) fn set(&mut self, zone_shares: Vec<u16>, admitted_share: u16) -> bool {
+        self.admitted_share = admitted_share;
+        let has_changed = self.zone_shares != zone_shares;
+        self.zone_shares = zone_shares;
+        has_changed
+    }
+
+    fn record(&mut self, event: TrafficEvent) {
+        if self.events.len() < MAX_RECORDED_EVENTS {
+            self.events.push(event);
         }
     }
 
-    pub(super) fn note(&mut self, seen: TrafficEvent) {
-        if self.seen.len() < KEPT {
-            self.seen.push(seen);
+    /// Whether the next request is admitted.
+    pub(super) fn admits_next(&mut self) -> bool {
+        let admits = self.admitted_share >= FULL_SHARE || self.admission.admits(self.admitted_share);
+        let admission = if admits { Admission::Admitted } else { Admission::Rejected };
+        self.record(TrafficEvent::Arrived(admission));
+        admits
+    }
+
+    /// Records the end of an attempt, where its outcome says something of its zone.
+    pub(super) fn record_attempt(&mut self, zone: u16, outcome: Outcome, latency_ms: f64) {
+        if let Some(result) = zone_result(outcome) {
+            self.record(TrafficEvent::AttemptEnded { zone, result, latency_ms });
         }
     }
 
-    /// Whether the next request is taken.
-    pub(super) fn takes(&mut self) -> bool {
-        let takes = self.admit >= FULL_SHARE || self.gate.admits(self.admit);
-        self.note(TrafficEvent::Came { turned: !takes });
-        takes
+    /// Names what was recorded since the last call.
+    pub(super) fn drain_events(&mut self, consume: impl FnMut(TrafficEvent)) {
+        self.events.drain(..).for_each(consume);
     }
 
-    /// Members as the module is to see them: a zone's share scales their size, and none is a drain.
-    pub(super) fn fit(&self, members: &mut [Endpoint]) {
-        for member in members {
-            match self.shares.get(usize::from(member.zone)).copied().unwrap_or(FULL_SHARE) {
-                0 if member.status == EndpointStatus::Ready => member.status = EndpointStatus::Draining,
+    /// Endpoints as the router is to see them: a zone's share scales their size, and none is a drain.
+    pub(super) fn scale(&self, endpoints: &mut [Endpoint]) {
+        for endpoint in endpoints {
+            match self.zone_shares.get(usize::from(endpoint.zone)).copied().unwrap_or(FULL_SHARE) {
+                0 if endpoint.status == EndpointStatus::Ready => endpoint.status = EndpointStatus::Draining,
                 0 | FULL_SHARE => {}
-                share => member.size *= f64::from(share) / f64::from(FULL_SHARE),
+                share => endpoint.size *= f64::from(share) / f64::from(FULL_SHARE),
             }
         }
     }
 }
 
-/// What a dispatch's outcome says of its zone; none where it says nothing.
-pub(super) fn end(outcome: Outcome) -> Option<AttemptResult> {
+/// What an attempt's outcome says of its zone; none where it says nothing.
+fn zone_result(outcome: Outcome) -> Option<AttemptResult> {
     match outcome {
         Outcome::Served | Outcome::Error | Outcome::Full | Outcome::Unfit => Some(AttemptResult::Answered),
         Outcome::TimedOut => Some(AttemptResult::Silent),
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -2,8 +2,10 @@
 
 use std::net::SocketAddr;
 
+use thiserror::Error;
+
 use super::Sockets;
-use crate::core::{Core, ListedEndpoint, micros, millis};
+use crate::core::{Core, ListScope, ListedEndpoint, micros, millis};
 use crate::json::{self, JsonValue, flag, number, text};
 use crate::net::ConnId;
 use crate::net::http;
@@ -57,8 +59,13 @@
 
 /// What a call has brought.
 pub enum DiscoveryUpdate {
-    /// Lines, and whether they are the whole list.
-    List(Vec<ListedEndpoint>, bool),
+    /// The list, or its changes.
+    List {
+        /// Its lines.
+        lines: Vec<ListedEndpoint>,
+        /// How much of the list they are.
+        scope: ListScope,
+    },
     /// It failed. The module says when to call again.
     Failed,
 }
@@ -66,18 +73,18 @@
 impl DiscoveryUpdate {
     /// Tells a core, and gives the servers that were started again, or have moved: their old connections are gone.
     pub fn tell(self, core: &mut Core) -> Vec<EndpointId> {
-        let DiscoveryUpdate::List(lines, whole) = self else {
+        let DiscoveryUpdate::List { lines, scope } = self else {
             core.on_list_failed();
             return Vec::new();
         };
         let renewed = |line: &ListedEndpoint| {
             let id = core.endpoints().id(&line.name)?;
-            let old = &core.endpoints().get(id)?.line;
+            let old = &core.endpoints().get(id)?;
             ((old.endpoint.started_at, &old.address) != (line.endpoint.started_at, &line.address))
                 .then_some(id)
         };
         let renewed = lines.iter().filter_map(renewed).collect();
-        core.on_list(lines, whole);
+        core.on_list(lines, scope);
         renewed
     }
 }
@@ -213,12 +220,14 @@
                 if ended || message.close {
                     self.hang_up(net);
                 }
-                match json::parse(&message.body).and_then(|list| read_list(&list, site)) {
-                    Ok((seq, _, _)) if self.is_stale(seq) => self.failed(net, now, &site.settings),
-                    Ok((seq, lines, whole)) => {
-                        self.seq = Some(seq);
+                match json::parse(&message.body)
+                    .and_then(|list| read_list(&list, site).map_err(|e| e.to_string()))
+                {
+                    Ok(list) if self.is_stale(list.version) => self.failed(net, now, &site.settings),
+                    Ok(list) => {
+                        self.seq = Some(list.version);
                         self.watch = Watch::Pausing { until: now + PAUSE };
-                        Some(DiscoveryUpdate::List(lines, whole))
+                        Some(DiscoveryUpdate::List { lines: list.lines, scope: list.scope })
                     }
                     Err(e) => {
                         crate::say(format_args!("discovery's answer does not read: {e}"));
@@ -293,31 +302,60 @@
     }
 }
 
-/// The version and lines of a list or of its changes, and whether it is whole.
-pub fn read_list(list: &JsonValue, site: &Site) -> Result<(u64, Vec<ListedEndpoint>, bool), String> {
-    let seq = number(list, "seq").ok_or("the list has no seq")? as u64;
-    let place = |names: &[String], name: Option<&str>| {
-        names.iter().position(|n| Some(n.as_str()) == name).unwrap_or(names.len()) as u16
+/// The list, or its changes, as discovery tells it.
+#[derive(Clone, Debug)]
+pub struct EndpointList {
+    /// Its version.
+    pub version: u64,
+    /// Its lines.
+    pub lines: Vec<ListedEndpoint>,
+    /// How much of the list the lines are.
+    pub scope: ListScope,
+}
+
+/// Why a list does not read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ListError {
+    /// It has no version.
+    #[error("the list has no seq")]
+    NoVersion,
+    /// One of its lines has no name.
+    #[error("a line of the list has no host")]
+    NoName,
+}
+
+/// Reads a list or its changes.
+///
+/// # Errors
+/// Where it has no version, or a line has no name. What else a line lacks has a default.
+pub fn read_list(list: &JsonValue, site: &Site) -> Result<EndpointList, ListError> {
+    let version = number(list, "seq").ok_or(ListError::NoVersion)? as u64;
+    let lines =
+        json::list(list, "hosts").iter().map(|line| read_line(line, site)).collect::<Result<_, _>>()?;
+    let scope = if flag(list, "whole") { ListScope::Complete } else { ListScope::Changes };
+    Ok(EndpointList { version, lines, scope })
+}
+
+fn read_line(line: &JsonValue, site: &Site) -> Result<ListedEndpoint, ListError> {
+    let name = text(line, "host").ok_or(ListError::NoName)?;
+    // A name that the settings do not have gets the number after all of theirs.
+    let index = |names: &[String], name: Option<&str>| {
+        names.iter().position(|known| Some(known.as_str()) == name).unwrap_or(names.len()) as u16
     };
-    let line = |host: &JsonValue| {
-        let name = text(host, "host").ok_or("a line of the list has no host")?;
-        let state = match text(host, "health") {
-            Some("up") => EndpointStatus::Ready,
-            Some("removed") => EndpointStatus::Gone,
-            _ => EndpointStatus::Draining,
-        };
-        let member = Endpoint {
-            id: EndpointId::default(),
-            kind: place(&site.kinds, text(host, "class")),
-            zone: place(&site.zones, text(host, "site")),
-            cell: number(host, "block").unwrap_or(0.0) as u32,
-            size: number(host, "share").unwrap_or(1.0),
-            started_at: micros(number(host, "born_ms").unwrap_or(0.0)),
-            status: state,
-        };
-        let address = text(host, "dial").unwrap_or("").to_string();
-        Ok(ListedEndpoint { name: name.to_string(), address, endpoint: member })
+    let status = match text(line, "health") {
+        Some("up") => EndpointStatus::Ready,
+        Some("removed") => EndpointStatus::Gone,
+        _ => EndpointStatus::Draining,
+    };
+    let endpoint = Endpoint {
+        id: EndpointId::default(),
+        kind: index(&site.kinds, text(line, "class")),
+        zone: index(&site.zones, text(line, "site")),
+        cell: number(line, "block").unwrap_or(0.0) as u32,
+        size: number(line, "share").unwrap_or(1.0),
+        started_at: micros(number(line, "born_ms").unwrap_or(0.0)),
+        status,
     };
-    let lines = json::list(list, "hosts").iter().map(line).collect::<Result<_, String>>()?;
-    Ok((seq, lines, flag(list, "whole")))
+    let address = text(line, "dial").unwrap_or("").to_string();
+    Ok(ListedEndpoint { name: name.to_string(), address, endpoint })
 }
--- a/src/frontend/fleet/mod.rs
+++ b/src/frontend/fleet/mod.rs
@@ -18,7 +18,7 @@
 
 use super::http::HttpFrontend;
 use super::{Gateway, Sockets};
-use crate::core::{Clock, Core, TrafficEvent};
+use crate::core::{Admission, Clock, Core, TrafficEvent};
 use crate::fleet::TICK_MS;
 use crate::zones::FULL_SHARE;
 use thread::{FleetCommand, FleetEvent};
@@ -178,15 +178,15 @@
         let places = |zone: u16| self.zones.get(usize::from(zone)).copied().flatten();
         if let Some(core) = &mut core {
             core.drain_traffic_events(|what| match what {
-                TrafficEvent::Came { turned } => came.push(turned),
-                TrafficEvent::Ended { zone, end, took } => {
+                TrafficEvent::Arrived(admission) => came.push(admission == Admission::Rejected),
+                TrafficEvent::AttemptEnded { zone, result: end, latency_ms: took } => {
                     ended.extend(places(zone).map(|zone| (zone, end, took)));
                 }
             });
-            for (zone, (out, size)) in core.zone_loads(self.zones.len()).into_iter().enumerate() {
+            for (zone, load) in core.zone_loads(self.zones.len()).into_iter().enumerate() {
                 if let Some((all, room)) = places(zone as u16).and_then(|at| there.get_mut(at)) {
-                    *all += out.min(60_000) as u16;
-                    *room += (size * self.slots).min(60_000.0) as u16;
+                    *all += load.open_attempts.min(60_000) as u16;
+                    *room += (load.ready_size * self.slots).min(60_000.0) as u16;
                 }
             }
         }
--- a/src/frontend/gearman/clients.rs
+++ b/src/frontend/gearman/clients.rs
@@ -92,9 +92,9 @@
         }
         let request = JobRequest {
             class: number,
-            deadline: now + self.config.functions[number].wait,
+            deadline_ms: now + self.config.functions[number].wait,
             slots: 1.0,
-            work: None,
+            work_ms: None,
             partition: 0,
         };
         match self.core.submit(request) {
@@ -176,7 +176,7 @@
     fn say(&mut self, net: &mut Sockets, id: ConnId, handle: &[u8], verdict: &FinalAnswer) {
         match verdict {
             FinalAnswer::Served(result) => self.put(net, id, answer(kind::WORK_COMPLETE, &[handle, result])),
-            FinalAnswer::Rejected { retry_after } => {
+            FinalAnswer::Rejected { retry_after_ms: retry_after } => {
                 let text = format!("denied retry-after-ms={}", retry_after.ceil());
                 self.put(net, id, answer(kind::WORK_WARNING, &[handle, text.as_bytes()]));
                 self.put(net, id, answer(kind::WORK_FAIL, &[handle]));
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -16,7 +16,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{Shutdown, Sockets};
-use crate::core::{Clock, Command, Core};
+use crate::core::{Clock, Command, Core, ListScope};
 use crate::net::{ConnId, HELD};
 use crate::routing::{EndpointId, JobId};
 
@@ -97,7 +97,7 @@
     pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> Result<GearmanFrontend, String> {
         let identity = config.identity.clone().map(Identity::load).transpose()?;
         let mut core = Core::new(config.site.clone(), seed, clock, config.peers * JOBS);
-        core.on_list(Vec::new(), true);
+        core.on_list(Vec::new(), ListScope::Complete);
         Ok(GearmanFrontend {
             core,
             listener,
@@ -124,7 +124,7 @@
         if config.identity.is_some() != self.identity.is_some() {
             return Err("to begin or end with `identity` takes a restart".into());
         }
-        self.core.check_compatible(&config.site)?;
+        self.core.check_compatible(&config.site).map_err(|e| e.to_string())?;
         config.identity.clone().map(Identity::load).transpose()
     }
 
--- a/src/frontend/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -7,7 +7,7 @@
 use super::packets::{answer, arguments, kind};
 use super::record::{Answer, Key};
 use super::{FlightId, GearmanFrontend};
-use crate::core::ListedEndpoint;
+use crate::core::{ListScope, ListedEndpoint};
 use crate::frontend::Sockets;
 use crate::net::ConnId;
 use crate::routing::{Endpoint, EndpointId, EndpointStatus, JobId, LoadReport, Outcome};
@@ -202,7 +202,7 @@
         if state == worker.state {
             return;
         }
-        let member = self.core.endpoints().get(worker.server).map(|s| s.line.endpoint).unwrap_or_default();
+        let member = self.core.endpoints().get(worker.server).map(|s| s.endpoint).unwrap_or_default();
         let kind = kind.map_or(member.kind, |kind| kind as u16);
         // Told apart from the one that had its place before by when it started, which is long ago: a worker
         // that fetches one job at a time cannot be pushed over, and is not held to be cold.
@@ -215,7 +215,7 @@
             EndpointStatus::Ready => Vec::new(),
             _ => worker.offered.drain(..).map(|(flight, _)| flight).collect(),
         };
-        self.core.on_list(vec![line], false);
+        self.core.on_list(vec![line], ListScope::Changes);
         if let Some(server) = self.core.endpoints().id(&name) {
             self.servers.insert(server, id);
             if let Some(worker) = self.worker(id) {
@@ -329,12 +329,11 @@
     pub(super) fn worker_left(&mut self, worker: Worker) {
         self.servers.remove(&worker.server);
         if worker.state != EndpointStatus::Gone {
-            let member =
-                self.core.endpoints().get(worker.server).map(|s| s.line.endpoint).unwrap_or_default();
+            let member = self.core.endpoints().get(worker.server).map(|s| s.endpoint).unwrap_or_default();
             let member = Endpoint { status: EndpointStatus::Gone, ..member };
             self.core.on_list(
                 vec![ListedEndpoint { name: worker.name, address: String::new(), endpoint: member }],
-                false,
+                ListScope::Changes,
             );
         }
         for (flight, _) in worker.offered {
--- a/src/frontend/http/callbacks.rs
+++ b/src/frontend/http/callbacks.rs
@@ -31,7 +31,7 @@
         let Some(session) = self.ids.get(id).copied() else { return Called::Unknown };
         let Some(attempt) = server.and_then(|server| {
             let dispatches = &self.core.job(session)?.attempts;
-            dispatches.iter().rposition(|d| d.out && d.endpoint == server)
+            dispatches.iter().rposition(|d| d.is_open && d.endpoint == server)
         }) else {
             return Called::Taken;
         };
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -444,7 +444,8 @@
             return self.turn_away(net, id, close);
         };
         let due = now + wait.min(PATIENCE);
-        match self.core.submit(JobRequest { class, deadline: due, slots, work, partition: pool }) {
+        match self.core.submit(JobRequest { class, deadline_ms: due, slots, work_ms: work, partition: pool })
+        {
             Err(verdict) => self.say(net, id, verdict, close),
             Ok(session) => {
                 let own = |name: &str| OWN.iter().any(|own| name.eq_ignore_ascii_case(own));
@@ -487,13 +488,13 @@
     /// Denies a request that the core has not seen, with a time to come back.
     pub(super) fn turn_away(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
         let retry_after = self.core.site().max_retry_after;
-        self.say(net, id, FinalAnswer::Rejected { retry_after }, close);
+        self.say(net, id, FinalAnswer::Rejected { retry_after_ms: retry_after }, close);
     }
 
     fn say(&mut self, net: &mut Sockets, id: ConnId, verdict: FinalAnswer, close: bool) {
         match verdict {
             FinalAnswer::Served(result) => self.reply(net, id, 200, &[], &result, close),
-            FinalAnswer::Rejected { retry_after } if retry_after > 0.0 => {
+            FinalAnswer::Rejected { retry_after_ms: retry_after } if retry_after > 0.0 => {
                 let advice = [("Retry-After", format!("{:.3}", retry_after / 1e3))];
                 self.reply(net, id, 503, &advice, b"", close);
             }
--- a/src/frontend/http/config.rs
+++ b/src/frontend/http/config.rs
@@ -46,7 +46,9 @@
         let budget = Budget::of((sockets as usize).min(most).saturating_sub(taken), memory)
             .ok_or_else(|| format!("{} sockets are too few", sockets.min(most as f64)))?;
         let known = match field(config, "known") {
-            Some(list) => read_list(list, &site).map(|(seq, lines, _)| (seq, lines))?,
+            Some(list) => {
+                read_list(list, &site).map(|list| (list.version, list.lines)).map_err(|e| e.to_string())?
+            }
             None => (0, Vec::new()),
         };
         let (listen, discovery) = (address(config, "listen")?, address(config, "discovery")?);
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -85,7 +85,7 @@
 
     /// Whether a configuration that was read again can be taken over without a restart.
     pub fn fits(&self, config: &Config) -> Result<(), String> {
-        self.core.check_compatible(&config.site)
+        self.core.check_compatible(&config.site).map_err(|e| e.to_string())
     }
 
     /// Takes over a configuration that fits: its settings and limits, and the discovery service that it names.
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 
 use super::HttpFrontend;
-use crate::core::{EndpointEntry, ListedEndpoint};
+use crate::core::ListedEndpoint;
 use crate::frontend::{Sockets, handover};
 use crate::lifecycle::callback_forwarding::{CallbackForwarder, ForwardingAction, PendingCallback};
 use crate::lifecycle::warm_state::{MAX_WARM_STATE_BYTES, StoredEndpoint, WarmStateFile};
@@ -259,8 +259,8 @@
     /// Leaves what this process knows for the one that replaces it.
     pub(super) fn leave_memory(&self) {
         let Some(links) = &self.links else { return };
-        let listed = |s: &&EndpointEntry| {
-            let ListedEndpoint { name, address, endpoint: member } = s.line.clone();
+        let listed = |s: &&ListedEndpoint| {
+            let ListedEndpoint { name, address, endpoint: member } = (*s).clone();
             let Endpoint { kind, zone, cell, size, started_at: born, status: state, .. } = member;
             let draining = state != EndpointStatus::Ready;
             StoredEndpoint { name, address, kind, zone, cell, size, born, draining }
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -116,7 +116,7 @@
 
 impl HttpFrontend {
     pub(super) fn host(&self, server: EndpointId) -> String {
-        self.core.endpoints().get(server).map(|s| s.line.address.clone()).unwrap_or_default()
+        self.core.endpoints().get(server).map(|s| s.address.clone()).unwrap_or_default()
     }
 
     /// A connection to a backend server: an idle one that is whole, or a new one. None proves that nothing
@@ -156,7 +156,7 @@
             self.close_backend(net, idle);
         }
         let address: Option<SocketAddr> =
-            self.core.endpoints().get(server).and_then(|s| s.line.address.parse().ok());
+            self.core.endpoints().get(server).and_then(|s| s.address.parse().ok());
         let id =
             net.open(address.ok_or(Outcome::Unreachable)?).map_err(|e| match Errno::from_io_error(&e) {
                 Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::ADDRNOTAVAIL) => Outcome::NotSent,
@@ -211,7 +211,7 @@
             self.close_backend(net, conn);
             return self.unserved(flight, outcome, LoadReport::default());
         }
-        let left = self.core.job(session).map_or(0.0, |s| s.request.deadline) - self.core.clock().now();
+        let left = self.core.job(session).map_or(0.0, |s| s.request.deadline_ms) - self.core.clock().now();
         let job = &self.jobs[&session];
         let mut headers = vec![
             ("Host", host),
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -12,7 +12,7 @@
 
 use super::discovery::{Discovery, DiscoveryUpdate};
 use super::{Shutdown, Sockets};
-use crate::core::{Clock, Command, Core, FinalAnswer};
+use crate::core::{Clock, Command, Core, FinalAnswer, ListScope};
 use crate::flow::{Admission, Flow, Slots, StreamId};
 use crate::net::{ConnId, Pipes, Pool};
 use crate::routing::{EndpointId, JobId};
@@ -59,7 +59,7 @@
         if discovery.is_some() {
             core.restore_list(Vec::new());
         } else {
-            core.on_list(config.lines.clone(), true);
+            core.on_list(config.lines.clone(), ListScope::Complete);
         }
         StreamingFrontend {
             core,
@@ -93,7 +93,7 @@
         if names(config) != names(&self.config) {
             return Err("other classes take a restart".into());
         }
-        self.core.check_compatible(&config.site)
+        self.core.check_compatible(&config.site).map_err(|e| e.to_string())
     }
 
     /// Takes over a file that fits. Streams that run go on under what they began with.
@@ -109,7 +109,8 @@
             let heard = discovery.follow(net, now, config.table.discovery, &self.core.site().settings);
             self.heard(net, heard);
         } else {
-            self.heard(net, Some(DiscoveryUpdate::List(config.lines.clone(), true)));
+            let lines = config.lines.clone();
+            self.heard(net, Some(DiscoveryUpdate::List { lines, scope: ListScope::Complete }));
         }
         self.config = config;
         self.carry_out(net);
@@ -195,7 +196,9 @@
         let Some(&stream) = self.sessions.get(&session) else { return };
         match verdict {
             FinalAnswer::Served(_) => self.finish(net, stream),
-            FinalAnswer::Rejected { retry_after } => self.refuse(net, stream, 503, retry_after),
+            FinalAnswer::Rejected { retry_after_ms: retry_after } => {
+                self.refuse(net, stream, 503, retry_after)
+            }
             FinalAnswer::Failed => self.refuse(net, stream, 502, 0.0),
         }
     }
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -274,9 +274,9 @@
         self.flow.rest(stream, Way::Up, now);
         let request = JobRequest {
             class: exchange.class,
-            deadline: now + exchange.of.longest,
+            deadline_ms: now + exchange.of.longest,
             slots: 1.0,
-            work: None,
+            work_ms: None,
             partition: 0,
         };
         match self.core.submit(request) {
@@ -284,7 +284,9 @@
                 exchange.session = Some(session);
                 self.sessions.insert(session, stream);
             }
-            Err(FinalAnswer::Rejected { retry_after }) => self.refuse(net, stream, 503, retry_after),
+            Err(FinalAnswer::Rejected { retry_after_ms: retry_after }) => {
+                self.refuse(net, stream, 503, retry_after)
+            }
             Err(_) => self.refuse(net, stream, 502, 0.0),
         }
     }
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -77,7 +77,7 @@
         {
             self.close_server(net, idle);
         }
-        let address: SocketAddr = self.core.endpoints().get(worker)?.line.address.parse().ok()?;
+        let address: SocketAddr = self.core.endpoints().get(worker)?.address.parse().ok()?;
         let id = net.open(address).ok()?;
         let until = now + self.config.site.connect_timeout;
         self.servers.insert(id, Server { worker, stream: Some(stream), until, base: 0 });
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,8 +4,8 @@
 mod net;
 
 use micabeam::core::{
-    Clock, Command, Core, EndpointSelector, FinalAnswer, JobRequest, ListedEndpoint, MAX_ENDPOINTS,
-    PartitionId,
+    Clock, Command, Core, EndpointSelector, FinalAnswer, JobRequest, ListScope, ListedEndpoint,
+    MAX_ENDPOINTS, PartitionId,
 };
 use micabeam::routing::{Endpoint, EndpointStatus, JobId, LoadReport, Outcome};
 use micabeam::settings::Site;
@@ -21,12 +21,12 @@
         address: String::new(),
         endpoint: Endpoint { size: 1.0, ..Endpoint::default() },
     };
-    core.on_list(servers.iter().map(line).collect(), true);
+    core.on_list(servers.iter().map(line).collect(), ListScope::Complete);
     (core, clock)
 }
 
 fn request(class: usize, wait: f64) -> JobRequest {
-    JobRequest { class, deadline: START + wait, slots: 1.0, work: None, partition: 0 }
+    JobRequest { class, deadline_ms: START + wait, slots: 1.0, work_ms: None, partition: 0 }
 }
 
 fn commands(core: &mut Core) -> Vec<Command> {
@@ -71,7 +71,7 @@
         }
         // Answered in time, and the dispatch called off; only the safe one may be called harmless.
         let verdict =
-            if class == 0 { FinalAnswer::Rejected { retry_after: 2000.0 } } else { FinalAnswer::Failed };
+            if class == 0 { FinalAnswer::Rejected { retry_after_ms: 2000.0 } } else { FinalAnswer::Failed };
         assert_eq!(answers(&told), [(id, verdict)]);
         assert!(told.contains(&Command::Cancel { job: id, attempt: 0 }), "{told:?}");
         assert!(clock.now() <= end && core.open_jobs() == 0);
@@ -82,7 +82,7 @@
 fn what_cannot_be_held_is_denied_and_counted() {
     let (mut core, _) = core(1, &["a"]);
     core.submit(request(1, 4000.0)).unwrap();
-    assert_eq!(core.submit(request(1, 4000.0)), Err(FinalAnswer::Rejected { retry_after: 2000.0 }));
+    assert_eq!(core.submit(request(1, 4000.0)), Err(FinalAnswer::Rejected { retry_after_ms: 2000.0 }));
     assert!(core.submit(request(1, -1.0)).is_err(), "its deadline has passed");
     core.reject_new_jobs();
     assert!(core.submit(request(1, 4000.0)).is_err(), "the program stops");
@@ -97,7 +97,7 @@
     let early = core.submit(request(1, 9000.0)).unwrap();
     clock.set(START + 300.0);
     let late = core.submit(request(1, 9000.0)).unwrap();
-    assert_eq!(core.job(early).map(|s| s.request.deadline), Some(START + 9000.0));
+    assert_eq!(core.job(early).map(|s| s.request.deadline_ms), Some(START + 9000.0));
     while let Some(at) = core.next_deadline().filter(|&at| at <= START + 3300.0) {
         clock.set(at);
         core.tick();
@@ -140,7 +140,7 @@
         assert!(at <= START + 4000.0, "the module is woken past the deadline, at {at}");
         clock.set(at);
         // What comes in before the tick.
-        core.on_list(Vec::new(), false);
+        core.on_list(Vec::new(), ListScope::Changes);
         core.tick();
     }
     panic!("it is woken again and again and never ends the session");
@@ -206,7 +206,7 @@
         let id = core.submit(JobRequest { partition: pool, ..request(1, 4000.0) }).unwrap();
         for command in commands(core) {
             if let Command::Send { endpoint: server, .. } = command {
-                names.push(core.endpoints().get(server).unwrap().line.name.clone());
+                names.push(core.endpoints().get(server).unwrap().name.clone());
                 core.on_attempt_ended(id, 0, Outcome::Served, LoadReport::default(), Vec::new());
             }
         }
@@ -235,7 +235,7 @@
         address: String::new(),
         endpoint: Endpoint { size: 1.0, ..Endpoint::default() },
     };
-    core.on_list(vec![line("b-1"), line("b-2"), line("a-1")], true);
+    core.on_list(vec![line("b-1"), line("b-2"), line("a-1")], ListScope::Complete);
     assert_eq!(servers_of(&mut core, a, 8), ["a-1"], "a server that left the list");
     assert_eq!(servers_of(&mut core, b, 8), ["b-1", "b-2"], "and one that came");
     assert!(core.has_ready_endpoint(&prefix("b-")) && !core.has_ready_endpoint(&prefix("c-")));
@@ -266,7 +266,7 @@
         .iter()
         .filter_map(|command| match command {
             Command::Send { endpoint: server, .. } => {
-                Some(core.endpoints().get(*server).unwrap().line.name.clone())
+                Some(core.endpoints().get(*server).unwrap().name.clone())
             }
             _ => None,
         })
@@ -289,7 +289,7 @@
         address: String::new(),
         endpoint: Endpoint { size: 1.0, started_at: born, ..Endpoint::default() },
     };
-    core.on_list(vec![line("a-cold", born), line("b-warm", 0)], true);
+    core.on_list(vec![line("a-cold", born), line("b-warm", 0)], ListScope::Complete);
     let mut sent = 0;
     for change in 0..40 {
         // Each time another selector of the same server, so that each is a new pool.
@@ -316,7 +316,10 @@
         let member = Endpoint { size: 1.0, status: state, ..Endpoint::default() };
         ListedEndpoint { name: name.into(), address: String::new(), endpoint: member }
     };
-    core.on_list(vec![line("w0", EndpointStatus::Gone), line("late", EndpointStatus::Ready)], false);
+    core.on_list(
+        vec![line("w0", EndpointStatus::Gone), line("late", EndpointStatus::Ready)],
+        ListScope::Changes,
+    );
     assert!(core.endpoints().id("late").is_some_and(|id| core.endpoints().get(id).is_some()));
     assert_eq!(core.counters().lines_dropped, 3);
 }
