--- a/src/frontend/console/mod.rs
+++ b/src/frontend/console/mod.rs
@@ -175,18 +175,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards the calls' words and that what is not a call is named as such, never taken for one.
-    #[test]
-    fn lines_read_as_calls() {
-        assert_eq!(ParsedCall::read(b"readyz"), ParsedCall::Call(Call::Readyz));
-        assert_eq!(ParsedCall::read(b"telemetry\r"), ParsedCall::Call(Call::Telemetry));
-        assert_eq!(ParsedCall::read(b" evacuate "), ParsedCall::Call(Call::Evacuate));
-        assert_eq!(ParsedCall::read(b"activate"), ParsedCall::Call(Call::Activate));
-        assert_eq!(ParsedCall::read(b"exclude h1"), ParsedCall::Wrong("unknown call"));
-        assert_eq!(ParsedCall::read(b""), ParsedCall::Wrong("empty call"));
-        assert_eq!(ParsedCall::read(&[0xff, 0xfe]), ParsedCall::Wrong("not UTF-8"));
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/lifecycle/tests.rs
@@ -0,0 +1,54 @@
+//! Tests of `lifecycle`.
+
+use super::*;
+use proptest::prelude::*;
+
+/// Guards the operators' ways: evacuate and activate go back and forth, a stop is for good.
+#[test]
+fn calls_and_signals_move_it() {
+    let mut life = Lifecycle::new(0.0);
+    assert!(life.ready());
+    assert!(life.on(1.0, Cause::Evacuate));
+    assert_eq!((life.phase(), life.ready(), life.since()), (Phase::Evacuating, false, 1.0));
+    assert!(!life.on(2.0, Cause::Evacuate), "a second evacuate changes nothing");
+    assert!(life.on(3.0, Cause::Activate));
+    assert!(life.ready());
+    assert!(!life.on(3.5, Cause::Activate));
+    assert!(!life.on(3.6, Cause::Finished), "a process that serves does not stop by itself");
+    assert!(life.on(4.0, Cause::Terminate { successor: true }));
+    assert_eq!(life.phase(), Phase::HandingOver);
+    assert!(!life.on(5.0, Cause::Activate), "a stop cannot be called off");
+    assert!(!life.on(5.0, Cause::Terminate { successor: false }), "a second signal changes nothing");
+    assert!(life.on(6.0, Cause::Finished));
+    assert_eq!(life.phase(), Phase::Stopped);
+    let mut alone = Lifecycle::new(0.0);
+    alone.on(0.0, Cause::Evacuate);
+    alone.on(1.0, Cause::Terminate { successor: false });
+    assert_eq!(alone.phase(), Phase::Draining);
+}
+
+fn cause() -> impl Strategy<Value = Cause> {
+    prop_oneof![
+        Just(Cause::Evacuate),
+        Just(Cause::Activate),
+        any::<bool>().prop_map(|successor| Cause::Terminate { successor }),
+        Just(Cause::Finished),
+    ]
+}
+
+proptest! {
+    /// Guards that whatever comes, a process that began to stop never says yes again, and only a stop ends.
+    #[test]
+    fn a_stop_is_for_good(causes in proptest::collection::vec(cause(), 0..40)) {
+        let mut life = Lifecycle::new(0.0);
+        let mut stopping = false;
+        for (at, cause) in causes.into_iter().enumerate() {
+            life.on(at as f64, cause);
+            if stopping {
+                prop_assert!(life.stopping() && !life.ready());
+            }
+            stopping = life.stopping();
+            prop_assert!(life.phase() != Phase::Stopped || stopping);
+        }
+    }
+}
--- /dev/null
+++ b/src/net/body/tests.rs
@@ -0,0 +1,134 @@
+//! Tests of `body`.
+
+use proptest::prelude::*;
+
+use super::*;
+
+/// Reads a body of which more comes in pieces of these sizes: its payload and what is left behind it.
+fn read(framing: Framing, wire: &[u8], pieces: &[usize]) -> Result<(Vec<u8>, Vec<u8>, bool), BodyError> {
+    let (mut decoder, mut out, mut held) = (Decoder::new(framing, 1 << 20)?, Vec::new(), Vec::new());
+    let (mut at, mut sizes) = (0, pieces.iter().cycle());
+    loop {
+        let step = decoder.step(&held)?;
+        held.drain(..step.skip);
+        // Taken one byte short, so that a piece is stepped over twice.
+        let some = if step.payload > 1 { step.payload - 1 } else { step.payload };
+        out.extend(held.drain(..some));
+        decoder.took(some);
+        if step.skip + step.payload > 0 && !decoder.is_done() {
+            continue;
+        }
+        if decoder.is_done() || at == wire.len() {
+            held.extend_from_slice(&wire[at..]);
+            return Ok((out, held, decoder.is_done()));
+        }
+        let end = (at + sizes.next().unwrap()).min(wire.len());
+        held.extend_from_slice(&wire[at..end]);
+        at = end;
+    }
+}
+
+#[test]
+fn a_chunk_split_at_every_byte_reads_alike() {
+    let wire = b"5;name=\"v\"\r\nlakes\r\n00a \r\n0123456789\r\n0;x\r\nEtag: 7\r\nHost: evil\r\n\r\nNEXT";
+    // A blank behind a size is refused, with an extension or without.
+    assert_eq!(read(Framing::Chunked, wire, &[9]), Err(BodyError::ChunkSize));
+    let wire = b"5;name=\"v\"\r\nlakes\r\n00a\r\n0123456789\r\n0;x\r\nEtag: 7\r\nHost: evil\r\n\r\nNEXT";
+    for piece in 1..=wire.len() {
+        let read = read(Framing::Chunked, wire, &[piece]).unwrap();
+        assert_eq!(read, (b"lakes0123456789".to_vec(), b"NEXT".to_vec(), true), "pieces of {piece}");
+    }
+    let mut decoder = Decoder::new(Framing::Chunked, 100).unwrap();
+    decoder.step(b"0\r\nEtag: 7\r\nHost: evil\r\nContent-Length: 3\r\n\r\n").unwrap();
+    assert_eq!(decoder.trailers(), b"Etag: 7\r\n");
+}
+
+#[test]
+fn what_two_readers_could_read_differently_is_refused() {
+    for (wire, error) in [
+        (&b"x\r\n"[..], BodyError::ChunkSize),
+        (b"-1\r\n", BodyError::ChunkSize),
+        (b"+5\r\nlakes\r\n", BodyError::ChunkSize),
+        (b"0x5\r\nlakes\r\n", BodyError::ChunkSize),
+        (b"5\nlakes\r\n", BodyError::ChunkSize),
+        (b"\r\n5\r\nlakes\r\n", BodyError::ChunkSize),
+        (b" 5\r\nlakes\r\n", BodyError::ChunkSize),
+        (b"5\r \nlakes\r\n", BodyError::ChunkSize),
+        (b"5;a\rb\r\nlakes\r\n", BodyError::ChunkSize),
+        (b"fffffffffffffffff\r\n", BodyError::ChunkSize),
+        (b"ffffffffff\r\n", BodyError::TooLong),
+        (b"5\r\nlakes!\r\n", BodyError::ChunkEnd),
+        (b"5\r\nlakes\n", BodyError::ChunkEnd),
+        (b"0\r\nno colon\r\n\r\n", BodyError::Trailers),
+        (b"0\r\nA: b\n\r\n", BodyError::Trailers),
+    ] {
+        for piece in [1, 2, 64] {
+            let read = read(Framing::Chunked, wire, &[piece]);
+            assert_eq!(read, Err(error), "{:?}", String::from_utf8_lossy(wire));
+        }
+    }
+}
+
+#[test]
+fn endless_extensions_and_trailers_are_refused() {
+    let long = [b"5;".as_slice(), &[b'a'; CHUNK_LINE]].concat();
+    assert_eq!(read(Framing::Chunked, &long, &[1]), Err(BodyError::Extension));
+    let many = b"1;aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\nx\r\n".repeat(400);
+    assert_eq!(read(Framing::Chunked, &many, &[7]), Err(BodyError::Extension));
+    // A long body whose chunks each have one is no attack.
+    let chunk = [b"400;at=000000000000\r\n".as_slice(), &[b'x'; 1024], b"\r\n"].concat();
+    let long = [chunk.repeat(2000), b"0\r\n\r\n".to_vec()].concat();
+    let mut decoder = Decoder::new(Framing::Chunked, u64::MAX).unwrap();
+    let mut rest = &long[..];
+    while !decoder.is_done() {
+        let step = decoder.step(rest).unwrap();
+        decoder.took(step.payload);
+        rest = &rest[step.skip + step.payload..];
+    }
+    assert_eq!(decoder.seen(), 2000 * 1024);
+    let trailers = [b"0\r\n".as_slice(), &b"Etag: 7\r\n".repeat(TRAILERS / 9 + 1)].concat();
+    assert_eq!(read(Framing::Chunked, &trailers, &[1000]), Err(BodyError::Trailers));
+    assert_eq!(Decoder::new(Framing::Length(11), 10).err(), Some(BodyError::TooLong));
+}
+
+#[test]
+fn a_body_cut_short_is_told_from_one_that_ends_with_its_connection() {
+    for (framing, whole) in
+        [(Framing::Length(9), false), (Framing::Chunked, false), (Framing::UntilClose, true)]
+    {
+        let mut decoder = Decoder::new(framing, 100).unwrap();
+        let step = decoder.step(b"5\r\nlake").unwrap();
+        decoder.took(step.payload);
+        assert_eq!(decoder.end(), whole, "{framing:?}");
+    }
+    assert_eq!(read(Framing::Length(5), b"lakesGET", &[3]).unwrap().1, b"GET");
+}
+
+proptest! {
+    /// Whatever comes, in whatever pieces: no panic, and the same reading however it is cut.
+    #[test]
+    fn any_bytes_read_alike_in_any_pieces(
+        wire in proptest::collection::vec(prop_oneof![Just(b'\r'), Just(b'\n'), Just(b'0'), Just(b'3'), Just(b';'), any::<u8>()], 0..80),
+        pieces in proptest::collection::vec(1usize..9, 1..9),
+    ) {
+        let whole = read(Framing::Chunked, &wire, &[80]);
+        let cut = read(Framing::Chunked, &wire, &pieces);
+        prop_assert_eq!(whole.is_ok(), cut.is_ok());
+        if let (Ok(whole), Ok(cut)) = (whole, cut) {
+            prop_assert_eq!(whole, cut);
+        }
+    }
+
+    /// What is written reads back.
+    #[test]
+    fn chunks_read_back(chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..300), 0..9), piece in 1usize..50) {
+        let mut wire = Vec::new();
+        for chunk in &chunks {
+            wire.extend(chunk_head(chunk.len()));
+            wire.extend(chunk);
+            wire.extend(b"\r\n");
+        }
+        wire.extend(last_chunk(b"Etag: 1\r\n"));
+        prop_assert_eq!(read(Framing::Chunked, &wire, &[piece]).unwrap(), (chunks.concat(), Vec::new(), true));
+    }
+}
--- /dev/null
+++ b/src/net/head/tests.rs
@@ -0,0 +1,61 @@
+//! Tests of `head`.
+
+use super::*;
+
+fn read(text: &str) -> Result<Option<RequestHead>, Bad> {
+    let mut ring = Ring::new(1 << 16);
+    ring.push(text.as_bytes());
+    request(&mut ring)
+}
+
+#[test]
+fn smuggling_shapes_are_refused() {
+    for lines in [
+        "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
+        "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n",
+        "Content-Length: 3\r\nContent-Length: 3\r\n",
+        "Content-Length: 3, 3\r\n",
+        "Content-Length: +3\r\n",
+        "Content-Length: 0x3\r\n",
+        "Content-Length:\r\n",
+        "Content-Length : 3\r\n",
+        "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
+        "Transfer-Encoding: chunked, identity\r\n",
+        "Transfer-Encoding: xchunked\r\n",
+        "Transfer-Encoding:\u{b}chunked\r\n",
+        " Transfer-Encoding: chunked\r\n",
+        "Host: b\r\n",
+    ] {
+        let text = format!("POST /export/x HTTP/1.1\r\nHost: a\r\n{lines}\r\n");
+        assert!(read(&text).is_err(), "{lines:?}");
+    }
+    assert!(read("POST /x HTTP/1.1\r\n\r\n").is_err(), "no host");
+    assert!(read("POST http://a/x HTTP/1.1\r\nHost: a\r\n\r\n").is_err(), "not in origin form");
+    assert!(read("POST /x HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n").is_err(), "chunks in 1.0");
+}
+
+#[test]
+fn headers_of_one_hop_stay_behind() {
+    let text = "PUT /x HTTP/1.1\r\nHost: a\r\nConnection: keep-alive, X-Here\r\nX-Here: 1\r\nX-There: 2\r\n\
+                TE: trailers\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let head = read(text).unwrap().unwrap();
+    assert_eq!(head.framing, Framing::Chunked);
+    let out = String::from_utf8(write_request(&head, Framing::Length(7))).unwrap();
+    let wanted =
+        "PUT /x HTTP/1.1\r\nHost: a\r\nX-There: 2\r\nExpect: 100-continue\r\nContent-Length: 7\r\n\r\n";
+    assert_eq!(out, wanted);
+}
+
+#[test]
+fn answers_without_a_body_are_known() {
+    let read = |text: &str, to_head| {
+        let mut ring = Ring::new(1 << 16);
+        ring.push(text.as_bytes());
+        answer(&mut ring, to_head).unwrap().unwrap()
+    };
+    assert_eq!(read("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", true).framing, Framing::Empty);
+    assert_eq!(read("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n", false).framing, Framing::Empty);
+    assert_eq!(read("HTTP/1.1 103 Early Hints\r\n\r\n", false).framing, Framing::Empty);
+    let until = read("HTTP/1.0 200 OK\r\n\r\n", false);
+    assert_eq!((until.framing, until.close), (Framing::UntilClose, true));
+}
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -146,39 +146,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards the names and the form that scrapers read, and that lanes of two cores with one name are one.
-    #[test]
-    fn figures_are_rendered_once_per_lane_and_result() {
-        let mut one = Telemetry::new(vec!["search".into(), "hold".into()]);
-        let mut two = Telemetry::new(vec!["search".into()]);
-        one.answered(0, Disposition::Completed);
-        one.answered(0, Disposition::Completed);
-        one.answered(1, Disposition::Rejected);
-        two.answered(0, Disposition::Failed);
-        one.answered(7, Disposition::Failed);
-        one.written();
-        two.written();
-        let gauges = Gauges { pending: 4, members: 3, members_unavailable: 1 };
-        let text = render(&[&one, &two], gauges);
-        let lines: Vec<&str> = text.lines().filter(|l| !l.starts_with('#')).collect();
-        assert_eq!(
-            lines,
-            [
-                "lb_downstream_requests_total{lane=\"search\",result=\"completed\"} 2",
-                "lb_downstream_requests_total{lane=\"search\",result=\"rejected\"} 0",
-                "lb_downstream_requests_total{lane=\"search\",result=\"failed\"} 1",
-                "lb_downstream_requests_total{lane=\"hold\",result=\"completed\"} 0",
-                "lb_downstream_requests_total{lane=\"hold\",result=\"rejected\"} 1",
-                "lb_downstream_requests_total{lane=\"hold\",result=\"failed\"} 0",
-                "lb_upstream_requests_total 2",
-                "lb_pending 4",
-                "lb_members 3",
-                "lb_members_unavailable 1",
-            ]
-        );
-        assert_eq!(escape("a\"b\\c\nd"), "a\\\"b\\\\c\\nd");
-    }
-}
+mod tests;
