--- a/src/bin/micabeam-adapter/main.rs
+++ b/src/bin/micabeam-adapter/main.rs
@@ -82,7 +82,7 @@
             1 => {
                 let seed = r.u64()?;
                 let length = r.u32()? as usize;
-                let site = Site::parse(r.bytes(length)?)?;
+                let site = Site::parse(r.bytes(length)?).map_err(|e| e.to_string())?;
                 let dispatcher = Router::new(site.settings.clone(), seed);
                 self.instances.insert(id, Instance { dispatcher, site });
                 return Ok(());
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,4 +1,5 @@
-//! The one clock: milliseconds since the Unix epoch, as a floating-point number.
+//! The one clock of the program: milliseconds since the Unix epoch, as a floating-point number. Tests set it; nothing else
+//! in the program reads the time.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Now, in milliseconds.
+    /// The time now, in milliseconds.
     pub fn now(&self) -> f64 {
         match &*self.0 {
             Source::System { epoch, start } => epoch + start.elapsed().as_secs_f64() * 1e3,
@@ -65,12 +66,12 @@
     time.tv_sec as f64 * 1e3 + time.tv_nsec as f64 / 1e6
 }
 
-/// Milliseconds as the module's microseconds. All conversion is here.
+/// Milliseconds as the router's microseconds. All conversion is here.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1e3).round().max(0.0) as Micros
 }
 
-/// The module's microseconds as milliseconds.
+/// The router's microseconds as milliseconds.
 pub fn millis(micros: Micros) -> f64 {
     micros as f64 / 1e3
 }
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -1,39 +1,39 @@
-//! Counts of what was taken in, sent and answered.
+//! Counts of what was taken in, sent and answered. Their names are what operators read.
 
 use std::fmt;
 
 /// Counts since the start. `taken` is the sum of the answers, `left` and what is still open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Sessions taken in.
+    /// Jobs taken in.
     pub taken: u64,
-    /// Sessions denied before the module saw them: too many, or the program is stopping.
+    /// Jobs rejected before the router saw them: too many, or the program is stopping.
     pub turned_away: u64,
-    /// Sessions answered with a backend server's result.
+    /// Jobs answered with an endpoint's result.
     pub served: u64,
-    /// Sessions denied by the module.
+    /// Jobs rejected by the router.
     pub denied: u64,
-    /// Sessions answered as failed.
+    /// Jobs answered as failed.
     pub failed: u64,
-    /// Sessions whose client left before an answer.
+    /// Jobs whose client left before an answer.
     pub left: u64,
-    /// Dispatches sent.
+    /// Attempts sent.
     pub sent: u64,
-    /// Dispatches called off.
+    /// Attempts cancelled.
     pub cancelled: u64,
-    /// Dispatches that ended without having run.
+    /// Attempts that ended without having run.
     pub never_ran: u64,
-    /// Dispatches that ended otherwise than served and may have run.
+    /// Attempts that ended otherwise than served and may have run.
     pub may_have_run: u64,
-    /// News of dispatches that were over already.
+    /// News of attempts that were over already.
     pub stray: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Lists and changes of the server table read.
+    /// Lists and changes of lists read.
     pub lists: u64,
     /// Calls to discovery that failed.
     pub list_failures: u64,
-    /// Lines of lists that the server table had no room for.
+    /// Lines of lists that the endpoint table had no room for.
     pub lines_dropped: u64,
 }
 
--- /dev/null
+++ b/src/core/endpoint_list.rs
@@ -0,0 +1,88 @@
+//! What a core does with news of its endpoints: the list and its changes, calls for it that failed, and probes.
+
+use super::Core;
+use super::clock::micros;
+use super::endpoint_table::{ListScope, ListedEndpoint, MAX_ENDPOINTS};
+use super::partition::ALL_ENDPOINTS;
+use crate::routing::{Endpoint, EndpointId, Event, LoadReport, WarmState};
+
+impl Core {
+    /// The list as last held before a restart.
+    pub fn restore_list(&mut self, lines: Vec<ListedEndpoint>) {
+        let endpoints = self.apply_lines(lines, ListScope::Complete);
+        self.drive(ALL_ENDPOINTS, Event::Cached(&endpoints));
+    }
+
+    /// The list, or its changes.
+    pub fn on_list(&mut self, lines: Vec<ListedEndpoint>, scope: ListScope) {
+        self.statistics.counters.lists += 1;
+        let endpoints = self.apply_lines(lines, scope);
+        self.notify_routers(&endpoints, scope);
+    }
+
+    /// A call to discovery has failed, or the watch broke.
+    pub fn on_list_failed(&mut self) {
+        self.statistics.counters.list_failures += 1;
+        self.drive(ALL_ENDPOINTS, Event::ListFailed);
+    }
+
+    /// A probe has come back, or has not in time.
+    pub fn on_probe_ended(
+        &mut self,
+        endpoint: EndpointId,
+        answered: bool,
+        latency_ms: f64,
+        report: LoadReport,
+    ) {
+        let event = Event::Probed { endpoint, answered, latency: micros(latency_ms), report };
+        self.drive(ALL_ENDPOINTS, event);
+        for partition in self.routers.partition_ids() {
+            self.drive(partition, event);
+        }
+    }
+
+    /// Takes over the list and what was learned of a process that this one replaces. The list only where none has been
+    /// read here; false where what was learned cannot be true here, and then it is not taken over.
+    pub fn restore_warm_state(&mut self, lines: Vec<ListedEndpoint>, state: WarmState) -> bool {
+        if self.statistics.counters.lists == 0 {
+            let endpoints = self.apply_lines(lines, ListScope::Complete);
+            self.notify_routers(&endpoints, ListScope::Complete);
+        }
+        self.routers.restore(micros(self.clock.now()), state)
+    }
+
+    /// Takes lines into the endpoint table, and gives them as routers are to see them.
+    fn apply_lines(&mut self, lines: Vec<ListedEndpoint>, scope: ListScope) -> Vec<Endpoint> {
+        let dropped_before = self.endpoints.dropped_lines();
+        let mut endpoints = self.endpoints.apply(lines, scope);
+        let dropped = self.endpoints.dropped_lines() - dropped_before;
+        if dropped > 0 {
+            self.statistics.counters.lines_dropped += dropped;
+            crate::say(format_args!(
+                "the list has {dropped} servers more than the {MAX_ENDPOINTS} that are held"
+            ));
+        }
+        if let Some(split) = &self.traffic_split {
+            split.scale(&mut endpoints);
+        }
+        endpoints
+    }
+
+    /// Tells all routers of the list, or of its changes.
+    pub(super) fn notify_routers(&mut self, endpoints: &[Endpoint], scope: ListScope) {
+        self.drive(ALL_ENDPOINTS, list_event(endpoints, scope));
+        for partition in self.routers.partition_ids() {
+            let selector = self.routers.selector(partition);
+            let selected = selector.map(|selector| selector.select(&self.endpoints, endpoints));
+            self.drive(partition, list_event(&selected.unwrap_or_default(), scope));
+        }
+    }
+}
+
+/// The event that tells a router of the list, or of its changes.
+fn list_event(endpoints: &[Endpoint], scope: ListScope) -> Event<'_> {
+    match scope {
+        ListScope::Complete => Event::List(endpoints),
+        ListScope::Changes => Event::Changes(endpoints),
+    }
+}
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -12,14 +12,17 @@
 mod clock;
 mod command;
 mod counters;
+mod endpoint_list;
 mod endpoint_table;
 mod job;
 mod jobs;
 mod partition;
+mod partitions;
 mod routers;
 mod stages;
 mod statistics;
 mod traffic_split;
+mod zone_traffic;
 
 use std::collections::VecDeque;
 
@@ -32,10 +35,9 @@
 pub use job::{ActiveJob, Attempt, FinalAnswer, JobRequest};
 pub use partition::{ALL_ENDPOINTS, EndpointSelector, PartitionId};
 pub use traffic_split::{Admission, TrafficEvent};
+pub use zone_traffic::ZoneLoad;
 
-use crate::routing::{
-    Action, AttemptEnd, Endpoint, EndpointId, EndpointStatus, Event, JobId, LoadReport, Outcome, WarmState,
-};
+use crate::routing::{Action, AttemptEnd, Event, JobId, LoadReport, Outcome, WarmState};
 use crate::settings::Site;
 use crate::telemetry::{Gauges, Telemetry};
 use jobs::Jobs;
@@ -51,15 +53,6 @@
 #[error("other `grades`, `kinds` or `zones` take a restart")]
 pub struct IncompatibleSettings;
 
-/// What a zone has at one moment, as its dispatcher knows it.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ZoneLoad {
-    /// Attempts that are open there.
-    pub open_attempts: usize,
-    /// The sizes of its listed endpoints that take work, in sum.
-    pub ready_size: f64,
-}
-
 /// The core of one frontend.
 pub struct Core {
     clock: Clock,
@@ -125,7 +118,7 @@
         let admitted = admit::admit(&self.limits, traffic_split, self.jobs.len(), self.clock.now(), request);
         let request = admitted.map_err(|refusal| {
             self.statistics.count_not_admitted(class);
-            let retry_after_ms = if refusal.is_worth_a_retry() { self.site.max_retry_after } else { 0.0 };
+            let retry_after_ms = if refusal.is_worth_a_retry() { self.site.max_retry_after_ms } else { 0.0 };
             FinalAnswer::Rejected { retry_after_ms }
         })?;
         self.jobs.insert(id, request);
@@ -218,40 +211,6 @@
         is_open && router.attempt_is_valid(micros(self.clock.now()), job, attempt)
     }
 
-    /// The list as last held before a restart.
-    pub fn restore_list(&mut self, lines: Vec<ListedEndpoint>) {
-        let endpoints = self.apply_lines(lines, ListScope::Complete);
-        self.drive(ALL_ENDPOINTS, Event::Cached(&endpoints));
-    }
-
-    /// The list, or its changes.
-    pub fn on_list(&mut self, lines: Vec<ListedEndpoint>, scope: ListScope) {
-        self.statistics.counters.lists += 1;
-        let endpoints = self.apply_lines(lines, scope);
-        self.notify_routers(&endpoints, scope);
-    }
-
-    /// A call to discovery has failed, or the watch broke.
-    pub fn on_list_failed(&mut self) {
-        self.statistics.counters.list_failures += 1;
-        self.drive(ALL_ENDPOINTS, Event::ListFailed);
-    }
-
-    /// A probe has come back, or has not in time.
-    pub fn on_probe_ended(
-        &mut self,
-        endpoint: EndpointId,
-        answered: bool,
-        latency_ms: f64,
-        report: LoadReport,
-    ) {
-        let event = Event::Probed { endpoint, answered, latency: micros(latency_ms), report };
-        self.drive(ALL_ENDPOINTS, event);
-        for partition in self.routers.partition_ids() {
-            self.drive(partition, event);
-        }
-    }
-
     /// Lets routers know that the time has come for which they asked.
     pub fn tick(&mut self) {
         if self.routers.all_is_due(micros(self.clock.now())) {
@@ -272,118 +231,6 @@
         self.commands.pop_front()
     }
 
-    /// Takes lines into the endpoint table, and gives them as routers are to see them.
-    fn apply_lines(&mut self, lines: Vec<ListedEndpoint>, scope: ListScope) -> Vec<Endpoint> {
-        let dropped_before = self.endpoints.dropped_lines();
-        let mut endpoints = self.endpoints.apply(lines, scope);
-        let dropped = self.endpoints.dropped_lines() - dropped_before;
-        if dropped > 0 {
-            self.statistics.counters.lines_dropped += dropped;
-            crate::say(format_args!(
-                "the list has {dropped} servers more than the {MAX_ENDPOINTS} that are held"
-            ));
-        }
-        if let Some(split) = &self.traffic_split {
-            split.scale(&mut endpoints);
-        }
-        endpoints
-    }
-
-    /// All listed endpoints as routers are to see them.
-    fn scaled_endpoints(&self) -> Vec<Endpoint> {
-        let mut endpoints: Vec<Endpoint> = self.endpoints.listed().iter().map(|line| line.endpoint).collect();
-        if let Some(split) = &self.traffic_split {
-            split.scale(&mut endpoints);
-        }
-        endpoints
-    }
-
-    /// Tells all routers of the list, or of its changes.
-    fn notify_routers(&mut self, endpoints: &[Endpoint], scope: ListScope) {
-        self.drive(ALL_ENDPOINTS, list_event(endpoints, scope));
-        for partition in self.routers.partition_ids() {
-            let selector = self.routers.selector(partition);
-            let selected = selector.map(|selector| selector.select(&self.endpoints, endpoints));
-            self.drive(partition, list_event(&selected.unwrap_or_default(), scope));
-        }
-    }
-
-    /// From now on the sizes of its zones' endpoints are scaled, and what the zones do is recorded.
-    pub fn enable_traffic_split(&mut self) {
-        self.traffic_split = Some(Box::new(TrafficSplit::new(self.site.zones.len())));
-    }
-
-    /// What each zone may get from now on, and which share of requests is admitted, in thousandths.
-    pub fn set_traffic_split(&mut self, zone_shares: Vec<u16>, admitted_share: u16) {
-        let split = self.traffic_split.as_mut();
-        if split.is_some_and(|split| split.set(zone_shares, admitted_share)) {
-            let endpoints = self.scaled_endpoints();
-            self.notify_routers(&endpoints, ListScope::Changes);
-        }
-    }
-
-    /// Names what has happened in its zones since the last call.
-    pub fn drain_traffic_events(&mut self, consume: impl FnMut(TrafficEvent)) {
-        if let Some(split) = &mut self.traffic_split {
-            split.drain_events(consume);
-        }
-    }
-
-    /// The load of each of so many zones, by the site's order.
-    pub fn zone_loads(&self, zones: usize) -> Vec<ZoneLoad> {
-        let mut loads = vec![ZoneLoad::default(); zones];
-        for line in self.endpoints.listed() {
-            let endpoint = &line.endpoint;
-            if let Some(load) = loads.get_mut(usize::from(endpoint.zone))
-                && endpoint.status == EndpointStatus::Ready
-            {
-                load.ready_size += endpoint.size;
-            }
-        }
-        let attempts = self.jobs.iter().flat_map(|job| &job.attempts);
-        for attempt in attempts.filter(|attempt| attempt.is_open) {
-            let zone = self.endpoints.get(attempt.endpoint).map(|line| usize::from(line.endpoint.zone));
-            if let Some(load) = zone.and_then(|zone| loads.get_mut(zone)) {
-                load.open_attempts += 1;
-            }
-        }
-        loads
-    }
-
-    /// Partitions of these endpoints, in order, and no others from now on: those that are not among them end with their
-    /// last jobs. A new one starts with what the other routers have learned.
-    pub fn set_partitions<'a>(
-        &mut self,
-        selectors: impl IntoIterator<Item = &'a EndpointSelector>,
-    ) -> Vec<PartitionId> {
-        self.routers.unwant_all();
-        let ids = selectors.into_iter().map(|selector| self.partition(selector)).collect();
-        self.routers.drop_unused(micros(self.clock.now()));
-        ids
-    }
-
-    fn partition(&mut self, selector: &EndpointSelector) -> PartitionId {
-        if let Some(id) = self.routers.want(selector) {
-            return id;
-        }
-        let others = self.routers.partition_states();
-        let id = self.routers.add(selector, &self.site.settings);
-        let selected = selector.select(&self.endpoints, &self.scaled_endpoints());
-        self.drive(id, Event::List(&selected));
-        self.routers.inherit(id, micros(self.clock.now()), others);
-        id
-    }
-
-    /// How many partitions there are.
-    pub fn partition_count(&self) -> usize {
-        self.routers.partition_count()
-    }
-
-    /// Whether a listed endpoint that takes work belongs to these.
-    pub fn has_ready_endpoint(&self, selector: &EndpointSelector) -> bool {
-        selector.has_ready_endpoint(&self.endpoints)
-    }
-
     /// What is taken in from one time on is to be over by another, in milliseconds of the clock.
     pub fn limit_late_deadlines(&mut self, from_ms: f64, until_ms: f64) {
         self.limits.shutdown_deadline = Some(ShutdownDeadline { from_ms, until_ms });
@@ -399,16 +246,6 @@
         self.routers.router(ALL_ENDPOINTS).warm_state()
     }
 
-    /// Takes over the list and what was learned of a process that this one replaces. The list only where none has been
-    /// read here; false where what was learned cannot be true here, and then it is not taken over.
-    pub fn restore_warm_state(&mut self, lines: Vec<ListedEndpoint>, state: WarmState) -> bool {
-        if self.statistics.counters.lists == 0 {
-            let endpoints = self.apply_lines(lines, ListScope::Complete);
-            self.notify_routers(&endpoints, ListScope::Complete);
-        }
-        self.routers.restore(micros(self.clock.now()), state)
-    }
-
     /// How many jobs have had no final answer.
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
@@ -472,7 +309,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         route::route(&mut self.routers, partition, now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.carry_out(&action);
         }
         self.actions = actions;
         let mut has_unused_partition = false;
@@ -484,9 +321,9 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn carry_out(&mut self, action: &Action) {
         let (counters, commands) = (&mut self.statistics.counters, &mut self.commands);
-        match action {
+        match *action {
             Action::Send { job, endpoint } => {
                 send::start_attempt(&mut self.jobs, counters, commands, self.clock.now(), job, endpoint);
             }
@@ -494,7 +331,7 @@
                 send::cancel_attempt(&mut self.jobs, counters, commands, job, attempt);
             }
             Action::Reject { job, retry_after } => {
-                let retry_after_ms = millis(retry_after).min(self.site.max_retry_after);
+                let retry_after_ms = millis(retry_after).min(self.site.max_retry_after_ms);
                 self.answer(job, FinalAnswer::Rejected { retry_after_ms });
             }
             Action::Fail { job } => self.answer(job, FinalAnswer::Failed),
@@ -505,11 +342,3 @@
         }
     }
 }
-
-/// The event that tells a router of the list, or of its changes.
-fn list_event(endpoints: &[Endpoint], scope: ListScope) -> Event<'_> {
-    match scope {
-        ListScope::Complete => Event::List(endpoints),
-        ListScope::Changes => Event::Changes(endpoints),
-    }
-}
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -6,7 +6,7 @@
 
 use super::Sockets;
 use crate::core::{Core, ListScope, ListedEndpoint, micros, millis};
-use crate::json::{self, JsonValue, flag, number, text};
+use crate::json::{self, JsonError, JsonValue, flag, number, text};
 use crate::net::ConnId;
 use crate::net::http;
 use crate::routing::{Endpoint, EndpointId, EndpointStatus, Settings};
@@ -220,9 +220,7 @@
                 if ended || message.close {
                     self.hang_up(net);
                 }
-                match json::parse(&message.body)
-                    .and_then(|list| read_list(&list, site).map_err(|e| e.to_string()))
-                {
+                match parse_list(&message.body, site) {
                     Ok(list) if self.is_stale(list.version) => self.failed(net, now, &site.settings),
                     Ok(list) => {
                         self.seq = Some(list.version);
@@ -314,8 +312,11 @@
 }
 
 /// Why a list does not read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[derive(Debug, Error)]
 pub enum ListError {
+    /// It is no JSON.
+    #[error(transparent)]
+    Json(#[from] JsonError),
     /// It has no version.
     #[error("the list has no seq")]
     NoVersion,
@@ -324,6 +325,11 @@
     NoName,
 }
 
+/// Reads a list or its changes from their text.
+fn parse_list(body: &[u8], site: &Site) -> Result<EndpointList, ListError> {
+    read_list(&json::parse(body)?, site)
+}
+
 /// Reads a list or its changes.
 ///
 /// # Errors
--- a/src/frontend/fleet/figures.rs
+++ b/src/frontend/fleet/figures.rs
@@ -1,87 +1,122 @@
-//! The fleet's figures, in the text exposition format.
+//! The fleet's figures, in the text exposition format. Their names are the operators'.
 
+use super::open_node::DatagramDrops;
 use crate::control_plane::ControlPlane;
-use crate::fleet::NodeCounters;
 use crate::telemetry::{escape, row};
-use crate::zones::AgreementStatus;
+use crate::zones::{AgreementStatus, FULL_SHARE};
 
-/// Datagrams that came to nothing.
-pub(super) struct DatagramDrops {
-    /// From addresses that nobody has.
-    pub strangers: u64,
-    /// That the system did not take.
-    pub unsent: u64,
+/// Figures on their way into a text.
+#[derive(Default)]
+struct Figures {
+    text: String,
+}
+
+impl Figures {
+    fn gauge(&mut self, name: &str, help: &str, value: f64) {
+        row(&mut self.text, name, "gauge", help, &[(String::new(), value)]);
+    }
+
+    fn labelled_gauge(&mut self, name: &str, help: &str, values: &[(String, f64)]) {
+        row(&mut self.text, name, "gauge", help, values);
+    }
+
+    fn counter(&mut self, name: &str, help: &str, value: u64) {
+        row(&mut self.text, name, "counter", help, &[(String::new(), value as f64)]);
+    }
+}
+
+fn flag(on: bool) -> f64 {
+    f64::from(u8::from(on))
 }
 
 /// Whether this process holds the fleet's address.
-pub(super) fn open(on: bool) -> String {
-    let (mut text, value) = (String::new(), [(String::new(), f64::from(u8::from(on)))]);
-    row(&mut text, "lb_fleet_open", "gauge", "Whether this process holds the fleet's address.", &value);
-    text
+pub(super) fn address_held(is_held: bool) -> String {
+    let mut figures = Figures::default();
+    figures.gauge("lb_fleet_open", "Whether this process holds the fleet's address.", flag(is_held));
+    figures.text
 }
 
-/// All of them, while the address is held.
-pub(super) fn render(names: &[String], shared: &ControlPlane, drops: DatagramDrops, now: f64) -> String {
-    let mut text = open(true);
-    let mut row = |name: &str, kind: &str, help: &str, values: &[(String, f64)]| {
-        row(&mut text, name, kind, help, values);
-    };
-    let one = |value: f64| [(String::new(), value)];
-    let (node, part) = (shared.node(), shared.zones());
-    let NodeCounters { frames, dropped, stale, sent_bytes, received_bytes: heard_bytes, decisions, proposed } =
-        *node.counters();
-    let flag = |on: bool| f64::from(u8::from(on));
-    let (epoch, table) = part.newest();
-    let standing = part.view().map_or(AgreementStatus::Kept, |view| view.status) as u8;
-    let up = node.alive().iter().filter(|up| **up).count();
-    row("lb_fleet_epoch", "gauge", "The newest decision.", &one(epoch as f64));
-    row(
-        "lb_fleet_standing",
-        "gauge",
-        "0: follows a leader; 1: without news, keeps the last epoch; 2: alone.",
-        &one(f64::from(standing)),
-    );
-    row("lb_fleet_members_up", "gauge", "Members that are there.", &one(up as f64));
-    row("lb_fleet_leads", "gauge", "Whether it leads the consensus.", &one(flag(node.is_leader())));
-    row("lb_fleet_votes", "gauge", "Whether it votes.", &one(flag(node.is_voting() == Some(true))));
-    let followers = node.followers().len() as f64;
-    row(
-        "lb_fleet_followers",
-        "gauge",
-        "Voters that follow it, itself among them; 0: no leader.",
-        &one(followers),
-    );
+/// Reports of the frontends that the fleet's thread had no room for.
+pub(super) fn lost_reports(count: u64) -> String {
+    let mut figures = Figures::default();
+    figures.counter("lb_fleet_lost_total", "Messages that the fleet's thread had no room for.", count);
+    figures.text
+}
+
+/// All figures of a member that holds its address.
+pub(super) fn render(
+    zone_names: &[String],
+    control_plane: &ControlPlane,
+    drops: DatagramDrops,
+    now_ms: f64,
+) -> String {
+    let mut figures = Figures { text: address_held(true) };
+    render_agreement(&mut figures, control_plane);
+    render_zones(&mut figures, zone_names, control_plane, now_ms);
+    render_traffic(&mut figures, control_plane, drops);
+    figures.text
+}
+
+fn render_agreement(figures: &mut Figures, control_plane: &ControlPlane) {
+    let node = control_plane.node();
+    let (epoch, _) = control_plane.zones().newest();
+    let view = control_plane.zones().view();
+    let status = view.map_or(AgreementStatus::Kept, |view| view.status) as u8;
+    let alive = node.alive().iter().filter(|alive| **alive).count();
+    figures.gauge("lb_fleet_epoch", "The newest decision.", epoch as f64);
+    let help = "0: follows a leader; 1: without news, keeps the last epoch; 2: alone.";
+    figures.gauge("lb_fleet_standing", help, f64::from(status));
+    figures.gauge("lb_fleet_members_up", "Members that are there.", alive as f64);
+    figures.gauge("lb_fleet_leads", "Whether it leads the consensus.", flag(node.is_leader()));
+    figures.gauge("lb_fleet_votes", "Whether it votes.", flag(node.is_voting() == Some(true)));
+    let help = "Voters that follow it, itself among them; 0: no leader.";
+    figures.gauge("lb_fleet_followers", help, node.followers().len() as f64);
+}
+
+fn render_zones(figures: &mut Figures, zone_names: &[String], control_plane: &ControlPlane, now_ms: f64) {
+    let zones = control_plane.zones();
     let mut seen = Vec::new();
-    for (zone, sight) in names.iter().zip(part.summaries(now, node)) {
+    for (zone, summary) in zone_names.iter().zip(zones.summaries(now_ms, control_plane.node())) {
         let zone = escape(zone);
-        let parts = [("answered", sight.answered), ("refused", sight.refused), ("silent", sight.silent)];
-        for (what, count) in parts.into_iter().chain([("sources", sight.reporters)]) {
+        for (what, count) in [
+            ("answered", summary.answered),
+            ("refused", summary.refused),
+            ("silent", summary.silent),
+            ("sources", summary.reporters),
+        ] {
             seen.push((format!("{{zone=\"{zone}\",what=\"{what}\"}}"), f64::from(count)));
         }
     }
-    row("lb_fleet_evidence", "gauge", "What dispatchers saw of a zone in the last second; at voters.", &seen);
-    let zones = |of: &dyn Fn(usize) -> f64| -> Vec<(String, f64)> {
-        let each = names.iter().enumerate();
-        each.map(|(at, zone)| (format!("{{zone=\"{}\"}}", escape(zone)), of(at))).collect()
-    };
-    let state = |at: usize| f64::from(table.zones[at].state as u8);
-    let share =
-        |at: usize| f64::from(part.view().map_or(table.zones[at].share, |view| view.shares[at])) / 1000.0;
-    row("lb_fleet_zone_state", "gauge", "0: open; 1: careful; 2: closed; 3: returning.", &zones(&state));
-    row("lb_fleet_zone_share", "gauge", "What the zone may get from this dispatcher.", &zones(&share));
+    let help = "What dispatchers saw of a zone in the last second; at voters.";
+    figures.labelled_gauge("lb_fleet_evidence", help, &seen);
+    let (_, table) = zones.newest();
+    let labels = || zone_names.iter().map(|zone| format!("{{zone=\"{}\"}}", escape(zone)));
+    let states: Vec<_> =
+        labels().zip(&table.zones).map(|(label, zone)| (label, f64::from(zone.state as u8))).collect();
+    figures.labelled_gauge("lb_fleet_zone_state", "0: open; 1: careful; 2: closed; 3: returning.", &states);
+    let share = |zone: usize| zones.view().map_or(table.zones[zone].share, |view| view.shares[zone]);
+    let shares: Vec<_> = labels()
+        .enumerate()
+        .map(|(zone, label)| (label, f64::from(share(zone)) / f64::from(FULL_SHARE)))
+        .collect();
+    figures.labelled_gauge("lb_fleet_zone_share", "What the zone may get from this dispatcher.", &shares);
+}
+
+fn render_traffic(figures: &mut Figures, control_plane: &ControlPlane, drops: DatagramDrops) {
+    let node = control_plane.node();
+    let counters = node.counters();
     for (name, help, value) in [
-        ("lb_fleet_frames_total", "Frames taken.", frames),
-        ("lb_fleet_dropped_total", "Frames of another cluster, damaged or too long.", dropped),
+        ("lb_fleet_frames_total", "Frames taken.", counters.frames),
+        ("lb_fleet_dropped_total", "Frames of another cluster, damaged or too long.", counters.dropped),
         ("lb_fleet_strangers_total", "Datagrams from addresses of nobody.", drops.strangers),
-        ("lb_fleet_stale_total", "Frames that came late or twice.", stale),
+        ("lb_fleet_stale_total", "Frames that came late or twice.", counters.stale),
         ("lb_fleet_unsent_total", "Datagrams that the system did not take.", drops.unsent),
-        ("lb_fleet_sent_bytes_total", "Bytes sent to members.", sent_bytes),
-        ("lb_fleet_heard_bytes_total", "Bytes received from members.", heard_bytes),
-        ("lb_fleet_decisions_total", "Decisions read.", decisions),
-        ("lb_fleet_proposed_total", "Decisions proposed here.", proposed),
+        ("lb_fleet_sent_bytes_total", "Bytes sent to members.", counters.sent_bytes),
+        ("lb_fleet_heard_bytes_total", "Bytes received from members.", counters.received_bytes),
+        ("lb_fleet_decisions_total", "Decisions read.", counters.decisions),
+        ("lb_fleet_proposed_total", "Decisions proposed here.", counters.proposed),
         ("lb_fleet_void_total", "Proposals that another was decided before.", node.superseded()),
     ] {
-        row(name, "counter", help, &one(value as f64));
+        figures.counter(name, help, value);
     }
-    text
 }
--- a/src/frontend/fleet/log_lines.rs
+++ b/src/frontend/fleet/log_lines.rs
@@ -1,55 +1,96 @@
-//! Lines for operators: where the policy stands, and what was decided of zones.
+//! What the fleet tells operators in words: the policy's status line on the console, and the events of the log that name a
+//! decision.
 
 use super::config::Config;
-use crate::fleet::MemberId;
-use crate::rollout;
-use crate::zones::{self, ZoneState, ZoneSummary, ZoneTable};
+use crate::fleet::{self, MemberId};
+use crate::rollout::{ChangeOutcome, ParticipantStatus, PolicyDecision};
+use crate::zones::{TableChange, ZoneState, ZoneSummary, ZoneTable};
 
 /// Where the policy stands, in a line.
-pub(super) fn standing_line(standing: &rollout::ParticipantStatus, now: f64) -> String {
-    let rollout::ParticipantStatus { version, decision, epoch, holds, until, wants } = standing;
+pub(super) fn policy_status(status: &ParticipantStatus, now_ms: f64) -> String {
+    let ParticipantStatus { version, decision, epoch, holds, until, wants } = status;
     let number = |version: Option<u64>| version.map_or("none".to_string(), |version| version.to_string());
-    let last = decision.last.as_ref().map_or("none".to_string(), |last| match last.in_force {
-        true => format!("{} in force", last.version),
-        false => format!("{} given up: {}", last.version, last.reason.replace('\n', " ")),
-    });
+    let yes_or_no = |on: bool| if on { "yes" } else { "no" };
     format!(
-        "runs {version} decided {} staged {} wanted {} epoch {epoch} serves {} holds {} last {last}",
+        "runs {version} decided {} staged {} wanted {} epoch {epoch} serves {} holds {} last {}",
         decision.policy.version,
         number(decision.staged.map(|staged| staged.version)),
         number(*wants),
-        if *until > now { "yes" } else { "no" },
-        if *holds { "yes" } else { "no" },
+        yes_or_no(*until > now_ms),
+        yes_or_no(*holds),
+        last_change(decision.last.as_ref()),
     )
 }
 
-/// Tells of a decision of zones in the log.
-pub(super) fn log(config: &Config, decided: &zones::TableChange) {
-    let zones::TableChange { epoch, table, leader, is_own: own, voters, summaries: sights } = decided;
-    let name = |at: &MemberId| config.names.get(usize::from(*at)).map_or("", String::as_str);
-    let (leader, states) = (leader.as_ref().map_or("", name), states(&config.zones, table));
-    let voters = voters.iter().map(name).collect::<Vec<_>>().join(",");
-    let evidence = evidence(&config.zones, sights);
-    tracing::info!(epoch, leader, own, states, voters, evidence, "zones decided");
+/// What became of the last version that was staged.
+fn last_change(last: Option<&ChangeOutcome>) -> String {
+    match last {
+        None => "none".to_string(),
+        Some(last) if last.in_force => format!("{} in force", last.version),
+        Some(last) => format!("{} given up: {}", last.version, last.reason.replace('\n', " ")),
+    }
 }
 
-/// What was seen of the zones in a line, as `a=answered/refused/silent/sources`.
-fn evidence(names: &[String], sights: &[ZoneSummary]) -> String {
-    let each = names.iter().zip(sights);
-    let each =
-        each.map(|(name, s)| format!("{name}={}/{}/{}/{}", s.answered, s.refused, s.silent, s.reporters));
-    each.collect::<Vec<_>>().join(" ")
+/// The same of a member that takes its own policy over without agreement.
+pub(super) fn own_policy_status(version: u64) -> String {
+    format!(
+        "runs {version} decided {version} staged none wanted none epoch 0 serves yes holds no last {version} in force, alone"
+    )
+}
+
+/// A member has taken its own policy over, without agreement.
+pub(super) fn own_policy_in_force(version: u64) {
+    tracing::info!(in_force = version, version, outcome = "in force", reason = "", "policy decided");
+}
+
+/// A decision on policies was read.
+pub(super) fn policy_decided(decision: &PolicyDecision) {
+    let none = ChangeOutcome { version: 0, in_force: false, reason: String::new() };
+    let last = decision.last.as_ref().unwrap_or(&none);
+    let hash = fleet::short(&decision.policy.hash);
+    tracing::info!(
+        in_force = decision.policy.version,
+        hash,
+        staged = decision.staged.map_or(0, |staged| staged.version),
+        version = last.version,
+        outcome = if last.in_force { "in force" } else { "given up" },
+        reason = last.reason,
+        "policy decided"
+    );
+}
+
+/// A decision on zones was read.
+pub(super) fn zones_decided(config: &Config, change: &TableChange) {
+    let name = |member: &MemberId| config.names.get(usize::from(*member)).map_or("", String::as_str);
+    tracing::info!(
+        epoch = change.epoch,
+        leader = change.leader.as_ref().map_or("", name),
+        own = change.is_own,
+        states = zone_states(&config.zones, &change.table),
+        voters = change.voters.iter().map(name).collect::<Vec<_>>().join(","),
+        evidence = zone_summaries(&config.zones, &change.summaries),
+        "zones decided"
+    );
+}
+
+/// What was seen of the zones in a line, as `a=answered/refused/silent/reporters`.
+fn zone_summaries(names: &[String], summaries: &[ZoneSummary]) -> String {
+    let text = |(name, summary): (&String, &ZoneSummary)| {
+        let ZoneSummary { answered, refused, silent, reporters } = summary;
+        format!("{name}={answered}/{refused}/{silent}/{reporters}")
+    };
+    names.iter().zip(summaries).map(text).collect::<Vec<_>>().join(" ")
 }
 
-/// The zones' states in a line, as `a=open b=closed`.
-fn states(names: &[String], table: &ZoneTable) -> String {
+/// The zones' states in a line, as `a=open/1000 b=closed/0`.
+fn zone_states(names: &[String], table: &ZoneTable) -> String {
     let word = |state: ZoneState| match state {
         ZoneState::Open => "open",
         ZoneState::Degraded => "careful",
         ZoneState::Closed => "closed",
         ZoneState::Recovering => "returning",
     };
-    let each = names.iter().zip(&table.zones);
-    let each = each.map(|(name, zone)| format!("{name}={}/{}", word(zone.state), zone.share));
-    each.collect::<Vec<_>>().join(" ")
+    let zones = names.iter().zip(&table.zones);
+    let texts = zones.map(|(name, zone)| format!("{name}={}/{}", word(zone.state), zone.share));
+    texts.collect::<Vec<_>>().join(" ")
 }
--- a/src/frontend/gearman/config.rs
+++ b/src/frontend/gearman/config.rs
@@ -45,7 +45,7 @@
     /// Reads the file; the settings are its own or, without such, the deployment's.
     pub fn read(file: &JsonValue, deployment: Option<&JsonValue>) -> Result<Config, String> {
         let settings = field(file, "settings").or(deployment).ok_or("no `settings`")?;
-        let mut site = Site::read(settings)?;
+        let mut site = Site::read(settings).map_err(|e| e.to_string())?;
         let listen = text(file, "listen").ok_or("no `listen`")?;
         let listen = listen.parse().map_err(|_| format!("`listen` is no address: {listen}"))?;
         let lines = field(file, "functions").and_then(JsonValue::get);
@@ -73,7 +73,7 @@
             class.kind = Some(u16::try_from(kind).map_err(|_| "too many kinds")?);
             classes.push(class);
             grades.push(site.client_classes[at].clone());
-            let wait = site.client_classes[at].hard_limit;
+            let wait = site.client_classes[at].max_wait_ms;
             functions.push(Function { name: name.clone().into_bytes(), tenant, wait, kind });
         }
         if functions.is_empty() {
--- a/src/frontend/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -159,7 +159,7 @@
         if known.is_some_and(|w| w.functions().any(|f| self.config.functions[f].kind != kind)) {
             return self.error(net, id, "other_kind", "a worker's functions are of one kind");
         }
-        let patience = self.config.site.connect_timeout;
+        let patience = self.config.site.connect_timeout_ms;
         // Guards against a table that grows with each worker that comes back: places are used again.
         let taken: BTreeSet<usize> =
             self.peers.values().filter_map(|p| Some(p.worker.as_ref()?.place)).collect();
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -431,7 +431,7 @@
         };
         let wait = match message.header("req-deadline") {
             Some(text) => span(text),
-            None => Some(self.core.site().client_classes[class].hard_limit),
+            None => Some(self.core.site().client_classes[class].max_wait_ms),
         };
         let req_id = message.header("req-id").filter(|id| is_id(id) && !self.ids.contains_key(*id));
         let (Some(wait), Some(req_id)) = (wait, req_id) else {
@@ -467,7 +467,7 @@
     fn forget(&mut self, session: JobId) -> Option<ClientJob> {
         let job = self.jobs.remove(&session)?;
         self.ids.remove(&job.id);
-        if !self.core.site().copies {
+        if !self.core.site().allows_copies {
             self.backends.forget(session);
         }
         Some(job)
@@ -487,7 +487,7 @@
 
     /// Denies a request that the core has not seen, with a time to come back.
     pub(super) fn turn_away(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
-        let retry_after = self.core.site().max_retry_after;
+        let retry_after = self.core.site().max_retry_after_ms;
         self.say(net, id, FinalAnswer::Rejected { retry_after_ms: retry_after }, close);
     }
 
--- a/src/frontend/http/config.rs
+++ b/src/frontend/http/config.rs
@@ -35,7 +35,8 @@
 impl Config {
     /// Reads the file's text; `taken` descriptors are another front's.
     pub fn read(config: &JsonValue, taken: usize) -> Result<Config, String> {
-        let site = Site::read(field(config, "settings").ok_or("no `settings`")?)?;
+        let site =
+            Site::read(field(config, "settings").ok_or("no `settings`")?).map_err(|e| e.to_string())?;
         let seed = text(config, "seed").unwrap_or("0");
         let seed =
             u64::from_str_radix(seed, 16).map_err(|_| format!("`seed` is no hexadecimal number: {seed}"))?;
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -66,7 +66,7 @@
         let Config { site, seed, budget, known, .. } = config;
         let mut front = HttpFrontend {
             clients: Clients::new(listener, budget),
-            backends: Upstreams::new(site.conn_idle, budget.backends),
+            backends: Upstreams::new(site.connection_idle_ms, budget.backends),
             discovery: Discovery::new(discovery, config.discovery, known.0, seed),
             core: Core::new(site, seed, clock, budget.sessions),
             jobs: FxHashMap::default(),
@@ -91,7 +91,7 @@
     /// Takes over a configuration that fits: its settings and limits, and the discovery service that it names.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.clients.budget = config.budget;
-        self.backends.adopt(config.site.conn_idle, config.budget.backends);
+        self.backends.adopt(config.site.connection_idle_ms, config.budget.backends);
         self.core.reconfigure(config.site, config.budget.sessions);
         let now = self.core.clock().now();
         let heard = self.discovery.follow(net, now, config.discovery, &self.core.site().settings);
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -162,7 +162,7 @@
                 Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::ADDRNOTAVAIL) => Outcome::NotSent,
                 _ => Outcome::Unreachable,
             })?;
-        let until = now + self.core.site().connect_timeout;
+        let until = now + self.core.site().connect_timeout_ms;
         self.backends.conns.insert(id, UpstreamConnection { server, work, until, kept: false, up: false });
         Ok(id)
     }
@@ -194,7 +194,8 @@
         let Some(AttemptState { server, address, .. }) = self.backends.flights.get(&flight) else { return };
         let host = self.host(*server);
         let stands = host == *address && self.core.attempt_is_valid(session, attempt);
-        let given_up = if self.core.site().copies { Some(true) } else { self.backends.gave_up(session) };
+        let given_up =
+            if self.core.site().allows_copies { Some(true) } else { self.backends.gave_up(session) };
         // A connection that has ended says of a server that took it just now that it fails.
         let whole = net.conn(conn).is_some_and(|c| c.is_fresh());
         let kept = self.backends.conns.get(&conn).is_none_or(|b| b.kept || b.until == f64::INFINITY);
@@ -232,7 +233,7 @@
     pub(super) fn cancel(&mut self, net: &mut Sockets, session: JobId, attempt: usize) {
         let Some(flight) = self.backends.flights.remove(&(session, attempt)) else { return };
         // While the session goes on its next attempt waits where no two may be out together.
-        let waits = !self.core.site().copies && self.jobs.contains_key(&session);
+        let waits = !self.core.site().allows_copies && self.jobs.contains_key(&session);
         if let Some(conn) = flight.conn {
             let work = self.backends.conns.get(&conn).map(|b| b.work);
             self.close_backend(net, conn);
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -18,7 +18,7 @@
 use crate::telemetry::{self, Gauges};
 
 use console::{Call, Console};
-use fleet::Fleet;
+use fleet::{Departure, Fleet};
 use gearman::GearmanFrontend;
 use http::HttpFrontend;
 use streaming::StreamingFrontend;
@@ -63,7 +63,7 @@
 
     /// A stop that begins now.
     pub fn begin(core: &mut Core) -> Shutdown {
-        let longest = core.site().client_classes.iter().map(|g| g.hard_limit).fold(0.0, f64::max);
+        let longest = core.site().client_classes.iter().map(|g| g.max_wait_ms).fold(0.0, f64::max);
         Shutdown::within(core, longest.min(Shutdown::LONGEST) + Shutdown::MORE - Shutdown::MARGIN)
     }
 
@@ -172,9 +172,9 @@
         }
         if let Some(fleet) = &mut self.fleet {
             fleet.tick(self.platform.as_mut().map(HttpFrontend::core_mut));
-            while let Some(order) = fleet.order() {
+            while let Some(command) = fleet.next_policy_command() {
                 if let Some(front) = &mut self.platform {
-                    fleet.carry_out(&mut self.net, front, order);
+                    fleet.carry_out(&mut self.net, front, command);
                 }
             }
         }
@@ -182,7 +182,7 @@
             front.tick(&mut self.net);
             if let Some(fleet) = self.fleet.as_mut().filter(|fleet| front.closes() && !fleet.is_stopped()) {
                 front.close_gate();
-                fleet.stop(false);
+                fleet.stop(Departure::Stopped);
             }
         }
         if let Some(front) = &mut self.gearman {
@@ -217,7 +217,7 @@
             Call::Readyz if self.life.ready() => "ACK ready\n".into(),
             Call::Readyz => format!("NAK {}\n", phase(self.life.phase())),
             Call::Telemetry => self.telemetry() + "--\n",
-            Call::Policy => match self.fleet.as_ref().and_then(Fleet::policy) {
+            Call::Policy => match self.fleet.as_ref().and_then(Fleet::policy_status) {
                 Some(standing) => format!("ACK {standing}\n"),
                 None => "NAK no policy is shared\n".into(),
             },
@@ -255,7 +255,7 @@
         }
         // A successor needs the fleet's address now; without one the lease is given back once nothing new is taken.
         if let Some(fleet) = self.fleet.as_mut().filter(|_| successor || self.platform.is_none()) {
-            fleet.stop(true);
+            fleet.stop(Departure::ServesOn);
         }
         if let Some(front) = &mut self.gearman {
             front.stop();
@@ -269,7 +269,8 @@
     /// settings in force as they are.
     pub fn reload(&mut self) -> Result<(), String> {
         let Configs { platform: config, gearman: file, stream, fleet, .. } = self.files.read()?;
-        let wanted = fleet.and_then(|fleet| fleet.rollout).map(|rollout| rollout.read()).transpose()?;
+        let wanted = fleet.and_then(|fleet| fleet.rollout).map(|rollout| rollout.read()).transpose();
+        let wanted = wanted.map_err(|e| e.to_string())?;
         // All must fit before any is taken over.
         let of = |files: &Option<String>| files.clone().unwrap_or_default();
         if let (Some(front), Some(config)) = (&self.platform, &config) {
@@ -294,8 +295,8 @@
         if let (Some(front), Some(file)) = (&mut self.gearman, file) {
             front.reload(file, identity);
         }
-        if let (Some(fleet), Some((version, text))) = (&mut self.fleet, wanted) {
-            fleet.want(version, text);
+        if let (Some(fleet), Some(policy)) = (&mut self.fleet, wanted) {
+            fleet.propose(policy);
         }
         Ok(())
     }
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -420,7 +420,7 @@
             },
             kind: None,
         };
-        let grade = |c: &ClassTable| ClientClass { name: c.name.clone(), hard_limit: c.longest_s * 1e3 };
+        let grade = |c: &ClassTable| ClientClass { name: c.name.clone(), max_wait_ms: c.longest_s * 1e3 };
         let settings = Settings {
             number: self.number,
             dispatchers: self.dispatchers,
@@ -448,9 +448,9 @@
             reports_load: true,
         };
         let mut site = Site::plain(settings, self.class.iter().map(grade).collect());
-        site.conn_idle = self.server_idle_s * 1e3;
-        site.connect_timeout = self.connect_s * 1e3;
-        site.max_retry_after = self.retry_after_s * 1e3;
+        site.connection_idle_ms = self.server_idle_s * 1e3;
+        site.connect_timeout_ms = self.connect_s * 1e3;
+        site.max_retry_after_ms = self.retry_after_s * 1e3;
         site
     }
 }
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -66,7 +66,7 @@
             listener,
             clients: FxHashMap::default(),
             servers: FxHashMap::default(),
-            pool: Pool::new(config.site.conn_idle),
+            pool: Pool::new(config.site.connection_idle_ms),
             exchanges: FxHashMap::default(),
             sessions: FxHashMap::default(),
             flow: Flow::new(config.pool, config.quantum),
@@ -99,7 +99,7 @@
     /// Takes over a file that fits. Streams that run go on under what they began with.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.core.reconfigure(config.site.clone(), config.bounds.total);
-        self.pool.keep_below(config.site.conn_idle);
+        self.pool.keep_below(config.site.connection_idle_ms);
         self.flow.adopt(config.pool, config.quantum);
         self.admission.adopt(config.bounds);
         self.slots.adopt(config.bounds.server);
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -79,7 +79,7 @@
         }
         let address: SocketAddr = self.core.endpoints().get(worker)?.address.parse().ok()?;
         let id = net.open(address).ok()?;
-        let until = now + self.config.site.connect_timeout;
+        let until = now + self.config.site.connect_timeout_ms;
         self.servers.insert(id, Server { worker, stream: Some(stream), until, base: 0 });
         Some(id)
     }
--- a/src/ingest/policy.rs
+++ b/src/ingest/policy.rs
@@ -134,7 +134,7 @@
 /// let header = |_: &str| None;
 /// let hold = Event { class: 2, zone: 0, tenant: None, key: Some("van-4711"), size: 3, header: &header };
 /// assert_eq!(policy.rule(&hold).map(|rule| rule.name.as_str()), Some("vans"));
-/// # Ok::<(), String>(())
+/// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
--- a/src/main.rs
+++ b/src/main.rs
@@ -141,7 +141,7 @@
 ) -> Result<Fleet, String> {
     // A second subscriber cannot be there: the first one set stays.
     let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
-    Fleet::new(config, handle, clock.clone())
+    Fleet::new(config, handle, clock.clone()).map_err(|e| e.to_string())
 }
 
 fn open_stream(
