--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Has discovery called at this dispatcher's own next time: one in every `NOTIFICATION_BOUND`; where few call, six
-    /// before any failed and two after one. Guards against calls that come together, and late ones.
+    /// Has discovery called at this dispatcher's own next time: one in every `NOTIFICATION_BOUND`; where few
+    /// call, six before any failed and two after one. Guards against calls that come together, and late ones.
     fn call(&mut self, now: Micros) {
         let few = [6, 2, 1][self.call_failures.min(2) as usize];
         let period = Settings::NOTIFICATION_BOUND / if self.settings.is_large_fleet() { 1 } else { few };
