--- a/rig/src/upgrade.rs
+++ b/rig/src/upgrade.rs
@@ -494,7 +494,7 @@
     tried("the configuration", std::fs::write(&file, config(&world, local(&lists)?)))?;
     workers.into_iter().enumerate().for_each(|(n, l)| stand(&world, l, worker, n));
     stand(&world, lists, discovery, 0);
-    let note = micabeam::frontend::handover::path(&notes, address);
+    let note = micabeam::frontend::handover::note_path(&notes, address);
     let start = |full: bool| start_process(&binary, &file, &notes, full.then_some(note.as_path()));
     let mut serving = start(false)?;
     serving.await_ready()?;
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -72,7 +72,7 @@
 
 impl DiscoveryUpdate {
     /// Tells a core, and gives the servers that were started again, or have moved: their old connections are gone.
-    pub fn tell(self, core: &mut Core) -> Vec<EndpointId> {
+    pub fn apply(self, core: &mut Core) -> Vec<EndpointId> {
         let DiscoveryUpdate::List { lines, scope } = self else {
             core.on_list_failed();
             return Vec::new();
--- a/src/frontend/fleet/mod.rs
+++ b/src/frontend/fleet/mod.rs
@@ -176,11 +176,11 @@
                 self.answer(FleetCommand::Checked { version, error });
             }
             PolicyCommand::Pause(pause) => {
-                frontend.hold(net, true);
+                frontend.set_paused(net, true);
                 self.answer(FleetCommand::Paused(pause));
             }
-            PolicyCommand::Resume => frontend.hold(net, false),
-            PolicyCommand::Apply { text } => frontend.apply(&text),
+            PolicyCommand::Resume => frontend.set_paused(net, false),
+            PolicyCommand::Apply { text } => frontend.apply_policy(&text),
             PolicyCommand::ServeUntil(until) => frontend.serve_until(net, until),
         }
         self.flush_answers();
--- /dev/null
+++ b/src/frontend/gateway.rs
@@ -0,0 +1,305 @@
+//! The gateway: all that runs in the program's main thread. It owns the sockets, the clock, the frontends and the console,
+//! hands each what happens on its connections, and carries out operators' calls, signals and reloads over all of them.
+
+use std::path::PathBuf;
+
+use thiserror::Error;
+
+use super::console::{Call, Console};
+use super::files::{Configs, Files, FilesError};
+use super::fleet::{Departure, Fleet, PolicyFileError};
+use super::gearman::GearmanFrontend;
+use super::http::HttpFrontend;
+use super::streaming::StreamingFrontend;
+use super::{Sockets, handover};
+use crate::core::{Clock, Core, IncompatibleSettings};
+use crate::lifecycle::{Cause, Lifecycle, Phase};
+use crate::net::{ConnId, Handler};
+use crate::telemetry::{self, Gauges};
+
+/// Why files that were read again are not taken over.
+#[derive(Debug, Error)]
+pub enum ReloadError {
+    /// They do not read.
+    #[error(transparent)]
+    Files(#[from] FilesError),
+    /// The wanted policy does not read.
+    #[error(transparent)]
+    Policy(#[from] PolicyFileError),
+    /// The platform's configuration takes a restart.
+    #[error("{path}: {cause}")]
+    Http {
+        /// The file.
+        path: String,
+        /// Why.
+        cause: IncompatibleSettings,
+    },
+    /// Another frontend's file takes a restart, or its identity does not read.
+    #[error("{path}: {cause}")]
+    Frontend {
+        /// The file.
+        path: String,
+        /// Why.
+        cause: String,
+    },
+}
+
+/// The handover note that this process has left.
+#[derive(Clone, Debug)]
+pub struct OwnNote {
+    /// Where it is.
+    pub path: PathBuf,
+    /// Since when this process listens, in milliseconds since the Unix epoch.
+    pub listening_since_ms: u64,
+}
+
+/// All that runs in the program's main thread.
+pub struct Gateway {
+    /// The sockets.
+    pub net: Sockets,
+    /// The platform's frontend, where it is set up.
+    pub http: Option<HttpFrontend>,
+    /// Gearman's frontend, where it is set up.
+    pub gearman: Option<GearmanFrontend>,
+    /// The streaming frontend, where it is set up.
+    pub streaming: Option<StreamingFrontend>,
+    /// The frontends' side of the fleet, where it is set up.
+    pub fleet: Option<Fleet>,
+    /// The operators' console, where it is set up.
+    pub console: Option<Console>,
+    /// Where the process is in its life.
+    pub lifecycle: Lifecycle,
+    /// The handover note of this process, where it could leave one.
+    pub note: Option<OwnNote>,
+    /// The clock.
+    pub clock: Clock,
+    /// The files that its settings come from.
+    pub files: Files,
+}
+
+impl Gateway {
+    /// Does what is due by now.
+    pub fn tick(&mut self) {
+        if let Some(console) = &mut self.console {
+            console.sweep(&mut self.net, self.clock.now());
+        }
+        self.tick_fleet();
+        if let Some(http) = &mut self.http {
+            http.tick(&mut self.net);
+            if let Some(fleet) =
+                self.fleet.as_mut().filter(|fleet| http.is_past_last_call() && !fleet.is_stopped())
+            {
+                http.close_gate();
+                fleet.stop(Departure::Stopped);
+            }
+        }
+        if let Some(gearman) = &mut self.gearman {
+            gearman.tick(&mut self.net);
+        }
+        if let Some(streaming) = &mut self.streaming {
+            streaming.tick(&mut self.net);
+        }
+    }
+
+    /// Hands the platform's core what its zones may get, and carries out what is to be done with the policy.
+    fn tick_fleet(&mut self) {
+        let Some(fleet) = &mut self.fleet else { return };
+        fleet.tick(self.http.as_mut().map(HttpFrontend::core_mut));
+        while let Some(command) = fleet.next_policy_command() {
+            if let Some(http) = &mut self.http {
+                fleet.carry_out(&mut self.net, http, command);
+            }
+        }
+    }
+
+    /// When `tick` is to be called next, in milliseconds of the clock.
+    pub fn next_deadline(&self) -> f64 {
+        [
+            self.http.as_ref().map_or(f64::INFINITY, HttpFrontend::next_deadline),
+            self.gearman.as_ref().map_or(f64::INFINITY, GearmanFrontend::next_deadline),
+            self.streaming.as_ref().map_or(f64::INFINITY, StreamingFrontend::next_deadline),
+            self.fleet.as_ref().map_or(f64::INFINITY, Fleet::next_deadline),
+            self.console.as_ref().map_or(f64::INFINITY, Console::next_deadline),
+        ]
+        .into_iter()
+        .fold(f64::INFINITY, f64::min)
+    }
+
+    /// Carries an operator's call out and words its answer.
+    pub fn call(&mut self, call: Call) -> String {
+        match call {
+            Call::Readyz => self.readiness(),
+            Call::Telemetry => self.telemetry() + "--\n",
+            Call::Policy => match self.fleet.as_ref().and_then(Fleet::policy_status) {
+                Some(status) => format!("ACK {status}\n"),
+                None => "NAK no policy is shared\n".into(),
+            },
+            Call::Evacuate | Call::Activate if self.lifecycle.is_stopping() => "NAK stopping\n".into(),
+            Call::Evacuate => self.set_evacuating(true),
+            Call::Activate => self.set_evacuating(false),
+        }
+    }
+
+    /// Whether the process is ready to serve. Once it says so, the process that it replaces may stop listening.
+    fn readiness(&self) -> String {
+        if self.http.as_ref().is_some_and(|http| !http.has_joined()) {
+            "NAK joining\n".into()
+        } else if self.lifecycle.is_serving() {
+            "ACK ready\n".into()
+        } else {
+            format!("NAK {}\n", phase_name(self.lifecycle.phase()))
+        }
+    }
+
+    fn set_evacuating(&mut self, on: bool) -> String {
+        let cause = if on { Cause::Evacuate } else { Cause::Activate };
+        self.lifecycle.apply(self.clock.now(), cause);
+        if let Some(http) = &mut self.http {
+            http.evacuate(&mut self.net, on);
+        }
+        "ACK\n".into()
+    }
+
+    /// The figures of all frontends, in the text exposition format.
+    pub fn telemetry(&self) -> String {
+        let mut cores: Vec<&Core> = Vec::new();
+        cores.extend(self.http.as_ref().map(HttpFrontend::core));
+        cores.extend(self.gearman.as_ref().map(GearmanFrontend::core));
+        cores.extend(self.streaming.as_ref().map(StreamingFrontend::core));
+        let gauges = cores.iter().fold(Gauges::default(), |sum, core| sum + core.gauges());
+        let counts: Vec<_> = cores.iter().map(|core| core.telemetry()).collect();
+        telemetry::render(&counts, gauges) + &self.fleet.as_ref().map(Fleet::figures).unwrap_or_default()
+    }
+
+    /// Begins to stop: what was taken is finished, and nothing new is taken after a short while.
+    pub fn stop(&mut self) {
+        let has_successor =
+            !self.lifecycle.is_stopping() && self.note.as_ref().is_some_and(OwnNote::has_successor);
+        self.lifecycle.apply(self.clock.now(), Cause::Terminate { successor: has_successor });
+        if let Some(http) = &mut self.http {
+            http.stop(&mut self.net, has_successor);
+        }
+        // A successor needs the fleet's address now; without one the lease is given back once nothing new is taken.
+        if let Some(fleet) = self.fleet.as_mut().filter(|_| has_successor || self.http.is_none()) {
+            fleet.stop(Departure::ServesOn);
+        }
+        if let Some(gearman) = &mut self.gearman {
+            gearman.stop();
+        }
+        if let Some(streaming) = &mut self.streaming {
+            streaming.stop();
+        }
+    }
+
+    /// Reads the files again and takes their settings over; what is in flight goes on.
+    ///
+    /// # Errors
+    /// Where a file does not read or takes a restart: then all settings in force stay as they are.
+    pub fn reload(&mut self) -> Result<(), ReloadError> {
+        let Configs { http, gearman, streaming, fleet, .. } = self.files.read()?;
+        let wanted = fleet.and_then(|fleet| fleet.rollout).map(|rollout| rollout.read()).transpose()?;
+        // All must fit before any is taken over.
+        if let (Some(frontend), Some(config)) = (&self.http, &http) {
+            let path = self.files.config.clone().unwrap_or_default();
+            frontend.check_compatible(config).map_err(|cause| ReloadError::Http { path, cause })?;
+        }
+        let identity = match (&self.gearman, &gearman) {
+            (Some(frontend), Some(config)) => {
+                let path = self.files.gearman_path().cloned().unwrap_or_default();
+                frontend.fits(config).map_err(|cause| ReloadError::Frontend { path, cause })?
+            }
+            _ => None,
+        };
+        if let (Some(frontend), Some(config)) = (&self.streaming, &streaming) {
+            let path = self.files.operator.clone().unwrap_or_default();
+            frontend.fits(config).map_err(|cause| ReloadError::Frontend { path, cause })?;
+        }
+        if let (Some(frontend), Some(config)) = (&mut self.streaming, streaming) {
+            frontend.reload(&mut self.net, config);
+        }
+        if let (Some(frontend), Some(config)) = (&mut self.http, http) {
+            frontend.reload(&mut self.net, config);
+        }
+        if let (Some(frontend), Some(config)) = (&mut self.gearman, gearman) {
+            frontend.reload(config, identity);
+        }
+        if let (Some(fleet), Some(policy)) = (&mut self.fleet, wanted) {
+            fleet.propose(policy);
+        }
+        Ok(())
+    }
+
+    /// Whether all of it has stopped.
+    pub fn is_stopped(&mut self) -> bool {
+        let http = self.http.as_mut().is_none_or(|frontend| frontend.is_stopped(&mut self.net));
+        let gearman = self.gearman.as_mut().is_none_or(|frontend| frontend.stopped(&mut self.net));
+        http && gearman && self.streaming.as_mut().is_none_or(|frontend| frontend.stopped(&mut self.net))
+    }
+
+    /// The counters of all frontends.
+    pub fn counters(&self) -> String {
+        let http = self.http.as_ref().map(|frontend| {
+            let (counters, forwarded) = (frontend.core().counters(), frontend.forwarded_callbacks());
+            format!("platform\n{counters}passed_on {forwarded}\n")
+        });
+        let gearman =
+            self.gearman.as_ref().map(|frontend| format!("gearman\n{}", frontend.core().counters()));
+        let streaming = self.streaming.as_ref().map(|frontend| format!("stream\n{}", frontend.counters()));
+        [http, gearman, streaming].into_iter().flatten().collect()
+    }
+}
+
+impl OwnNote {
+    /// Whether another process has left its note there since.
+    fn has_successor(&self) -> bool {
+        handover::has_successor(&self.path, std::process::id(), self.listening_since_ms)
+    }
+}
+
+/// A phase as the console names it.
+fn phase_name(phase: Phase) -> &'static str {
+    match phase {
+        Phase::Serving => "serving",
+        Phase::Evacuating => "evacuating",
+        Phase::Draining => "draining",
+        Phase::HandingOver => "handing over",
+        Phase::Stopped => "stopped",
+    }
+}
+
+impl Handler for Gateway {
+    fn ready(&mut self, conn: ConnId) {
+        if let Some(console) = self.console.as_mut().filter(|console| console.owns(conn)) {
+            let now_ms = self.clock.now();
+            if let Some(call) = console.ready(&mut self.net, conn, now_ms) {
+                let answer = self.call(call);
+                if let Some(console) = &mut self.console {
+                    console.answer(&mut self.net, conn, now_ms, &answer);
+                }
+            }
+            return;
+        }
+        if let Some(http) = self.http.as_mut().filter(|frontend| frontend.owns(conn)) {
+            http.on_ready(&mut self.net, conn);
+        } else if let Some(streaming) = self.streaming.as_mut().filter(|frontend| frontend.owns(conn)) {
+            streaming.ready(&mut self.net, conn);
+        } else if let Some(gearman) = &mut self.gearman {
+            gearman.ready(&mut self.net, conn);
+        }
+    }
+
+    fn waiting(&mut self, listener: usize) {
+        if let Some(console) = self.console.as_mut().filter(|console| console.listener() == listener) {
+            return console.accept(&mut self.net, self.clock.now());
+        }
+        if let Some(http) = self.http.as_mut().filter(|frontend| frontend.listener() == listener) {
+            http.accept(&mut self.net);
+        } else if let Some(streaming) =
+            self.streaming.as_mut().filter(|frontend| frontend.listener() == listener)
+        {
+            streaming.accept(&mut self.net);
+        } else if let Some(gearman) = &mut self.gearman {
+            gearman.accept(&mut self.net);
+        }
+    }
+}
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -15,7 +15,8 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Shutdown, Sockets};
+use super::Sockets;
+use super::shutdown::Shutdown;
 use crate::core::{Clock, Command, Core, ListScope};
 use crate::net::{ConnId, HELD};
 use crate::routing::{EndpointId, JobId};
@@ -379,7 +380,7 @@
         }
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let peers = self.peers.values().flat_map(|p| [p.ends, p.sends]).flatten();
-        let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call.max(now + 20.0));
+        let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call_ms.max(now + 20.0));
         let workers = self.peers.values().filter_map(|p| p.worker.as_ref()).map(Worker::next);
         peers.chain(workers).fold(wake.min(stop), f64::min)
     }
@@ -391,7 +392,7 @@
 
     /// Whether it is past its last call.
     fn closes(&self) -> bool {
-        self.stopping.is_some_and(|leaving| self.core.clock().now() >= leaving.last_call)
+        self.stopping.is_some_and(|leaving| self.core.clock().now() >= leaving.last_call_ms)
     }
 
     /// Whether all that was taken is answered, and written as far as peers read.
--- a/src/frontend/handover.rs
+++ b/src/frontend/handover.rs
@@ -1,7 +1,7 @@
-//! What two processes of one dispatcher tell each other through `$TMPDIR` at an upgrade: the newer one leaves a
-//! note that it listens at the clients' address; the older one reads it at SIGTERM and hands over instead of
-//! draining. Written whole by a temporary file and a rename; read defensively: a note that does not read, or is
-//! of a process that is gone, is no successor.
+//! The files in `$TMPDIR` by which two processes of one dispatcher find each other at an upgrade. The newer one leaves a note
+//! that it listens at the clients' address; the older one reads it at SIGTERM and hands over instead of draining. It leaves
+//! its warm state in a second file. Both are replaced by a rename, and read defensively: a note that does not read, or is of
+//! a process that is gone, names no successor.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,8 +9,8 @@
 
 /// First word of a note, with its version.
 const MAGIC: &str = "micabeam-handover 1";
-/// Longest note that is read.
-const LONGEST: u64 = 512;
+/// Longest note that is read, in bytes.
+const MAX_NOTE_BYTES: u64 = 512;
 
 /// A process's note.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,12 +18,12 @@
     /// Its process id.
     pub pid: u32,
     /// When it began to listen, in milliseconds since the Unix epoch.
-    pub at: u64,
+    pub listening_since_ms: u64,
 }
 
 impl HandoverNote {
     fn text(&self) -> String {
-        format!("{MAGIC} pid={} at={}\n", self.pid, self.at)
+        format!("{MAGIC} pid={} at={}\n", self.pid, self.listening_since_ms)
     }
 
     /// Reads a note's text; none where it is torn or not of this form.
@@ -32,18 +32,21 @@
         let rest = line.strip_prefix(MAGIC)?.strip_prefix(' ')?;
         let mut fields = rest.split(' ');
         let pid = fields.next()?.strip_prefix("pid=")?.parse().ok()?;
-        let at = fields.next()?.strip_prefix("at=")?.parse().ok()?;
-        fields.next().is_none().then_some(HandoverNote { pid, at })
+        let listening_since_ms = fields.next()?.strip_prefix("at=")?.parse().ok()?;
+        fields.next().is_none().then_some(HandoverNote { pid, listening_since_ms })
     }
 }
 
 /// Where the note of the processes at an address lies.
-pub fn path(dir: &Path, listen: SocketAddr) -> PathBuf {
+pub fn note_path(dir: &Path, listen: SocketAddr) -> PathBuf {
     dir.join(format!("micabeam-{}-{}.handover", listen.ip(), listen.port()))
 }
 
-/// Leaves this process's note: whole or not at all.
-pub fn leave(path: &Path, note: HandoverNote) -> std::io::Result<()> {
+/// Writes this process's note, by a rename.
+///
+/// # Errors
+/// Where the file cannot be written.
+pub fn write_note(path: &Path, note: HandoverNote) -> std::io::Result<()> {
     let temporary = path.with_extension(format!("handover.{}", note.pid));
     let mut file = std::fs::File::create(&temporary)?;
     file.write_all(note.text().as_bytes())?;
@@ -51,27 +54,33 @@
     std::fs::rename(&temporary, path)
 }
 
-/// Leaves what a process that replaces this one is to know: whole or not at all. Not synced: it is for a process
-/// that runs beside this one.
-pub fn leave_memory(note: &Path, pid: u32, bytes: &[u8]) -> std::io::Result<()> {
+/// Writes what a process that replaces this one is to know, by a rename. Not synced: it is for a process that runs beside
+/// this one.
+///
+/// # Errors
+/// Where the file cannot be written.
+pub fn write_warm_state(note: &Path, pid: u32, bytes: &[u8]) -> std::io::Result<()> {
     let temporary = note.with_extension(format!("memory.{pid}"));
     std::fs::write(&temporary, bytes)?;
     std::fs::rename(&temporary, note.with_extension("memory"))
 }
 
-/// What was left, up to a bound. It is taken away: nobody else is to believe it.
-pub fn take_memory(note: &Path, most: usize) -> std::io::Result<Vec<u8>> {
+/// Reads what was left, `max_bytes` at most, and removes it: nobody else is to use it.
+///
+/// # Errors
+/// Where there is no such file, or it cannot be read.
+pub fn take_warm_state(note: &Path, max_bytes: usize) -> std::io::Result<Vec<u8>> {
     use std::io::Read;
     let path = note.with_extension("memory");
     let mut bytes = Vec::new();
-    std::fs::File::open(&path)?.take(most as u64).read_to_end(&mut bytes)?;
+    std::fs::File::open(&path)?.take(max_bytes as u64).read_to_end(&mut bytes)?;
     let _ = std::fs::remove_file(&path);
     Ok(bytes)
 }
 
 /// Whether another process that is alive left its note there after `since`. A note that does not read is named
 /// in the log, once, and counts as none.
-pub fn successor(path: &Path, own: u32, since: u64) -> bool {
+pub fn has_successor(path: &Path, own_pid: u32, since_ms: u64) -> bool {
     let text = match read(path) {
         Ok(Some(text)) => text,
         Ok(None) => return false,
@@ -84,17 +93,17 @@
         crate::say(format_args!("the hand-over note {} is ignored: it does not read", path.display()));
         return false;
     };
-    note.pid != own && note.at >= since && lives(note.pid)
+    note.pid != own_pid && note.listening_since_ms >= since_ms && is_alive(note.pid)
 }
 
 /// The live process beside this one that the note names, if there is one. What does not read names none.
-pub fn beside(path: &Path, own: u32) -> Option<u32> {
+pub fn process_beside(path: &Path, own_pid: u32) -> Option<u32> {
     let note = HandoverNote::parse(&read(path).ok()??)?;
-    (note.pid != own && lives(note.pid)).then_some(note.pid)
+    (note.pid != own_pid && is_alive(note.pid)).then_some(note.pid)
 }
 
-/// Whether a process is there, and not only its entry that nobody has taken note of.
-pub fn lives(pid: u32) -> bool {
+/// Whether a process runs: one that has ended and was not waited for does not.
+pub fn is_alive(pid: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"));
     stat.is_ok_and(|stat| {
         !matches!(stat.rsplit(") ").next().and_then(|rest| rest.chars().next()), Some('Z' | 'X'))
@@ -109,7 +118,7 @@
         Err(e) => return Err(e),
     };
     let mut text = String::new();
-    file.take(LONGEST).read_to_string(&mut text)?;
+    file.take(MAX_NOTE_BYTES).read_to_string(&mut text)?;
     Ok(Some(text))
 }
 
--- a/src/frontend/handover/tests.rs
+++ b/src/frontend/handover/tests.rs
@@ -5,7 +5,7 @@
 /// Guards against a torn, stale or foreign note being taken for a successor.
 #[test]
 fn only_a_whole_note_of_another_live_process_is_a_successor() {
-    let note = HandoverNote { pid: 42, at: 1000 };
+    let note = HandoverNote { pid: 42, listening_since_ms: 1000 };
     assert_eq!(HandoverNote::parse(&note.text()), Some(note));
     for torn in [
         "",
@@ -20,17 +20,17 @@
     }
     let dir = std::env::temp_dir().join(format!("micabeam-handover-test-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let at = path(&dir, "127.0.0.1:8081".parse().unwrap());
+    let at = note_path(&dir, "127.0.0.1:8081".parse().unwrap());
     let own = std::process::id();
-    assert!(!successor(&at, own, 0), "no note");
+    assert!(!has_successor(&at, own, 0), "no note");
     // This process is alive: as another's it is a successor.
-    leave(&at, HandoverNote { pid: own, at: 5000 }).unwrap();
-    assert!(successor(&at, own + 1, 4000));
-    assert!(!successor(&at, own, 4000), "its own note");
-    assert!(!successor(&at, own + 1, 6000), "older than the one that reads");
+    write_note(&at, HandoverNote { pid: own, listening_since_ms: 5000 }).unwrap();
+    assert!(has_successor(&at, own + 1, 4000));
+    assert!(!has_successor(&at, own, 4000), "its own note");
+    assert!(!has_successor(&at, own + 1, 6000), "older than the one that reads");
     std::fs::write(&at, "micabeam-handover 1 pid=").unwrap();
-    assert!(!successor(&at, own + 1, 0), "torn");
+    assert!(!has_successor(&at, own + 1, 0), "torn");
     std::fs::write(&at, format!("{MAGIC} pid={} at=5000\n", u32::MAX)).unwrap();
-    assert!(!successor(&at, own + 1, 0), "of a process that is gone");
+    assert!(!has_successor(&at, own + 1, 0), "of a process that is gone");
     std::fs::remove_dir_all(&dir).unwrap();
 }
--- a/src/frontend/http/config.rs
+++ b/src/frontend/http/config.rs
@@ -1,19 +1,48 @@
-//! The configuration of this front: the file that `LB_CONFIG` names.
+//! The configuration of this frontend: the file that `LB_CONFIG` names.
 
 use std::net::SocketAddr;
 
 use rustix::process::{Resource, getrlimit};
+use thiserror::Error;
 
-use crate::core::ListedEndpoint;
-use crate::frontend::discovery::read_list;
+use crate::core::{ListScope, ListedEndpoint};
+use crate::frontend::discovery::{EndpointList, ListError, read_list};
 use crate::json::{JsonValue, field, number, text};
 use crate::net::Budget;
-use crate::settings::Site;
+use crate::settings::{SettingsError, Site};
 
 /// Descriptors counted on where the configuration names no limit.
-const SOCKETS: f64 = 1024.0;
-/// Memory counted on where it names none, in megabytes.
-const MEMORY: f64 = 32.0;
+const DEFAULT_SOCKETS: f64 = 1024.0;
+/// Memory counted on where the configuration names none, in megabytes.
+const DEFAULT_MEMORY_MB: f64 = 32.0;
+
+/// Why the configuration cannot be used.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// It has no settings.
+    #[error("no `settings`")]
+    NoSettings,
+    /// Its settings do not read.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// Its seed does not read.
+    #[error("`seed` is no hexadecimal number: {0}")]
+    Seed(String),
+    /// So few descriptors cannot serve.
+    #[error("{0} sockets are too few")]
+    TooFewSockets(f64),
+    /// An address does not read.
+    #[error("`{name}` is no address: {found}")]
+    Address {
+        /// Its field.
+        name: &'static str,
+        /// What the file says.
+        found: String,
+    },
+    /// The list as last held does not read.
+    #[error(transparent)]
+    List(#[from] ListError),
+}
 
 /// All that the file says.
 #[derive(Clone, Debug)]
@@ -28,37 +57,45 @@
     pub listen: Option<SocketAddr>,
     /// Where discovery is, if it says so.
     pub discovery: Option<SocketAddr>,
-    /// The list as last held, and its version.
-    pub known: (u64, Vec<ListedEndpoint>),
+    /// The endpoint list as last held.
+    pub known_list: EndpointList,
 }
 
 impl Config {
-    /// Reads the file's text; `taken` descriptors are another front's.
-    pub fn read(config: &JsonValue, taken: usize) -> Result<Config, String> {
-        let site =
-            Site::read(field(config, "settings").ok_or("no `settings`")?).map_err(|e| e.to_string())?;
+    /// Reads the file's text; `taken` descriptors are another frontend's.
+    ///
+    /// # Errors
+    /// Where a part of it is missing or does not read, or the descriptors are too few.
+    pub fn read(config: &JsonValue, taken: usize) -> Result<Config, ConfigError> {
+        let site = Site::read(field(config, "settings").ok_or(ConfigError::NoSettings)?)?;
         let seed = text(config, "seed").unwrap_or("0");
-        let seed =
-            u64::from_str_radix(seed, 16).map_err(|_| format!("`seed` is no hexadecimal number: {seed}"))?;
-        let sockets = field(config, "limits").and_then(|l| number(l, "sockets")).unwrap_or(SOCKETS);
-        let memory = field(config, "limits").and_then(|l| number(l, "memory_mb")).unwrap_or(MEMORY);
-        // What the system gives may be less than what was told.
-        let most = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |most| most as usize);
-        let budget = Budget::of((sockets as usize).min(most).saturating_sub(taken), memory)
-            .ok_or_else(|| format!("{} sockets are too few", sockets.min(most as f64)))?;
-        let known = match field(config, "known") {
-            Some(list) => {
-                read_list(list, &site).map(|list| (list.version, list.lines)).map_err(|e| e.to_string())?
+        let seed = u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed(seed.to_string()))?;
+        let budget = read_budget(config, taken)?;
+        let known_list = match field(config, "known") {
+            Some(list) => read_list(list, &site)?,
+            None => {
+                EndpointList { version: 0, lines: Vec::<ListedEndpoint>::new(), scope: ListScope::Complete }
             }
-            None => (0, Vec::new()),
         };
-        let (listen, discovery) = (address(config, "listen")?, address(config, "discovery")?);
-        Ok(Config { site, seed, budget, listen, discovery, known })
+        let listen = read_address(config, "listen")?;
+        let discovery = read_address(config, "discovery")?;
+        Ok(Config { site, seed, budget, listen, discovery, known_list })
     }
 }
 
-/// An address of the file.
-fn address(config: &JsonValue, name: &str) -> Result<Option<SocketAddr>, String> {
-    let read = |text: &str| text.parse().map_err(|_| format!("`{name}` is no address: {text}"));
-    text(config, name).map(read).transpose()
+/// What may be open by the limits of the file and of the system.
+fn read_budget(config: &JsonValue, taken: usize) -> Result<Budget, ConfigError> {
+    let limit = |name| field(config, "limits").and_then(|limits| number(limits, name));
+    let sockets = limit("sockets").unwrap_or(DEFAULT_SOCKETS);
+    let memory_mb = limit("memory_mb").unwrap_or(DEFAULT_MEMORY_MB);
+    // What the system gives may be less than what the file names.
+    let system = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize);
+    let own = (sockets as usize).min(system).saturating_sub(taken);
+    Budget::of(own, memory_mb).ok_or_else(|| ConfigError::TooFewSockets(sockets.min(system as f64)))
+}
+
+fn read_address(config: &JsonValue, name: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+    let parse =
+        |found: &str| found.parse().map_err(|_| ConfigError::Address { name, found: found.to_string() });
+    text(config, name).map(parse).transpose()
 }
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -1,11 +1,24 @@
-//! The platform's front: HTTP/1.1 with clients, backend servers and discovery. It decides nothing.
+//! The platform's frontend: HTTP/1.1 with clients, endpoints and discovery. It owns their connections and what requests
+//! looked like on the wire; jobs, endpoints and decisions are the core's. It decides nothing.
+//!
+//! | file | what it does |
+//! | --- | --- |
+//! | `clients` | client connections: accepted, bounded, swept, ended |
+//! | `requests`, `responses` | what comes on them, and what goes back |
+//! | `policy_gate` | whether a request may be started, and in which partition |
+//! | `upstream` | connections to endpoints |
+//! | `attempts`, `probes`, `callbacks` | what is sent to endpoints, and what they tell |
+//! | `upgrade_link` | links between the processes of an upgrade |
 
+mod attempts;
 mod callbacks;
 mod clients;
 mod config;
 mod headers;
 mod policy_gate;
 mod probes;
+mod requests;
+mod responses;
 #[cfg(test)]
 mod tests;
 mod upgrade_link;
@@ -16,18 +29,24 @@
 
 use rustc_hash::FxHashMap;
 
+use super::Sockets;
 use super::discovery::{Discovery, DiscoveryUpdate};
-use super::{Shutdown, Sockets};
-use crate::core::{Clock, Command, Core};
+use super::shutdown::Shutdown;
+use crate::core::{Clock, Command, Core, IncompatibleSettings};
 use crate::net::ConnId;
-use crate::routing::{JobId, LoadReport, Outcome};
+use crate::routing::JobId;
 
 use clients::Clients;
-pub use config::Config;
+pub use config::{Config, ConfigError};
 use policy_gate::PolicyGate;
-use upstream::Upstreams;
+use upstream::{AttemptId, Upstreams};
 
-/// What a session's request looked like on the wire.
+/// Time between two looks for idle connections while clients are sent away, in milliseconds.
+const EVACUATION_INTERVAL_MS: f64 = 100.0;
+/// Time between two looks whether all is finished once the last call of a stop is past, in milliseconds.
+const STOP_INTERVAL_MS: f64 = 20.0;
+
+/// What a job's request looked like on the wire.
 struct ClientJob {
     client: ConnId,
     id: Rc<str>,
@@ -36,66 +55,67 @@
     body: Vec<u8>,
 }
 
-/// Time between two looks for idle connections while clients are sent away, in milliseconds.
-const AWAY_LOOK: f64 = 100.0;
-
-/// The front.
+/// The frontend.
 pub struct HttpFrontend {
     core: Core,
     clients: Clients,
-    backends: Upstreams,
+    upstreams: Upstreams,
     discovery: Discovery,
     jobs: FxHashMap<JobId, ClientJob>,
+    /// Jobs by the ids that their clients gave them.
     ids: FxHashMap<Rc<str>, JobId>,
     /// The processes beside this one at an upgrade.
     links: Option<upgrade_link::UpgradeLinks>,
     /// Whether requests may be started now, where a policy is shared.
     gate: Option<Box<PolicyGate>>,
-    stopping: Option<Shutdown>,
-    /// Its last connections are being ended.
-    farewell: bool,
-    /// Clients are sent away: `/up` says no, and connections are closed once they are idle.
+    shutdown: Option<Shutdown>,
+    /// Whether the last connections are being ended.
+    is_closing_all: bool,
+    /// Whether clients are sent away: `/up` says no, and connections are closed once they are idle.
     evacuating: bool,
     /// When to look next for connections that have become idle while clients are sent away.
-    away_look: f64,
+    next_evacuation_ms: f64,
 }
 
 impl HttpFrontend {
-    /// A front on a listener that is open, with the list as last held.
+    /// A frontend on a listener that is open, with the list as last held.
     pub fn new(config: Config, clock: Clock, listener: usize, discovery: SocketAddr) -> HttpFrontend {
-        let Config { site, seed, budget, known, .. } = config;
-        let mut front = HttpFrontend {
+        let Config { site, seed, budget, known_list, .. } = config;
+        let mut frontend = HttpFrontend {
             clients: Clients::new(listener, budget),
-            backends: Upstreams::new(site.connection_idle_ms, budget.backends),
-            discovery: Discovery::new(discovery, config.discovery, known.0, seed),
+            upstreams: Upstreams::new(site.connection_idle_ms, budget.backends),
+            discovery: Discovery::new(discovery, config.discovery, known_list.version, seed),
             core: Core::new(site, seed, clock, budget.sessions),
             jobs: FxHashMap::default(),
             ids: FxHashMap::default(),
             links: None,
             gate: None,
-            stopping: None,
-            farewell: false,
+            shutdown: None,
+            is_closing_all: false,
             evacuating: false,
-            away_look: f64::INFINITY,
+            next_evacuation_ms: f64::INFINITY,
         };
-        front.core.restore_list(known.1);
-        front.discovery.begin(front.core.clock().now(), &front.core.site().settings);
-        front
+        frontend.core.restore_list(known_list.lines);
+        frontend.discovery.begin(frontend.core.clock().now(), &frontend.core.site().settings);
+        frontend
     }
 
-    /// Whether a configuration that was read again can be taken over without a restart.
-    pub fn fits(&self, config: &Config) -> Result<(), String> {
-        self.core.check_compatible(&config.site).map_err(|e| e.to_string())
+    /// Checks whether a configuration that was read again can be taken over without a restart.
+    ///
+    /// # Errors
+    /// Where it names other classes, kinds or zones.
+    pub fn check_compatible(&self, config: &Config) -> Result<(), IncompatibleSettings> {
+        self.core.check_compatible(&config.site)
     }
 
-    /// Takes over a configuration that fits: its settings and limits, and the discovery service that it names.
+    /// Takes over a compatible configuration: its settings and limits, and the discovery service that it names.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.clients.budget = config.budget;
-        self.backends.adopt(config.site.connection_idle_ms, config.budget.backends);
+        self.upstreams.reconfigure(config.site.connection_idle_ms, config.budget.backends);
         self.core.reconfigure(config.site, config.budget.sessions);
-        let now = self.core.clock().now();
-        let heard = self.discovery.follow(net, now, config.discovery, &self.core.site().settings);
-        self.heard(net, heard);
+        let now_ms = self.core.clock().now();
+        let update = self.discovery.follow(net, now_ms, config.discovery, &self.core.site().settings);
+        self.on_discovery_update(net, update);
         self.carry_out(net);
     }
 
@@ -116,22 +136,22 @@
 
     /// Whether a connection is one of its own.
     pub fn owns(&self, conn: ConnId) -> bool {
-        let link = self.links.as_ref().is_some_and(|links| links.owns(conn));
-        link || self.clients.owns(conn) || self.backends.owns(conn) || self.discovery.owns(conn)
+        let is_link = self.links.as_ref().is_some_and(|links| links.owns(conn));
+        is_link || self.clients.owns(conn) || self.upstreams.owns(conn) || self.discovery.owns(conn)
     }
 
     /// A connection can be read or written, came up or broke.
-    pub fn ready(&mut self, net: &mut Sockets, conn: ConnId) {
+    pub fn on_ready(&mut self, net: &mut Sockets, conn: ConnId) {
         if self.clients.owns(conn) {
-            self.client_ready(net, conn);
-        } else if self.backends.owns(conn) {
-            self.backend_ready(net, conn);
+            self.on_client_ready(net, conn);
+        } else if self.upstreams.owns(conn) {
+            self.on_upstream_ready(net, conn);
         } else if self.links.as_ref().is_some_and(|links| links.owns(conn)) {
-            self.link_ready(net, conn);
+            self.on_link_ready(net, conn);
         } else {
-            let now = self.core.clock().now();
-            let heard = self.discovery.ready(net, now, self.core.site());
-            self.heard(net, heard);
+            let now_ms = self.core.clock().now();
+            let update = self.discovery.ready(net, now_ms, self.core.site());
+            self.on_discovery_update(net, update);
         }
         self.carry_out(net);
     }
@@ -139,88 +159,94 @@
     /// Carries out what the core has decided, until nothing follows from it any more.
     fn carry_out(&mut self, net: &mut Sockets) {
         loop {
-            let Some(command) = self.core.next_command() else {
-                // A client that was answered may have sent its next request already. Read in this loop and not
-                // from within the answer: a peer that sends many at once must not nest calls.
-                match self.clients.answered.pop() {
-                    Some(conn) => self.client_ready(net, conn),
-                    None => return,
-                }
-                continue;
-            };
-            match command {
-                Command::Send { job: session, attempt, endpoint: server } => {
-                    self.send(net, session, attempt, server)
-                }
-                Command::Cancel { job: session, attempt } => self.cancel(net, session, attempt),
-                Command::Answer { job: session, answer: verdict } => self.answer(net, session, verdict),
-                Command::Probe { endpoint: server } => self.probe(net, server),
-                Command::Subscribe => {
-                    let heard = self.discovery.call(net, self.core.clock().now(), &self.core.site().settings);
-                    self.heard(net, heard);
-                }
+            if let Some(command) = self.core.next_command() {
+                self.carry_out_command(net, command);
+            } else if let Some(conn) = self.clients.answered.pop() {
+                // A client that was answered may have sent its next request already. Read in this loop and not from within
+                // the answer: a peer that sends many at once must not nest calls.
+                self.on_client_ready(net, conn);
+            } else {
+                return;
             }
         }
     }
 
-    /// Tells the core what discovery has brought.
-    fn heard(&mut self, net: &mut Sockets, heard: Option<DiscoveryUpdate>) {
-        for server in heard.map(|heard| heard.tell(&mut self.core)).unwrap_or_default() {
-            self.drop_idle(net, server);
+    fn carry_out_command(&mut self, net: &mut Sockets, command: Command) {
+        match command {
+            Command::Send { job, attempt, endpoint } => {
+                self.send(net, AttemptId { job, number: attempt }, endpoint);
+            }
+            Command::Cancel { job, attempt } => self.cancel(net, AttemptId { job, number: attempt }),
+            Command::Answer { job, answer } => self.answer(net, job, answer),
+            Command::Probe { endpoint } => self.probe(net, endpoint),
+            Command::Subscribe => {
+                let now_ms = self.core.clock().now();
+                let update = self.discovery.call(net, now_ms, &self.core.site().settings);
+                self.on_discovery_update(net, update);
+            }
         }
     }
 
-    /// Tells the core how a dispatch ended other than served.
-    fn unserved(&mut self, flight: (JobId, usize), outcome: Outcome, report: LoadReport) {
-        self.backends.flights.remove(&flight);
-        self.core.on_attempt_ended(flight.0, flight.1, outcome, report, Vec::new());
+    /// Tells the core what discovery has brought.
+    fn on_discovery_update(&mut self, net: &mut Sockets, update: Option<DiscoveryUpdate>) {
+        let Some(update) = update else { return };
+        for endpoint in update.apply(&mut self.core) {
+            self.drop_idle(net, endpoint);
+        }
     }
 
     /// Does what is due by now.
     pub fn tick(&mut self, net: &mut Sockets) {
         self.core.tick();
-        for conn in std::mem::take(&mut self.clients.later) {
-            self.client_ready(net, conn);
+        for conn in std::mem::take(&mut self.clients.deferred) {
+            self.on_client_ready(net, conn);
         }
-        self.expire_backends(net);
-        let heard = self.discovery.tick(net, self.core.clock().now(), &self.core.site().settings);
-        self.heard(net, heard);
+        self.sweep_upstreams(net);
+        let update = self.discovery.tick(net, self.core.clock().now(), &self.core.site().settings);
+        self.on_discovery_update(net, update);
         self.carry_out(net);
-        let now = self.core.clock().now();
-        self.sweep_clients(net, now);
-        self.sweep_gate(net, now);
-        self.sweep_links(net, now);
-        if self.evacuating && !self.closes() && now >= self.away_look {
-            // New connections are left alone a while, lest a first call-back be cut off: look again for them.
+        let now_ms = self.core.clock().now();
+        self.sweep_clients(net, now_ms);
+        self.sweep_gate(net, now_ms);
+        self.sweep_links(net, now_ms);
+        if self.evacuating && !self.is_past_last_call() && now_ms >= self.next_evacuation_ms {
+            // New connections are left alone a while, lest a first callback be cut off: look again for them.
             self.close_idle(net);
             self.carry_out(net);
-            self.away_look = now + AWAY_LOOK;
+            self.next_evacuation_ms = now_ms + EVACUATION_INTERVAL_MS;
         }
-        if self.closes() {
+        if self.is_past_last_call() {
             self.core.reject_new_jobs();
             self.close_idle(net);
-            // What was read there may have ended a session: it is answered before the program looks whether
-            // all is finished.
+            // What was read there may have ended a job: it is answered before the program looks whether all is finished.
             self.carry_out(net);
         }
     }
 
     /// When `tick` is to be called next.
     pub fn next_deadline(&self) -> f64 {
-        let last_call = self.stopping.map_or(f64::INFINITY, |leaving| {
-            let end = leaving.last_call;
-            // Past it, look again and again whether all is finished.
-            if self.core.clock().now() < end { end } else { self.core.clock().now() + 20.0 }
-        });
-        let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
-        let away = if self.evacuating { self.away_look } else { f64::INFINITY };
-        let front = self
-            .backends
-            .next_deadline()
-            .min(self.discovery.next_deadline())
-            .min(self.clients.next_deadline());
-        let links = self.links.as_ref().map_or(f64::INFINITY, |links| links.next_deadline());
-        wake.min(front).min(last_call).min(away).min(links).min(self.gate_next())
+        let router_ms = self.core.next_deadline().unwrap_or(f64::INFINITY);
+        let evacuation_ms = if self.evacuating { self.next_evacuation_ms } else { f64::INFINITY };
+        let links_ms = self.links.as_ref().map_or(f64::INFINITY, upgrade_link::UpgradeLinks::next_deadline);
+        [
+            router_ms,
+            self.upstreams.next_deadline(),
+            self.discovery.next_deadline(),
+            self.clients.next_deadline(),
+            self.stop_deadline(),
+            evacuation_ms,
+            links_ms,
+            self.gate_deadline(),
+        ]
+        .into_iter()
+        .fold(f64::INFINITY, f64::min)
+    }
+
+    /// When a stop goes on: at its last call, and past it again and again until all is finished.
+    fn stop_deadline(&self) -> f64 {
+        let Some(shutdown) = self.shutdown else { return f64::INFINITY };
+        let now_ms = self.core.clock().now();
+        if now_ms < shutdown.last_call_ms { shutdown.last_call_ms } else { now_ms + STOP_INTERVAL_MS }
     }
 
     /// Sends clients away, or takes them again. What is open is finished, and answered with a close.
@@ -229,45 +255,46 @@
         if on {
             self.close_idle(net);
             self.carry_out(net);
-            self.away_look = self.core.clock().now() + AWAY_LOOK;
+            self.next_evacuation_ms = self.core.clock().now() + EVACUATION_INTERVAL_MS;
         }
     }
 
     /// Whether clients are being sent away, by an operator or since the program stops.
-    fn sends_away(&self) -> bool {
-        self.evacuating || self.closes()
+    fn sends_clients_away(&self) -> bool {
+        self.evacuating || self.is_past_last_call()
     }
 
-    /// Begins to stop. Where a successor listens at the same address, nothing new is accepted: what waits in the
-    /// backlog is taken first, lest it be reset, and clients are sent away as by `evacuate`.
-    pub fn stop(&mut self, net: &mut Sockets, successor: bool) {
-        if self.stopping.is_some() {
+    /// Begins to stop. Where a successor listens at the same address, nothing new is accepted: what waits in the backlog is
+    /// taken first, lest it be reset, and clients are sent away as by `evacuate`.
+    pub fn stop(&mut self, net: &mut Sockets, has_successor: bool) {
+        if self.shutdown.is_some() {
             return;
         }
-        self.stopping = Some(Shutdown::begin(&mut self.core));
-        if successor {
+        self.shutdown = Some(Shutdown::begin(&mut self.core));
+        if has_successor {
             self.accept_all(net);
             net.unlisten(self.clients.listener);
             self.evacuate(net, true);
         }
     }
 
-    /// Whether it is past its last call.
-    pub fn closes(&self) -> bool {
-        self.stopping.is_some_and(|leaving| self.core.clock().now() >= leaving.last_call)
+    /// Whether a stop is past its last call: nothing new is taken any more.
+    pub fn is_past_last_call(&self) -> bool {
+        self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.last_call_ms)
     }
 
-    /// Whether all that was taken is answered, written as far as peers read, and every connection ended as far as
-    /// peers end theirs.
-    pub fn stopped(&mut self, net: &mut Sockets) -> bool {
-        if !self.closes() || self.core.open_jobs() > 0 || self.gate_next() < f64::INFINITY {
+    /// Whether all that was taken is answered, written as far as peers read, and every connection ended as far as peers end
+    /// theirs.
+    pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
+        if !self.is_past_last_call() || self.core.open_jobs() > 0 || self.gate_deadline() < f64::INFINITY {
             return false;
         }
-        if !std::mem::replace(&mut self.farewell, true) {
+        if !std::mem::replace(&mut self.is_closing_all, true) {
             self.close_all(net);
             self.carry_out(net);
         }
-        let now = self.core.clock().now();
-        self.stopping.as_mut().is_some_and(|leaving| leaving.is_over(now, || self.clients.all_ended()))
+        let now_ms = self.core.clock().now();
+        let clients = &self.clients;
+        self.shutdown.as_mut().is_some_and(|shutdown| shutdown.is_over(now_ms, || clients.all_ended()))
     }
 }
--- a/src/frontend/http/probes.rs
+++ b/src/frontend/http/probes.rs
@@ -1,7 +1,7 @@
-//! Probes: a backend server's load report, asked for beside the jobs.
+//! Probes: an endpoint's load report, asked for beside the jobs.
 
 use super::HttpFrontend;
-use super::upstream::{ConnectionUse, PATIENCE};
+use super::upstream::{ConnectionUse, RESPONSE_TIMEOUT_MS};
 use crate::frontend::Sockets;
 use crate::json;
 use crate::net::ConnId;
@@ -9,38 +9,43 @@
 use crate::routing::{EndpointId, LoadReport};
 
 impl HttpFrontend {
-    /// Probes a backend server. The module always hears of the end: it asks nobody twice meanwhile.
-    pub(super) fn probe(&mut self, net: &mut Sockets, server: EndpointId) {
-        let now = self.core.clock().now();
-        let Ok(conn) = self.acquire(net, server, ConnectionUse::Probe { asked: now, up: now }) else {
-            return self.core.on_probe_ended(server, false, 0.0, LoadReport::default());
+    /// Probes an endpoint. The router is always told of the end: it asks nobody twice meanwhile.
+    pub(super) fn probe(&mut self, net: &mut Sockets, endpoint: EndpointId) {
+        let now_ms = self.core.clock().now();
+        let purpose = ConnectionUse::Probe { started_at_ms: now_ms, up_at_ms: now_ms };
+        let Ok(conn) = self.acquire(net, endpoint, purpose) else {
+            return self.core.on_probe_ended(endpoint, false, 0.0, LoadReport::default());
         };
-        self.ask_load(net, server, conn, now);
+        self.request_load(net, endpoint, conn, now_ms);
     }
 
-    /// Probes a backend server on a new connection, within what is left of a probe's time.
-    pub(super) fn probe_anew(&mut self, net: &mut Sockets, server: EndpointId, asked: f64) {
-        let now = self.core.clock().now();
-        match self.open_backend(net, server, ConnectionUse::Probe { asked, up: now }) {
-            Ok(conn) => self.ask_load(net, server, conn, asked),
-            Err(_) => self.core.on_probe_ended(server, false, now - asked, LoadReport::default()),
-        }
+    /// Probes an endpoint on a new connection, within what is left of a probe's time.
+    pub(super) fn probe_again(&mut self, net: &mut Sockets, endpoint: EndpointId, started_at_ms: f64) {
+        let now_ms = self.core.clock().now();
+        let purpose = ConnectionUse::Probe { started_at_ms, up_at_ms: now_ms };
+        let Ok(conn) = self.open_upstream(net, endpoint, purpose) else {
+            let latency_ms = now_ms - started_at_ms;
+            return self.core.on_probe_ended(endpoint, false, latency_ms, LoadReport::default());
+        };
+        self.request_load(net, endpoint, conn, started_at_ms);
     }
 
-    fn ask_load(&mut self, net: &mut Sockets, server: EndpointId, conn: ConnId, asked: f64) {
-        self.backends.until(conn, asked + PATIENCE);
-        let host = [("Host", self.host(server))];
+    fn request_load(&mut self, net: &mut Sockets, endpoint: EndpointId, conn: ConnId, started_at_ms: f64) {
+        self.upstreams.set_deadline(conn, started_at_ms + RESPONSE_TIMEOUT_MS);
+        let host = [("Host", self.address(endpoint))];
         net.write(conn, &http::ask("GET", "/metrics/load", &host, None));
-        self.backend_ready(net, conn);
+        self.on_upstream_ready(net, conn);
     }
 
-    /// A probe's answer.
-    pub(super) fn probed(&mut self, server: EndpointId, up: f64, message: &Message) {
+    /// An endpoint has responded to a probe on a connection that has been up since `up_at_ms`.
+    pub(super) fn on_probe_response(&mut self, endpoint: EndpointId, up_at_ms: f64, message: &Message) {
         let report = match message.body.first() {
-            Some(b'{') => json::parse(&message.body).map_or(LoadReport::default(), |load| self.load(&load)),
-            _ => self.load_text(&String::from_utf8_lossy(&message.body)),
+            Some(b'{') => {
+                json::parse(&message.body).map_or(LoadReport::default(), |load| self.load_from_json(&load))
+            }
+            _ => self.load_from_text(&String::from_utf8_lossy(&message.body)),
         };
-        let latency = self.core.clock().now() - up;
-        self.core.on_probe_ended(server, message.status == 200, latency, report);
+        let latency_ms = self.core.clock().now() - up_at_ms;
+        self.core.on_probe_ended(endpoint, message.status == 200, latency_ms, report);
     }
 }
--- /dev/null
+++ b/src/frontend/http/responses.rs
@@ -0,0 +1,91 @@
+//! What clients get: final answers of jobs, and responses to all else.
+
+use super::{ClientJob, HttpFrontend};
+use crate::core::FinalAnswer;
+use crate::frontend::Sockets;
+use crate::net::ConnId;
+use crate::net::http;
+use crate::routing::JobId;
+
+impl HttpFrontend {
+    /// Forgets what a job's request looked like.
+    pub(super) fn forget_job(&mut self, job: JobId) -> Option<ClientJob> {
+        let client_job = self.jobs.remove(&job)?;
+        self.ids.remove(&client_job.id);
+        if !self.core.site().allows_copies {
+            self.upstreams.forget_cancelling(job);
+        }
+        Some(client_job)
+    }
+
+    /// Gives a job its final answer.
+    pub(super) fn answer(&mut self, net: &mut Sockets, job: JobId, answer: FinalAnswer) {
+        let Some(ClientJob { client: id, .. }) = self.forget_job(job) else { return };
+        let now_ms = self.core.clock().now();
+        if let Some(client) = self.clients.get_mut(id) {
+            (client.job, client.idle_since_ms) = (None, now_ms);
+        }
+        let close = net.conn(id).is_some_and(|conn| conn.last);
+        self.respond_with_answer(net, id, answer, close);
+        self.clients.answered.push(id);
+    }
+
+    /// Rejects a request that the core has not seen, with a time to come back.
+    pub(super) fn reject(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
+        let retry_after_ms = self.core.site().max_retry_after_ms;
+        self.respond_with_answer(net, id, FinalAnswer::Rejected { retry_after_ms }, close);
+    }
+
+    pub(super) fn respond_with_answer(
+        &mut self,
+        net: &mut Sockets,
+        id: ConnId,
+        answer: FinalAnswer,
+        close: bool,
+    ) {
+        match answer {
+            FinalAnswer::Served(result) => self.respond(net, id, 200, &[], &result, close),
+            FinalAnswer::Rejected { retry_after_ms } if retry_after_ms > 0.0 => {
+                let advice = [("Retry-After", format!("{:.3}", retry_after_ms / 1e3))];
+                self.respond(net, id, 503, &advice, b"", close);
+            }
+            FinalAnswer::Rejected { .. } => self.respond(net, id, 503, &[], b"", close),
+            FinalAnswer::Failed => self.respond(net, id, 500, &[], b"", close),
+        }
+    }
+
+    /// Responds with a status alone, and closes the connection.
+    pub(super) fn respond_and_close(&mut self, net: &mut Sockets, id: ConnId, status: u16) {
+        self.respond(net, id, status, &[], b"", true);
+    }
+
+    /// Responds to a client. A client that does not read its responses is cut off when its buffer is full.
+    pub(super) fn respond(
+        &mut self,
+        net: &mut Sockets,
+        id: ConnId,
+        status: u16,
+        headers: &[(&str, String)],
+        body: &[u8],
+        close: bool,
+    ) {
+        let close = close || self.closes_after(net, id, status);
+        if !net.write(id, &http::answer(status, headers, body, close)) {
+            return self.drop_client(net, id);
+        }
+        if close {
+            self.start_closing(net, id);
+        }
+    }
+
+    /// Whether a connection is closed after a response whatever its client wants.
+    fn closes_after(&self, net: &mut Sockets, id: ConnId, status: u16) -> bool {
+        let client = self.clients.connections.get(&id);
+        // A client sent away is closed once answered; callbacks of endpoints go on.
+        let is_sent_away = self.evacuating && client.is_some_and(|client| !client.sends_callbacks);
+        // A link stays to the end: the process at its other end could not open another.
+        let is_ending = self.is_past_last_call() && client.is_none_or(|client| !client.is_upgrade_link);
+        let is_last = net.conn(id).is_some_and(|conn| conn.last);
+        is_last || is_sent_away || is_ending || matches!(status, 400 | 413 | 501)
+    }
+}
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -1,330 +1,419 @@
-//! The seam at an upgrade, on sockets: links to the processes beside this one, and the call-backs passed over them.
+//! The links between the processes of an upgrade, on sockets: callbacks that reached the wrong process are forwarded over
+//! them, and the new process asks the old one for its warm state. Which process is asked is decided by
+//! `crate::lifecycle::callback_forwarding`.
 //!
-//! A link is a connection to the address that all share. The kernel deals it to one of them: who answers `GET /up`
-//! names itself, and a link that came back to this process is opened anew. The older process keeps its end of a link
-//! until it ends, though it has stopped listening by then.
+//! A link is a connection to the address that all processes share. The kernel deals it to one of them: who answers `GET /up`
+//! names itself, and a link that came back to this process is opened anew. The older process keeps its end of a link until it
+//! ends, though it has stopped listening by then.
 
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
+
+use thiserror::Error;
 
 use super::HttpFrontend;
 use crate::core::ListedEndpoint;
 use crate::frontend::{Sockets, handover};
-use crate::lifecycle::callback_forwarding::{CallbackForwarder, ForwardingAction, PendingCallback};
-use crate::lifecycle::warm_state::{MAX_WARM_STATE_BYTES, StoredEndpoint, WarmStateFile};
+use crate::lifecycle::callback_forwarding::{
+    CallbackForwarder, ForwardingAction, PeerResponse, PendingCallback,
+};
+use crate::lifecycle::warm_state::{MAX_WARM_STATE_BYTES, StoredEndpoint, WarmStateError, WarmStateFile};
 use crate::net::ConnId;
 use crate::net::http::{self, Message};
 use crate::routing::{Endpoint, EndpointId, EndpointStatus};
 
-/// Header in which a process names itself, and in which a call that is passed on names who has been asked.
-pub(super) const PROCESS: &str = "Lb-Process";
-pub(super) const ASKED: &str = "lb-asked";
-/// Header by which the process that replaces another asks for its memory.
-pub(super) const MEMORY: &str = "lb-memory";
-/// How long a process may take to answer on a link, in milliseconds.
-const PATIENCE: f64 = 1000.0;
-/// Least time between two looks at the note, in milliseconds.
-const LOOK: f64 = 100.0;
-/// Most processes that a call names.
-const NAMED: usize = 4;
+/// Header in which a process names itself.
+pub(super) const PROCESS_HEADER: &str = "Lb-Process";
+/// Header in which a callback that is forwarded names who has been asked.
+pub(super) const ASKED_HEADER: &str = "lb-asked";
+/// Header by which the process that replaces another asks for its warm state.
+pub(super) const WARM_STATE_HEADER: &str = "lb-memory";
+/// How long a process may take to respond on a link, in milliseconds.
+const RESPONSE_TIMEOUT_MS: f64 = 1000.0;
+/// Least time between two looks at the handover note, in milliseconds.
+const NOTE_INTERVAL_MS: f64 = 100.0;
+/// Most processes that a callback names.
+const MAX_ASKED_PROCESSES: usize = 4;
 
 /// A connection that was opened to reach a process.
 struct UpgradeLink {
     conn: ConnId,
     pid: u32,
-    up: bool,
-    /// It has been told that it is a link.
-    greeted: bool,
-    /// By when it is to say more.
-    until: f64,
-    /// Calls that were written and are not answered.
-    out: usize,
+    state: LinkState,
+    /// When it is to have responded, in milliseconds.
+    deadline_ms: f64,
+    /// Requests that were written and have no response.
+    open_requests: usize,
+}
+
+/// How far a link has come.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum LinkState {
+    /// It is not known which process it reached.
+    Reaching,
+    /// It has reached its process, which is told that the connection is a link.
+    Introducing,
+    /// Its process knows it: callbacks pass.
+    Up,
+}
+
+impl UpgradeLink {
+    /// Whether a response is due on it.
+    fn awaits_response(&self) -> bool {
+        self.state == LinkState::Reaching || self.open_requests > 0
+    }
 }
 
 /// The links.
 pub(super) struct UpgradeLinks {
-    seam: CallbackForwarder,
+    forwarder: CallbackForwarder,
+    /// The address that all processes share.
     address: SocketAddr,
+    /// The handover note of the processes at that address.
     note: PathBuf,
     links: Vec<UpgradeLink>,
-    look: f64,
-    /// PendingCallback-backs that another process has taken.
-    passed: u64,
-    /// The process that this one replaces, until its memory has been read.
-    before: Option<u32>,
+    next_note_ms: f64,
+    /// Callbacks that another process has taken.
+    forwarded: u64,
+    /// The process that this one replaces, until its warm state has been read.
+    predecessor: Option<u32>,
+}
+
+/// Why there is no warm state of the process before.
+#[derive(Debug, Error)]
+enum NoWarmState {
+    #[error(transparent)]
+    Read(#[from] std::io::Error),
+    #[error(transparent)]
+    Refused(#[from] WarmStateError),
 }
 
 impl UpgradeLinks {
-    pub fn new(address: SocketAddr, note: PathBuf) -> UpgradeLinks {
+    fn new(address: SocketAddr, note: PathBuf, predecessor: Option<u32>) -> UpgradeLinks {
         UpgradeLinks {
-            seam: CallbackForwarder::new(std::process::id()),
+            forwarder: CallbackForwarder::new(std::process::id()),
             address,
             note,
             links: Vec::new(),
-            look: 0.0,
-            passed: 0,
-            before: None,
+            next_note_ms: 0.0,
+            forwarded: 0,
+            predecessor,
         }
     }
 
     pub fn owns(&self, conn: ConnId) -> bool {
-        self.links.iter().any(|l| l.conn == conn)
+        self.links.iter().any(|link| link.conn == conn)
     }
 
+    /// When to look at them again.
     pub fn next_deadline(&self) -> f64 {
-        self.links.iter().filter(|l| !l.up || l.out > 0).map(|l| l.until).fold(f64::INFINITY, f64::min)
+        let awaiting = self.links.iter().filter(|link| link.awaits_response());
+        awaiting.map(|link| link.deadline_ms).fold(f64::INFINITY, f64::min)
+    }
+
+    fn host_header(&self) -> (&'static str, String) {
+        ("Host", self.address.to_string())
+    }
+
+    /// Whether the link to a process is not ready yet.
+    fn is_opening(&self, pid: u32) -> bool {
+        let is_unknown = |link: &UpgradeLink| link.pid == pid && link.state != LinkState::Up;
+        !self.forwarder.is_settled() || self.links.iter().any(is_unknown)
     }
 }
 
 impl HttpFrontend {
-    /// Sets the seam up at the address that was listened at, beside a process that was there before.
-    pub fn join(&mut self, net: &mut Sockets, address: SocketAddr, note: PathBuf, before: Option<u32>) {
-        let mut links = UpgradeLinks::new(address, note);
-        let first = before.and_then(|pid| links.seam.meet(pid));
-        links.before = before;
+    /// Sets the links up at the address that was listened at, beside a process that was there before.
+    pub fn join(&mut self, net: &mut Sockets, address: SocketAddr, note: PathBuf, predecessor: Option<u32>) {
+        let mut links = UpgradeLinks::new(address, note, predecessor);
+        let first = predecessor.and_then(|pid| links.forwarder.on_peer_seen(pid));
         self.links = Some(links);
-        self.follow(net, first.into_iter().collect());
+        self.carry_out_forwarding(net, first);
     }
 
-    /// Whether the seam is settled, so that the process beside may stop listening.
-    pub fn joined(&self) -> bool {
-        let open =
-            |l: &UpgradeLinks, pid| !l.seam.settled() || l.links.iter().any(|k| k.pid == pid && !k.greeted);
-        self.links.as_ref().is_none_or(|l| l.before.is_none_or(|pid| !open(l, pid)))
+    /// Whether the link to the process before is ready, so that that one may stop listening.
+    pub fn has_joined(&self) -> bool {
+        let is_opening = |links: &UpgradeLinks| links.predecessor.is_some_and(|pid| links.is_opening(pid));
+        !self.links.as_ref().is_some_and(is_opening)
     }
 
-    /// PendingCallback-backs that reached this process and were taken by another.
-    pub fn passed_on(&self) -> u64 {
-        self.links.as_ref().map_or(0, |links| links.passed)
+    /// Callbacks that reached this process and were taken by another.
+    pub fn forwarded_callbacks(&self) -> u64 {
+        self.links.as_ref().map_or(0, |links| links.forwarded)
     }
 
     /// A process beside this one has opened a link: it is known from now on, whatever its note says.
-    pub(super) fn met(&mut self, net: &mut Sockets, pid: &str) {
-        let pid = pid.trim().parse().ok().filter(|&pid| handover::lives(pid));
-        let step = pid.and_then(|pid| self.links.as_mut()?.seam.meet(pid));
-        self.follow(net, step.into_iter().collect());
+    pub(super) fn on_linked_by(&mut self, net: &mut Sockets, pid: &str) {
+        let pid = pid.trim().parse().ok().filter(|&pid| handover::is_alive(pid));
+        let action = pid.and_then(|pid| self.links.as_mut()?.forwarder.on_peer_seen(pid));
+        self.carry_out_forwarding(net, action);
     }
 
-    /// A call-back whose job this process does not know. False where nobody is beside that may know it.
-    pub(super) fn pass_on(
+    /// A callback whose job this process does not know. False where nobody is beside it that may know it.
+    pub(super) fn forward_callback(
         &mut self,
         net: &mut Sockets,
         from: ConnId,
         body: &[u8],
         asked: Option<&str>,
     ) -> bool {
-        let now = self.core.clock().now();
+        let now_ms = self.core.clock().now();
         let Some(links) = &mut self.links else { return false };
-        let mut steps = Vec::new();
-        if now >= links.look {
-            links.look = now + LOOK;
-            let gone: Vec<u32> = links.seam.peers().filter(|&pid| !handover::lives(pid)).collect();
-            steps.extend(gone.into_iter().flat_map(|pid| links.seam.lost(pid, false)));
-            steps
-                .extend(handover::beside(&links.note, links.seam.own()).and_then(|pid| links.seam.meet(pid)));
+        let mut actions = Vec::new();
+        if now_ms >= links.next_note_ms {
+            links.next_note_ms = now_ms + NOTE_INTERVAL_MS;
+            actions = links.look_for_processes();
         }
-        if links.seam.peers().next().is_none() {
-            self.follow(net, steps);
+        if links.forwarder.peers().next().is_none() {
+            self.carry_out_forwarding(net, actions);
             return false;
         }
-        let asked = asked.unwrap_or("").split(',').filter_map(|pid| pid.trim().parse().ok()).take(NAMED);
-        let call = PendingCallback { from, body: body.to_vec(), asked: asked.collect() };
-        if let Some(client) = self.clients.client(from) {
-            client.waits = true;
+        let asked = asked.unwrap_or("").split(',').filter_map(|pid| pid.trim().parse().ok());
+        let asked = asked.take(MAX_ASKED_PROCESSES).collect();
+        if let Some(client) = self.clients.get_mut(from) {
+            client.is_waiting = true;
         }
-        steps.extend(links.seam.pass(call));
-        self.follow(net, steps);
+        actions.extend(links.forwarder.forward(PendingCallback { from, body: body.to_vec(), asked }));
+        self.carry_out_forwarding(net, actions);
         true
     }
 
-    /// Does what the seam says.
-    fn follow(&mut self, net: &mut Sockets, steps: Vec<ForwardingAction>) {
-        for step in steps {
-            match step {
+    /// Carries out what the forwarder wants.
+    fn carry_out_forwarding(
+        &mut self,
+        net: &mut Sockets,
+        actions: impl IntoIterator<Item = ForwardingAction>,
+    ) {
+        for action in actions {
+            match action {
                 ForwardingAction::Open(pid) => self.open_link(net, pid),
-                ForwardingAction::Pass(pid, body, asked) => {
-                    let now = self.core.clock().now();
+                ForwardingAction::Forward(pid, body, asked) => {
+                    let now_ms = self.core.clock().now();
                     let Some(links) = &mut self.links else { return };
-                    let Some(link) = links.links.iter_mut().find(|l| l.pid == pid && l.up) else { continue };
-                    let asked: Vec<String> = asked.iter().map(u32::to_string).collect();
-                    let headers = [("Host", links.address.to_string()), (ASKED, asked.join(","))];
-                    let bytes = http::ask("POST", "/v1/job-events", &headers, Some(&body));
-                    if link.out == 0 || link.until == f64::INFINITY {
-                        link.until = now + PATIENCE;
-                    }
-                    link.out += 1;
-                    // A full buffer ends the link: the calls are repeated by their senders.
-                    if !net.write(link.conn, &bytes) {
-                        link.until = now;
-                    }
+                    links.write_callback(net, now_ms, pid, &body, &asked);
                 }
                 ForwardingAction::Taken(from) => {
                     if let Some(links) = &mut self.links {
-                        links.passed += 1;
+                        links.forwarded += 1;
                     }
-                    self.acknowledge(net, from, 204);
+                    self.respond_to_callback(net, from, 204);
                 }
                 ForwardingAction::Unknown(from) => {
-                    let passed = self.clients.client(from).is_some_and(|client| client.link);
-                    self.acknowledge(net, from, if passed { 410 } else { 204 });
+                    let was_forwarded =
+                        self.clients.get_mut(from).is_some_and(|client| client.is_upgrade_link);
+                    self.respond_to_callback(net, from, if was_forwarded { 410 } else { 204 });
                 }
-                ForwardingAction::Later(from) => self.acknowledge(net, from, 503),
+                ForwardingAction::Repeat(from) => self.respond_to_callback(net, from, 503),
             }
         }
     }
 
-    /// Answers a call-back that waited.
-    fn acknowledge(&mut self, net: &mut Sockets, from: ConnId, status: u16) {
-        let Some(client) = self.clients.client(from).filter(|client| client.waits) else { return };
-        client.waits = false;
-        self.reply(net, from, status, &[], b"", false);
+    /// Responds to a callback that waited.
+    fn respond_to_callback(&mut self, net: &mut Sockets, from: ConnId, status: u16) {
+        let Some(client) = self.clients.get_mut(from).filter(|client| client.is_waiting) else { return };
+        client.is_waiting = false;
+        self.respond(net, from, status, &[], b"", false);
         self.clients.answered.push(from);
     }
 
     fn open_link(&mut self, net: &mut Sockets, pid: u32) {
-        let now = self.core.clock().now();
+        let now_ms = self.core.clock().now();
         let Some(links) = &mut self.links else { return };
         let Ok(conn) = net.open(links.address) else {
-            let steps = links.seam.lost(pid, handover::lives(pid));
-            return self.follow(net, steps);
+            let actions = links.forwarder.on_link_lost(pid, handover::is_alive(pid));
+            return self.carry_out_forwarding(net, actions);
         };
-        links.links.push(UpgradeLink { conn, pid, up: false, greeted: false, until: now + PATIENCE, out: 0 });
-        let host = [("Host", links.address.to_string())];
-        net.write(conn, &http::ask("GET", "/up", &host, None));
+        let (state, deadline_ms) = (LinkState::Reaching, now_ms + RESPONSE_TIMEOUT_MS);
+        links.links.push(UpgradeLink { conn, pid, state, deadline_ms, open_requests: 0 });
+        net.write(conn, &http::ask("GET", "/up", &[links.host_header()], None));
     }
 
     /// Something came over a link, or it broke.
-    pub(super) fn link_ready(&mut self, net: &mut Sockets, id: ConnId) {
+    pub(super) fn on_link_ready(&mut self, net: &mut Sockets, id: ConnId) {
         loop {
             let Some(conn) = net.conn(id) else { return };
             conn.pump();
-            let ended = conn.eof || conn.broken;
-            match http::response(&mut conn.rx, ended) {
-                Ok(Some(message)) => self.link_says(net, id, &message),
-                Ok(None) if !ended => return,
+            let has_ended = conn.eof || conn.broken;
+            match http::response(&mut conn.rx, has_ended) {
+                Ok(Some(message)) => self.on_link_response(net, id, &message),
+                Ok(None) if !has_ended => return,
                 _ => return self.drop_link(net, id),
             }
         }
     }
 
-    fn link_says(&mut self, net: &mut Sockets, id: ConnId, message: &Message) {
-        let now = self.core.clock().now();
+    fn on_link_response(&mut self, net: &mut Sockets, id: ConnId, message: &Message) {
+        let now_ms = self.core.clock().now();
         let Some(links) = &mut self.links else { return };
-        let Some(link) = links.links.iter_mut().find(|l| l.conn == id) else { return };
+        let Some(link) = links.links.iter_mut().find(|link| link.conn == id) else { return };
         let pid = link.pid;
-        let steps = if link.up && !std::mem::replace(&mut link.greeted, true) {
-            (link.out, link.until) = (link.out.saturating_sub(1), now + PATIENCE);
-            if links.before.take_if(|before| *before == pid).is_some() {
-                self.remember(pid);
+        let state = link.state;
+        if state != LinkState::Reaching {
+            link.open_requests = link.open_requests.saturating_sub(1);
+            link.deadline_ms = now_ms + RESPONSE_TIMEOUT_MS;
+            link.state = LinkState::Up;
+        }
+        match state {
+            LinkState::Reaching => self.on_link_reached(net, id, pid, message),
+            LinkState::Introducing => {
+                if links.predecessor.take_if(|predecessor| *predecessor == pid).is_some() {
+                    self.restore_warm_state(pid);
+                }
             }
-            Vec::new()
-        } else if link.up {
-            (link.out, link.until) = (link.out.saturating_sub(1), now + PATIENCE);
-            let taken = match message.status {
-                200 | 204 => Some(true),
-                410 => Some(false),
-                _ => None,
-            };
-            links.seam.word(pid, taken).into_iter().collect()
-        } else {
-            let reached = message.header(PROCESS).and_then(|text| text.parse().ok()).unwrap_or(0);
-            link.up = reached == pid;
-            if !link.up {
-                links.links.retain(|l| l.conn != id);
-                net.close(id);
-            } else {
-                // The other side learns that this connection is a link, before it closes idle ones.
-                let wants = if links.before == Some(pid) { "wanted" } else { "" };
-                let headers = [
-                    ("Host", links.address.to_string()),
-                    (ASKED, links.seam.own().to_string()),
-                    (MEMORY, wants.to_string()),
-                ];
-                link.out += 1;
-                net.write(id, &http::ask("GET", "/v1/seam", &headers, None));
-                link.until = now + PATIENCE;
+            LinkState::Up => {
+                let response = match message.status {
+                    200 | 204 => PeerResponse::Taken,
+                    410 => PeerResponse::Unknown,
+                    _ => PeerResponse::Repeat,
+                };
+                let action = links.forwarder.on_response(pid, response);
+                self.carry_out_forwarding(net, action);
             }
-            links.seam.reached(pid, reached)
-        };
-        self.follow(net, steps);
+        }
+    }
+
+    /// The process that a link has reached has named itself.
+    fn on_link_reached(&mut self, net: &mut Sockets, id: ConnId, pid: u32, message: &Message) {
+        let now_ms = self.core.clock().now();
+        let Some(links) = &mut self.links else { return };
+        let reached = message.header(PROCESS_HEADER).and_then(|text| text.parse().ok()).unwrap_or(0);
+        if reached == pid {
+            links.introduce(net, now_ms, id, pid);
+        } else {
+            links.links.retain(|link| link.conn != id);
+            net.close(id);
+        }
+        let actions = links.forwarder.on_link_reached(pid, reached);
+        self.carry_out_forwarding(net, actions);
     }
 
     /// Names by which what was learned is counted.
-    fn names(&self) -> Vec<String> {
+    fn warm_state_names(&self) -> Vec<String> {
         let site = self.core.site();
-        let grades = site.client_classes.iter().map(|g| &g.name);
-        grades.chain(&site.kinds).chain(&site.zones).cloned().collect()
+        let classes = site.client_classes.iter().map(|class| &class.name);
+        classes.chain(&site.kinds).chain(&site.zones).cloned().collect()
     }
 
     /// Leaves what this process knows for the one that replaces it.
-    pub(super) fn leave_memory(&self) {
+    pub(super) fn leave_warm_state(&self) {
         let Some(links) = &self.links else { return };
-        let listed = |s: &&ListedEndpoint| {
-            let ListedEndpoint { name, address, endpoint: member } = (*s).clone();
-            let Endpoint { kind, zone, cell, size, started_at: born, status: state, .. } = member;
-            let draining = state != EndpointStatus::Ready;
-            StoredEndpoint { name, address, kind, zone, cell, size, born, draining }
-        };
-        let memory = WarmStateFile {
-            pid: links.seam.own(),
-            at: self.core.clock().now(),
-            names: self.names(),
-            lines: self.core.endpoints().listed().iter().map(listed).collect(),
+        let endpoints = self.core.endpoints().listed();
+        let file = WarmStateFile {
+            pid: links.forwarder.own_pid(),
+            left_at_ms: self.core.clock().now(),
+            names: self.warm_state_names(),
+            endpoints: endpoints.into_iter().map(stored_endpoint).collect(),
             learned: self.core.warm_state(),
         };
-        if let Err(e) = handover::leave_memory(&links.note, memory.pid, &memory.encode()) {
+        if let Err(e) = handover::write_warm_state(&links.note, file.pid, &file.encode()) {
             crate::say(format_args!("the next process starts cold: {e}"));
         }
     }
 
-    /// Takes over what the process before has left. What is not there or not believed costs one line.
-    fn remember(&mut self, pid: u32) {
+    /// Takes over what the process before has left. What is not there or cannot be used costs one line in the log.
+    fn restore_warm_state(&mut self, pid: u32) {
         let Some(links) = &self.links else { return };
-        let read = handover::take_memory(&links.note, MAX_WARM_STATE_BYTES).map_err(|e| e.to_string());
-        let now = self.core.clock().now();
-        let memory = read.and_then(|bytes| {
-            WarmStateFile::decode(&bytes, pid, &self.names(), now).map_err(|e| e.to_string())
-        });
-        let recalled = memory.map(|memory| {
-            let line = |l: StoredEndpoint| {
-                let state = if l.draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
-                let StoredEndpoint { name, address, kind, zone, cell, size, born, .. } = l;
-                let member =
-                    Endpoint { id: EndpointId(0), kind, zone, cell, size, started_at: born, status: state };
-                ListedEndpoint { name, address, endpoint: member }
-            };
-            self.core.restore_warm_state(memory.lines.into_iter().map(line).collect(), memory.learned)
-        });
-        match recalled {
-            Ok(true) => {}
-            Ok(false) => crate::say("a cold start: what the process before has learned cannot be true here"),
-            Err(e) => crate::say(format_args!("a cold start, without what the process before knows: {e}")),
+        match self.read_warm_state(&links.note, pid) {
+            Ok(file) => {
+                let endpoints = file.endpoints.into_iter().map(listed_endpoint).collect();
+                if !self.core.restore_warm_state(endpoints, file.learned) {
+                    crate::say("a cold start: what the process before has learned cannot be true here");
+                }
+            }
+            Err(e) => {
+                crate::say(format_args!("a cold start, without what the process before knows: {e}"));
+            }
         }
     }
 
+    fn read_warm_state(&self, note: &Path, pid: u32) -> Result<WarmStateFile, NoWarmState> {
+        let bytes = handover::take_warm_state(note, MAX_WARM_STATE_BYTES)?;
+        let now_ms = self.core.clock().now();
+        Ok(WarmStateFile::decode(&bytes, pid, &self.warm_state_names(), now_ms)?)
+    }
+
     fn drop_link(&mut self, net: &mut Sockets, id: ConnId) {
         net.close(id);
         let Some(links) = &mut self.links else { return };
-        let Some(at) = links.links.iter().position(|l| l.conn == id) else { return };
-        let link = links.links.remove(at);
-        let steps = links.seam.lost(link.pid, handover::lives(link.pid));
-        self.follow(net, steps);
+        let Some(at) = links.links.iter().position(|link| link.conn == id) else { return };
+        let pid = links.links.remove(at).pid;
+        let actions = links.forwarder.on_link_lost(pid, handover::is_alive(pid));
+        self.carry_out_forwarding(net, actions);
     }
 
     /// Gives up links whose processes are silent.
-    pub(super) fn sweep_links(&mut self, net: &mut Sockets, now: f64) {
+    pub(super) fn sweep_links(&mut self, net: &mut Sockets, now_ms: f64) {
         let Some(links) = &self.links else { return };
-        let late = links.links.iter().filter(|l| (!l.up || l.out > 0) && l.until <= now).map(|l| l.conn);
-        for id in late.collect::<Vec<_>>() {
+        let is_late = |link: &&UpgradeLink| link.awaits_response() && link.deadline_ms <= now_ms;
+        for id in links.links.iter().filter(is_late).map(|link| link.conn).collect::<Vec<_>>() {
             let Some(links) = &mut self.links else { return };
-            match links.links.iter_mut().find(|l| l.conn == id) {
-                Some(link) if link.greeted => {
-                    link.until = f64::INFINITY;
-                    let steps = links.seam.silent(link.pid);
-                    self.follow(net, steps);
+            match links.links.iter_mut().find(|link| link.conn == id) {
+                Some(link) if link.state == LinkState::Up => {
+                    link.deadline_ms = f64::INFINITY;
+                    let actions = links.forwarder.on_peer_silent(link.pid);
+                    self.carry_out_forwarding(net, actions);
                 }
                 _ => self.drop_link(net, id),
             }
         }
     }
 }
+
+impl UpgradeLinks {
+    /// Looks who is there: processes that have gone are forgotten, and one that the note names is met.
+    fn look_for_processes(&mut self) -> Vec<ForwardingAction> {
+        let gone: Vec<u32> = self.forwarder.peers().filter(|&pid| !handover::is_alive(pid)).collect();
+        let lost = gone.into_iter().flat_map(|pid| self.forwarder.on_link_lost(pid, false));
+        let mut actions: Vec<ForwardingAction> = lost.collect();
+        let named = handover::process_beside(&self.note, self.forwarder.own_pid());
+        actions.extend(named.and_then(|pid| self.forwarder.on_peer_seen(pid)));
+        actions
+    }
+
+    /// Writes a callback to a process whose link is up.
+    fn write_callback(&mut self, net: &mut Sockets, now_ms: f64, pid: u32, body: &[u8], asked: &[u32]) {
+        let asked: Vec<String> = asked.iter().map(u32::to_string).collect();
+        let headers = [self.host_header(), (ASKED_HEADER, asked.join(","))];
+        let is_up = |link: &&mut UpgradeLink| link.pid == pid && link.state != LinkState::Reaching;
+        let Some(link) = self.links.iter_mut().find(is_up) else { return };
+        if link.open_requests == 0 || link.deadline_ms == f64::INFINITY {
+            link.deadline_ms = now_ms + RESPONSE_TIMEOUT_MS;
+        }
+        link.open_requests += 1;
+        let bytes = http::ask("POST", "/v1/job-events", &headers, Some(body));
+        // A full buffer ends the link: the callbacks are repeated by their senders.
+        if !net.write(link.conn, &bytes) {
+            link.deadline_ms = now_ms;
+        }
+    }
+
+    /// Tells a process that a connection is a link, before it closes idle ones.
+    fn introduce(&mut self, net: &mut Sockets, now_ms: f64, id: ConnId, pid: u32) {
+        let wants_warm_state = if self.predecessor == Some(pid) { "wanted" } else { "" };
+        let headers = [
+            self.host_header(),
+            (ASKED_HEADER, self.forwarder.own_pid().to_string()),
+            (WARM_STATE_HEADER, wants_warm_state.to_string()),
+        ];
+        let Some(link) = self.links.iter_mut().find(|link| link.conn == id) else { return };
+        link.state = LinkState::Introducing;
+        link.open_requests += 1;
+        link.deadline_ms = now_ms + RESPONSE_TIMEOUT_MS;
+        net.write(id, &http::ask("GET", "/v1/seam", &headers, None));
+    }
+}
+
+fn stored_endpoint(line: &ListedEndpoint) -> StoredEndpoint {
+    let ListedEndpoint { name, address, endpoint } = line.clone();
+    let Endpoint { kind, zone, cell, size, started_at, status, .. } = endpoint;
+    let is_draining = status != EndpointStatus::Ready;
+    StoredEndpoint { name, address, kind, zone, cell, size, started_at_us: started_at, is_draining }
+}
+
+fn listed_endpoint(stored: StoredEndpoint) -> ListedEndpoint {
+    let StoredEndpoint { name, address, kind, zone, cell, size, started_at_us, is_draining } = stored;
+    let status = if is_draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
+    let id = EndpointId::default();
+    let endpoint = Endpoint { id, kind, zone, cell, size, started_at: started_at_us, status };
+    ListedEndpoint { name, address, endpoint }
+}
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -10,8 +10,9 @@
 
 use rustc_hash::FxHashMap;
 
+use super::Sockets;
 use super::discovery::{Discovery, DiscoveryUpdate};
-use super::{Shutdown, Sockets};
+use super::shutdown::Shutdown;
 use crate::core::{Clock, Command, Core, FinalAnswer, ListScope};
 use crate::flow::{Admission, Flow, Slots, StreamId};
 use crate::net::{ConnId, Pipes, Pool};
@@ -162,7 +163,7 @@
 
     /// Tells the core what discovery has brought.
     fn heard(&mut self, net: &mut Sockets, heard: Option<DiscoveryUpdate>) {
-        for server in heard.map(|heard| heard.tell(&mut self.core)).unwrap_or_default() {
+        for server in heard.map(|heard| heard.apply(&mut self.core)).unwrap_or_default() {
             self.drop_idle(net, server);
         }
     }
@@ -245,7 +246,7 @@
         }
         let clients = self.clients.values().map(|c| c.until);
         let servers = self.servers.values().map(|s| s.until);
-        let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call.max(now + 20.0));
+        let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call_ms.max(now + 20.0));
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let discovery = self.discovery.as_ref().map_or(f64::INFINITY, Discovery::next_deadline);
         let due = wake.min(stop).min(discovery).min(self.flow.due());
@@ -262,7 +263,7 @@
 
     /// Whether it is past its last call.
     fn closes(&self) -> bool {
-        self.stopping.is_some_and(|leaving| self.core.clock().now() >= leaving.last_call)
+        self.stopping.is_some_and(|leaving| self.core.clock().now() >= leaving.last_call_ms)
     }
 
     /// Whether all that was taken is answered, and written as far as peers read.
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,5 +1,16 @@
-//! The life of the process as operators see it: serving, evacuating, draining, handing over, stopped. A pure
-//! state machine driven by console calls, signals and the clock; `GET /up` and `readyz` read it. No I/O.
+//! The life of the process as operators see it: a pure state machine driven by console calls, signals and the clock, which
+//! `GET /up` and `readyz` read. Beside it, what two processes of an upgrade owe each other: callbacks that reached the wrong
+//! one (`callback_forwarding`), and what the old one leaves to the new one (`warm_state`). No I/O.
+//!
+//! | phase | event | next phase |
+//! | --- | --- | --- |
+//! | serving | evacuate | evacuating |
+//! | evacuating | activate | serving |
+//! | serving, evacuating | terminate, a successor listens | handing over |
+//! | serving, evacuating | terminate, nobody does | draining |
+//! | draining, handing over | finished | stopped |
+//!
+//! Every other event changes nothing.
 
 pub mod callback_forwarding;
 pub mod warm_state;
@@ -9,8 +20,8 @@
 pub enum Phase {
     /// Takes clients.
     Serving,
-    /// Sent clients away on an operator's call: says no, closes connections once they are idle, finishes what
-    /// it has. `activate` takes it back.
+    /// Sent clients away on an operator's call: says no, closes connections once they are idle, finishes what it has.
+    /// `activate` takes it back.
     Evacuating,
     /// Stops at a signal with nobody beside it: goes on serving for a while, then finishes what it has.
     Draining,
@@ -27,9 +38,9 @@
     Evacuate,
     /// The console's `activate`.
     Activate,
-    /// SIGTERM or SIGINT; whether a successor is known to listen beside this process.
+    /// SIGTERM or SIGINT.
     Terminate {
-        /// A successor listens.
+        /// Whether a successor is known to listen beside this process.
         successor: bool,
     },
     /// Everything that was taken is over.
@@ -40,14 +51,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
     phase: Phase,
-    /// Since when, in milliseconds of the clock.
-    since: f64,
+    since_ms: f64,
 }
 
 impl Lifecycle {
-    /// A process that serves from `now`.
-    pub fn new(now: f64) -> Lifecycle {
-        Lifecycle { phase: Phase::Serving, since: now }
+    /// A process that serves from `now_ms`, in milliseconds of the clock.
+    pub fn new(now_ms: f64) -> Lifecycle {
+        Lifecycle { phase: Phase::Serving, since_ms: now_ms }
     }
 
     /// Where it is.
@@ -55,39 +65,37 @@
         self.phase
     }
 
-    /// Since when it has been there.
-    pub fn since(&self) -> f64 {
-        self.since
+    /// Since when it has been there, in milliseconds of the clock.
+    pub fn since_ms(&self) -> f64 {
+        self.since_ms
     }
 
-    /// Whether it tells the front and operators that it takes clients.
-    pub fn ready(&self) -> bool {
+    /// Whether it tells clients and operators that it takes clients.
+    pub fn is_serving(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether it is to end: a stop that began cannot be called off.
-    pub fn stopping(&self) -> bool {
+    /// Whether it is to end: a stop that began cannot be cancelled.
+    pub fn is_stopping(&self) -> bool {
         matches!(self.phase, Phase::Draining | Phase::HandingOver | Phase::Stopped)
     }
 
-    /// Takes one cause at `now`; gives whether the phase changed. A call that changes nothing is no error: a
-    /// second `evacuate` or `activate` finds the process where the first left it.
-    pub fn on(&mut self, now: f64, cause: Cause) -> bool {
-        use Phase::*;
+    /// Takes one cause at `now_ms`; gives whether the phase changed. One that changes nothing is no error: a second
+    /// `evacuate` or `activate` finds the process where the first left it.
+    pub fn apply(&mut self, now_ms: f64, cause: Cause) -> bool {
         let next = match (self.phase, cause) {
-            (Stopped, _) => Stopped,
-            (Serving, Cause::Evacuate) => Evacuating,
-            (Evacuating, Cause::Activate) => Serving,
-            (Serving | Evacuating, Cause::Terminate { successor: true }) => HandingOver,
-            (Serving | Evacuating, Cause::Terminate { successor: false }) => Draining,
-            (Draining | HandingOver, Cause::Finished) => Stopped,
+            (Phase::Serving, Cause::Evacuate) => Phase::Evacuating,
+            (Phase::Evacuating, Cause::Activate) => Phase::Serving,
+            (Phase::Serving | Phase::Evacuating, Cause::Terminate { successor: true }) => Phase::HandingOver,
+            (Phase::Serving | Phase::Evacuating, Cause::Terminate { successor: false }) => Phase::Draining,
+            (Phase::Draining | Phase::HandingOver, Cause::Finished) => Phase::Stopped,
             (phase, _) => phase,
         };
-        let changed = next != self.phase;
-        if changed {
-            (self.phase, self.since) = (next, now);
+        let has_changed = next != self.phase;
+        if has_changed {
+            (self.phase, self.since_ms) = (next, now_ms);
         }
-        changed
+        has_changed
     }
 }
 
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -7,23 +7,23 @@
 #[test]
 fn calls_and_signals_move_it() {
     let mut life = Lifecycle::new(0.0);
-    assert!(life.ready());
-    assert!(life.on(1.0, Cause::Evacuate));
-    assert_eq!((life.phase(), life.ready(), life.since()), (Phase::Evacuating, false, 1.0));
-    assert!(!life.on(2.0, Cause::Evacuate), "a second evacuate changes nothing");
-    assert!(life.on(3.0, Cause::Activate));
-    assert!(life.ready());
-    assert!(!life.on(3.5, Cause::Activate));
-    assert!(!life.on(3.6, Cause::Finished), "a process that serves does not stop by itself");
-    assert!(life.on(4.0, Cause::Terminate { successor: true }));
+    assert!(life.is_serving());
+    assert!(life.apply(1.0, Cause::Evacuate));
+    assert_eq!((life.phase(), life.is_serving(), life.since_ms()), (Phase::Evacuating, false, 1.0));
+    assert!(!life.apply(2.0, Cause::Evacuate), "a second evacuate changes nothing");
+    assert!(life.apply(3.0, Cause::Activate));
+    assert!(life.is_serving());
+    assert!(!life.apply(3.5, Cause::Activate));
+    assert!(!life.apply(3.6, Cause::Finished), "a process that serves does not stop by itself");
+    assert!(life.apply(4.0, Cause::Terminate { successor: true }));
     assert_eq!(life.phase(), Phase::HandingOver);
-    assert!(!life.on(5.0, Cause::Activate), "a stop cannot be called off");
-    assert!(!life.on(5.0, Cause::Terminate { successor: false }), "a second signal changes nothing");
-    assert!(life.on(6.0, Cause::Finished));
+    assert!(!life.apply(5.0, Cause::Activate), "a stop cannot be called off");
+    assert!(!life.apply(5.0, Cause::Terminate { successor: false }), "a second signal changes nothing");
+    assert!(life.apply(6.0, Cause::Finished));
     assert_eq!(life.phase(), Phase::Stopped);
     let mut alone = Lifecycle::new(0.0);
-    alone.on(0.0, Cause::Evacuate);
-    alone.on(1.0, Cause::Terminate { successor: false });
+    alone.apply(0.0, Cause::Evacuate);
+    alone.apply(1.0, Cause::Terminate { successor: false });
     assert_eq!(alone.phase(), Phase::Draining);
 }
 
@@ -43,11 +43,11 @@
         let mut life = Lifecycle::new(0.0);
         let mut stopping = false;
         for (at, cause) in causes.into_iter().enumerate() {
-            life.on(at as f64, cause);
+            life.apply(at as f64, cause);
             if stopping {
-                prop_assert!(life.stopping() && !life.ready());
+                prop_assert!(life.is_stopping() && !life.is_serving());
             }
-            stopping = life.stopping();
+            stopping = life.is_stopping();
             prop_assert!(life.phase() != Phase::Stopped || stopping);
         }
     }
--- a/src/lifecycle/warm_state.rs
+++ b/src/lifecycle/warm_state.rs
@@ -9,7 +9,7 @@
 //! ```
 //!
 //! A file that is torn, too old, of another process or settings, or of a version that this program does not know is
-//! no memory: the process starts cold.
+//! not used: the process starts cold.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -20,13 +20,15 @@
 /// The version that is written, and the only one that is read.
 pub const VERSION: u16 = 1;
 /// Bytes before the payload.
-const HEAD: usize = 18;
+const HEADER_BYTES: usize = 18;
 /// Longest file that is read.
 pub const MAX_WARM_STATE_BYTES: usize = 8 << 20;
-/// Age from which it is not believed, in milliseconds: what the list said then may be undone.
-const OLDEST: f64 = 10_000.0;
+/// Oldest state that is used, in milliseconds: what an older list said may be undone.
+const MAX_AGE_MS: f64 = 10_000.0;
+/// How far in the future a state may lie, in milliseconds: the clocks of two processes may be a little apart.
+const MAX_CLOCK_LEAD_MS: f64 = 1000.0;
 
-/// A line of the list: what a front needs to find a server, and what the module is told of it.
+/// An endpoint of the list: what a frontend needs to find it, and what the router is told of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredEndpoint {
     /// Its name.
@@ -42,27 +44,27 @@
     /// Its size.
     pub size: f64,
     /// When it last started, in microseconds; 0: long ago.
-    pub born: u64,
-    /// It finishes what it has.
-    pub draining: bool,
+    pub started_at_us: u64,
+    /// Whether it finishes what it has, and takes nothing new.
+    pub is_draining: bool,
 }
 
-/// What is left.
+/// What a process leaves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmStateFile {
     /// The process that left it.
     pub pid: u32,
-    /// When, in milliseconds since the Unix epoch.
-    pub at: f64,
+    /// When it did, in milliseconds since the Unix epoch.
+    pub left_at_ms: f64,
     /// Names of classes, kinds and zones, by which what was learned is counted.
     pub names: Vec<String>,
     /// The list.
-    pub lines: Vec<StoredEndpoint>,
+    pub endpoints: Vec<StoredEndpoint>,
     /// What was learned.
     pub learned: WarmState,
 }
 
-/// Why bytes are no memory.
+/// Why bytes are no state that can be used.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum WarmStateError {
     /// Not of this form.
@@ -95,14 +97,17 @@
         bytes
     }
 
-    /// Reads what the process `pid` has left under the same names, at `now`.
+    /// Reads what the process `pid` has left under the same names, at `now_ms`.
+    ///
+    /// # Errors
+    /// Where the bytes are of another form, damaged, too old, or of another process or other settings.
     pub fn decode(
         bytes: &[u8],
         pid: u32,
         names: &[String],
-        now: f64,
+        now_ms: f64,
     ) -> Result<WarmStateFile, WarmStateError> {
-        let (head, payload) = bytes.split_at_checked(HEAD).ok_or(WarmStateError::Damaged)?;
+        let (head, payload) = bytes.split_at_checked(HEADER_BYTES).ok_or(WarmStateError::Damaged)?;
         if &head[..8] != MAGIC {
             return Err(WarmStateError::Foreign);
         }
@@ -110,21 +115,21 @@
         if version != VERSION {
             return Err(WarmStateError::Version(version));
         }
-        let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        if word(10) as usize != payload.len() || word(14) != crc32c::crc32c(payload) {
+        let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        if number(10) as usize != payload.len() || number(14) != crc32c::crc32c(payload) {
             return Err(WarmStateError::Damaged);
         }
-        let Ok((memory, [])) = postcard::take_from_bytes::<WarmStateFile>(payload) else {
+        let Ok((file, [])) = postcard::take_from_bytes::<WarmStateFile>(payload) else {
             return Err(WarmStateError::Damaged);
         };
-        if memory.pid != pid || memory.names != names {
+        if file.pid != pid || file.names != names {
             return Err(WarmStateError::Other);
         }
-        let age = now - memory.at;
-        if !(-1000.0..=OLDEST).contains(&age) {
-            return Err(WarmStateError::Stale(age as i64));
+        let age_ms = now_ms - file.left_at_ms;
+        if !(-MAX_CLOCK_LEAD_MS..=MAX_AGE_MS).contains(&age_ms) {
+            return Err(WarmStateError::Stale(age_ms as i64));
         }
-        Ok(memory)
+        Ok(file)
     }
 }
 
--- a/src/lifecycle/warm_state/tests.rs
+++ b/src/lifecycle/warm_state/tests.rs
@@ -13,11 +13,11 @@
         zone: 0,
         cell: 0,
         size: 1.0,
-        born: 5,
-        draining: true,
+        started_at_us: 5,
+        is_draining: true,
     };
     let learned = Router::new(Settings::default(), 1).warm_state();
-    WarmStateFile { pid: 7, at: 1_000.0, names: vec!["a".into()], lines: vec![line], learned }
+    WarmStateFile { pid: 7, left_at_ms: 1_000.0, names: vec!["a".into()], endpoints: vec![line], learned }
 }
 
 #[test]
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,31 +3,35 @@
 
 use std::io::Write;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::ExitCode;
 use std::time::Duration;
 
-use calloop::EventLoop;
 use calloop::signals::{Signal, Signals};
+use calloop::{EventLoop, LoopHandle};
 use clap::Parser;
 use micabeam::core::Clock;
 use micabeam::frontend::console::Console;
-use micabeam::frontend::fleet::Fleet;
+use micabeam::frontend::fleet::{self, Fleet};
+use micabeam::frontend::gateway::OwnNote;
 use micabeam::frontend::gearman::{self, GearmanFrontend};
 use micabeam::frontend::http::{self, HttpFrontend};
 use micabeam::frontend::streaming::{self, StreamingFrontend};
-use micabeam::frontend::{Configs, Files, Gateway, handover};
+use micabeam::frontend::{Configs, Files, Gateway, Sockets, handover};
 use micabeam::lifecycle::Lifecycle;
 use micabeam::net::Net;
 use micabeam::say;
 
-/// Longest time between two rounds of the loop.
-const ROUND: f64 = 1000.0;
+/// Longest time between two rounds of the loop, in milliseconds.
+const MAX_ROUND_MS: f64 = 1000.0;
 
-/// Routes jobs to backend servers. The environment names the platform's configuration (LB_CONFIG, LB_LISTEN,
-/// LB_DISCOVERY); further fronts are set up in the operator's own file.
+/// What `--help` says of the program.
+const ABOUT: &str = "Routes jobs to backend servers. The environment names the platform's configuration (LB_CONFIG, \
+    LB_LISTEN, LB_DISCOVERY); further fronts are set up in the operator's own file";
+
+/// The program's arguments.
 #[derive(Parser)]
-#[command(version)]
+#[command(version, about = ABOUT)]
 struct Arguments {
     /// The operator's file: TOML, with a table `stream`, `gearman` or both
     #[arg(long, value_name = "FILE")]
@@ -49,76 +53,110 @@
 
 fn run(arguments: Arguments) -> Result<(), String> {
     let mut events: EventLoop<'static, Gateway> = EventLoop::try_new().map_err(|e| e.to_string())?;
-    let handle = events.handle();
+    watch_signals(&events.handle())?;
+    let Arguments { operator, gearman } = arguments;
+    let files = Files { config: std::env::var("LB_CONFIG").ok(), gearman, operator };
+    let mut gateway = open_gateway(files, events.handle())?;
+    gateway.tick();
+    while !gateway.is_stopped() {
+        let wait_ms = (gateway.next_deadline() - gateway.clock.now()).clamp(0.0, MAX_ROUND_MS);
+        let wait = Duration::from_secs_f64(wait_ms / 1e3);
+        events.dispatch(Some(wait), &mut gateway).map_err(|e| format!("the loop: {e}"))?;
+        gateway.tick();
+    }
+    log_counters(&gateway);
+    Ok(())
+}
+
+fn watch_signals(handle: &LoopHandle<'static, Gateway>) -> Result<(), String> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1])
         .map_err(|e| format!("signals: {e}"))?;
-    handle
-        .insert_source(signals, |event, (), gateway: &mut Gateway| match event.signal() {
-            Signal::SIGUSR1 => tell(gateway),
-            Signal::SIGHUP => match gateway.reload() {
-                Ok(()) => say("the configuration was read again"),
-                Err(e) => say(format_args!("the old settings stay in force: {}", e.replace('\n', " "))),
-            },
-            _ => {
-                gateway.stop();
-                say("stopping");
-            }
-        })
-        .map_err(|e| e.to_string())?;
+    let inserted = handle.insert_source(signals, |event, (), gateway: &mut Gateway| match event.signal() {
+        Signal::SIGUSR1 => log_counters(gateway),
+        Signal::SIGHUP => reload(gateway),
+        _ => {
+            gateway.stop();
+            say("stopping");
+        }
+    });
+    inserted.map(|_| ()).map_err(|e| e.to_string())
+}
+
+fn reload(gateway: &mut Gateway) {
+    match gateway.reload() {
+        Ok(()) => say("the configuration was read again"),
+        Err(e) => {
+            let reason = e.to_string().replace('\n', " ");
+            say(format_args!("the old settings stay in force: {reason}"));
+        }
+    }
+}
+
+/// Writes the counters to the log.
+fn log_counters(gateway: &Gateway) {
+    let _ = write!(std::io::stderr(), "{}", gateway.counters());
+}
 
+/// Reads the files and opens what they set up, the platform's frontend last: its address is what clients wait for.
+fn open_gateway(files: Files, handle: LoopHandle<'static, Gateway>) -> Result<Gateway, String> {
     let clock = Clock::system();
     let mut net = Net::new(handle.clone());
-    let Arguments { operator, gearman } = arguments;
-    let files = Files { config: std::env::var("LB_CONFIG").ok(), gearman, operator };
-    let Configs { platform, gearman, stream, fleet, console } = files.read()?;
-    if platform.is_none() && gearman.is_none() && stream.is_none() {
-        return Err("LB_CONFIG names no configuration, and --operator or --gearman no operator's file".into());
-    }
-    if fleet.as_ref().is_some_and(|fleet| fleet.rollout.is_some()) && platform.is_none() {
-        return Err("rollout: only the platform's front asks a policy, and LB_CONFIG names none".into());
-    }
+    let configs = files.read().map_err(|e| e.to_string())?;
+    check_configs(&configs)?;
+    let Configs { http, gearman, streaming, fleet, console } = configs;
     let gearman = gearman.map(|config| open_gearman(config, &mut net, &clock)).transpose()?;
-    let stream = stream.map(|config| open_stream(config, &mut net, &clock)).transpose()?;
-    let platform = platform.map(|config| open_platform(config, &mut net, &clock)).transpose()?;
+    let streaming = streaming.map(|config| open_streaming(config, &mut net, &clock)).transpose()?;
+    let http = http.map(|config| open_http(config, &mut net, &clock)).transpose()?;
     let console = console.map(|address| open_console(address, &mut net)).transpose()?;
     let mut fleet = fleet.map(|config| open_fleet(config, handle, &clock)).transpose()?;
-    let life = Lifecycle::new(clock.now());
+    let lifecycle = Lifecycle::new(clock.now());
     let mut note = None;
-    let platform = platform.map(|(mut front, local)| {
-        let path = handover::path(&std::env::temp_dir(), local);
-        let before = handover::beside(&path, std::process::id());
-        note = leave_note(&path, &clock);
-        if let Some(fleet) = &mut fleet {
-            fleet.steer(front.core_mut());
-            if fleet.shares_policy() {
-                front.guard();
-            }
-        }
-        front.join(&mut net, local, path, before);
-        front
+    let http = http.map(|(mut frontend, address)| {
+        note = join(&mut frontend, &mut net, address, fleet.as_mut(), &clock);
+        frontend
     });
-    let mut gateway = Gateway { net, platform, gearman, stream, fleet, console, life, note, clock, files };
-    gateway.tick();
-    while !gateway.stopped() {
-        let wait = (gateway.next_deadline() - gateway.clock.now()).clamp(0.0, ROUND);
-        let wait = Duration::from_secs_f64(wait / 1e3);
-        events.dispatch(Some(wait), &mut gateway).map_err(|e| format!("the loop: {e}"))?;
-        gateway.tick();
+    Ok(Gateway { net, http, gearman, streaming, fleet, console, lifecycle, note, clock, files })
+}
+
+fn check_configs(configs: &Configs) -> Result<(), String> {
+    if configs.http.is_none() && configs.gearman.is_none() && configs.streaming.is_none() {
+        return Err("LB_CONFIG names no configuration, and --operator or --gearman no operator's file".into());
+    }
+    let shares_policy = configs.fleet.as_ref().is_some_and(|fleet| fleet.rollout.is_some());
+    if shares_policy && configs.http.is_none() {
+        return Err("rollout: only the platform's front asks a policy, and LB_CONFIG names none".into());
     }
-    tell(&gateway);
     Ok(())
 }
 
-/// Writes the counters to the log.
-fn tell(gateway: &Gateway) {
-    let _ = write!(std::io::stderr(), "{}", gateway.counters());
+/// Joins the platform's frontend to its fleet and to a process that listens at its address already. Gives the note that a
+/// successor reads.
+fn join(
+    frontend: &mut HttpFrontend,
+    net: &mut Sockets,
+    address: SocketAddr,
+    fleet: Option<&mut Fleet>,
+    clock: &Clock,
+) -> Option<OwnNote> {
+    let path = handover::note_path(&std::env::temp_dir(), address);
+    let predecessor = handover::process_beside(&path, std::process::id());
+    let note = leave_note(&path, clock);
+    if let Some(fleet) = fleet {
+        fleet.steer(frontend.core_mut());
+        if fleet.shares_policy() {
+            frontend.enable_policy_gate();
+        }
+    }
+    frontend.join(net, address, path, predecessor);
+    note
 }
 
 /// Leaves the note that tells a process at the same address that this one takes over from it.
-fn leave_note(path: &Path, clock: &Clock) -> Option<(PathBuf, u64)> {
-    let note = handover::HandoverNote { pid: std::process::id(), at: clock.now() as u64 };
-    match handover::leave(path, note) {
-        Ok(()) => Some((path.to_path_buf(), note.at)),
+fn leave_note(path: &Path, clock: &Clock) -> Option<OwnNote> {
+    let listening_since_ms = clock.now() as u64;
+    let note = handover::HandoverNote { pid: std::process::id(), listening_since_ms };
+    match handover::write_note(path, note) {
+        Ok(()) => Some(OwnNote { path: path.to_path_buf(), listening_since_ms }),
         Err(e) => {
             say(format_args!("no hand-over note at {}: {e}", path.display()));
             None
@@ -126,17 +164,30 @@
     }
 }
 
-fn open_console(address: SocketAddr, net: &mut Net<Gateway>) -> Result<Console, String> {
+/// Listens at an address and prints it; an address that is `shared` may be another process's as well.
+fn listen(
+    net: &mut Sockets,
+    address: SocketAddr,
+    shared: bool,
+    what: &str,
+) -> Result<(usize, SocketAddr), String> {
+    let (listener, local) =
+        net.listen(address, shared).map_err(|e| format!("cannot listen at {address}: {e}"))?;
+    let _ = writeln!(std::io::stdout(), "micabeam: {what} at {local}");
+    Ok((listener, local))
+}
+
+fn open_console(address: SocketAddr, net: &mut Sockets) -> Result<Console, String> {
     let (listener, local) =
         net.listen(address, false).map_err(|e| format!("cannot listen for the console at {address}: {e}"))?;
     let _ = writeln!(std::io::stdout(), "micabeam: console at {local}");
     Ok(Console::new(listener))
 }
 
-/// The fleet's front, and the log that its decisions are told by.
+/// The frontends' side of the fleet, and the log that its decisions are told by.
 fn open_fleet(
-    config: micabeam::frontend::fleet::Config,
-    handle: calloop::LoopHandle<'static, Gateway>,
+    config: fleet::Config,
+    handle: LoopHandle<'static, Gateway>,
     clock: &Clock,
 ) -> Result<Fleet, String> {
     // A second subscriber cannot be there: the first one set stays.
@@ -144,15 +195,12 @@
     Fleet::new(config, handle, clock.clone()).map_err(|e| e.to_string())
 }
 
-fn open_stream(
+fn open_streaming(
     config: streaming::Config,
-    net: &mut Net<Gateway>,
+    net: &mut Sockets,
     clock: &Clock,
 ) -> Result<StreamingFrontend, String> {
-    let listen = config.table.listen;
-    let (listener, local) =
-        net.listen(listen, false).map_err(|e| format!("cannot listen at {listen}: {e}"))?;
-    let _ = writeln!(std::io::stdout(), "micabeam: streams at {local}");
+    let (listener, _) = listen(net, config.table.listen, false, "streams")?;
     // Dispatchers of one installation draw differently.
     let seed = clock.now() as u64 ^ u64::from(config.table.number) << 48;
     Ok(StreamingFrontend::new(config, seed, clock.clone(), listener))
@@ -160,35 +208,30 @@
 
 fn open_gearman(
     config: gearman::Config,
-    net: &mut Net<Gateway>,
+    net: &mut Sockets,
     clock: &Clock,
 ) -> Result<GearmanFrontend, String> {
-    let listen = config.listen;
-    let (listener, local) =
-        net.listen(listen, false).map_err(|e| format!("cannot listen at {listen}: {e}"))?;
-    let _ = writeln!(std::io::stdout(), "micabeam: gearman at {local}");
+    let (listener, _) = listen(net, config.listen, false, "gearman")?;
     // Alone in its list, it need not differ from others in what it draws.
     GearmanFrontend::new(config, clock.now() as u64, clock.clone(), listener)
 }
 
-/// An address: of the environment, or of the configuration.
-fn address(variable: &str, name: &str, told: Option<SocketAddr>) -> Result<SocketAddr, String> {
-    match std::env::var(variable) {
-        Ok(text) => text.parse().map_err(|_| format!("{variable} is no address: {text}")),
-        Err(_) => told.ok_or_else(|| format!("the configuration has no address `{name}`")),
-    }
-}
-
-fn open_platform(
+fn open_http(
     config: http::Config,
-    net: &mut Net<Gateway>,
+    net: &mut Sockets,
     clock: &Clock,
 ) -> Result<(HttpFrontend, SocketAddr), String> {
     let discovery = address("LB_DISCOVERY", "discovery", config.discovery)?;
-    let listen = address("LB_LISTEN", "listen", config.listen)?;
+    let wanted = address("LB_LISTEN", "listen", config.listen)?;
     // A process that upgrades this one listens beside it at the same address until this one has gone.
-    let (listener, local) =
-        net.listen(listen, true).map_err(|e| format!("cannot listen at {listen}: {e}"))?;
-    let _ = writeln!(std::io::stdout(), "micabeam: listening at {local}");
+    let (listener, local) = listen(net, wanted, true, "listening")?;
     Ok((HttpFrontend::new(config, clock.clone(), listener, discovery), local))
 }
+
+/// An address: of the environment, or of the configuration.
+fn address(variable: &str, name: &str, configured: Option<SocketAddr>) -> Result<SocketAddr, String> {
+    match std::env::var(variable) {
+        Ok(text) => text.parse().map_err(|_| format!("{variable} is no address: {text}")),
+        Err(_) => configured.ok_or_else(|| format!("the configuration has no address `{name}`")),
+    }
+}
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -141,7 +141,7 @@
     let left_at = f64::from_le_bytes(bytes[18 + PID_BYTES..][..8].try_into().unwrap());
     let memory = WarmStateFile::decode(bytes, note.pid, &names, left_at + 500.0).expect("it reads");
     assert_eq!(memory.encode(), bytes, "it is written as it was read");
-    assert_eq!(memory.lines.len(), 2);
+    assert_eq!(memory.endpoints.len(), 2);
     let site = Site::parse(SETTINGS.as_bytes()).unwrap();
     let mut core = Core::new(site, 1, Clock::manual(left_at + 500.0), 64);
     let line = |line: &micabeam::lifecycle::warm_state::StoredEndpoint| ListedEndpoint {
@@ -153,11 +153,11 @@
             zone: line.zone,
             cell: line.cell,
             size: line.size,
-            started_at: line.born,
-            status: if line.draining { EndpointStatus::Draining } else { EndpointStatus::Ready },
+            started_at: line.started_at_us,
+            status: if line.is_draining { EndpointStatus::Draining } else { EndpointStatus::Ready },
         },
     };
-    assert!(core.restore_warm_state(memory.lines.iter().map(line).collect(), memory.learned.clone()));
+    assert!(core.restore_warm_state(memory.endpoints.iter().map(line).collect(), memory.learned.clone()));
     assert_eq!(core.warm_state(), memory.learned, "all of it counts");
 }
 
