--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -1,4 +1,12 @@
-//! Discovery: a watch of the server table's list, for any front that takes it from there. It decides nothing.
+//! Discovery: a watch of the endpoint list, for any frontend that takes it from there. It owns the one connection to
+//! discovery and the version of the list that is held; when to call after a failure is the router's decision.
+//!
+//! | state | event | next |
+//! | --- | --- | --- |
+//! | off | the router asks for the list | calling |
+//! | calling | an answer | pausing, then calling again |
+//! | calling | a long poll is silent past its time | calling, at once and on a new connection |
+//! | calling | any other failure | off; with an agent, pausing |
 
 use std::net::SocketAddr;
 
@@ -12,48 +20,51 @@
 use crate::routing::{Endpoint, EndpointId, EndpointStatus, Settings};
 use crate::settings::Site;
 
-/// How long a call waits for news, in milliseconds: silence on it is noticed, and made good, before what it missed
-/// counts as told 6 s after it fell silent and is to be followed 2 s later.
-const WAIT: f64 = 5_000.0;
-/// How long a call that need not wait may take: discovery works through calls in turn. Where dispatchers are many a
-/// call is kept open for longer, since one that is given up takes discovery's time all the same.
-const GRACE: f64 = 2_500.0;
-const LONG_GRACE: f64 = 3_500.0;
-/// A watch that has not answered so long after its wait was over has fallen silent. What it missed counts as told 2 s
-/// after that wait and is to be followed 2 s later: by then the call that follows has had its time as well.
-const SILENT: f64 = 1_000.0;
-/// The same two where an agent on this machine pushes lists: it answers at once and at no cost. While discovery is
-/// down it is silent, and what it hears at the return counts as told at that moment.
-const AGENT_WAIT: f64 = 1_000.0;
-const AGENT_SILENT: f64 = 500.0;
-/// Time between a failed call to an agent and the next.
-const AGENT_PAUSE: f64 = 200.0;
-/// A call on a kept connection that ends so soon has crossed its closing: it was not read, and is made again.
-const CROSSED: f64 = 500.0;
-/// Answers of older versions that are passed over before the service is held to count anew.
-const STALE: u32 = 1;
-/// Time between an answer and the next call of the watch: a watch breaks after 200 ms.
-const PAUSE: f64 = 40.0;
-/// The same where dispatchers are many, at most. Waits grow with their number, so that all of them together begin a
-/// third of the calls that discovery gets through.
-const LONG_WAIT: f64 = 55_000.0;
-const WAITS: f64 = 3.0;
-/// A call that has been out for longer may have fallen silent, and is given up where another is asked for.
-const FRESH: f64 = 1_000.0;
+/// How long a call waits for news, in milliseconds: silence on it is noticed, and made good, before what it missed counts as
+/// told 6 s after it fell silent and is to be followed 2 s later.
+const WATCH_WAIT_MS: f64 = 5_000.0;
+/// How long a call that need not wait may take, in milliseconds: discovery works through calls in turn.
+const CALL_TIMEOUT_MS: f64 = 2_500.0;
+/// The same where dispatchers are many: a call that is given up takes discovery's time all the same.
+const LARGE_FLEET_CALL_TIMEOUT_MS: f64 = 3_500.0;
+/// A watch that has not answered this long after its wait was over has fallen silent, in milliseconds. What it missed counts
+/// as told 2 s after that wait and is to be followed 2 s later: by then the call that follows has had its time as well.
+const SILENCE_TIMEOUT_MS: f64 = 1_000.0;
+/// How long a call waits for news where an agent on this machine pushes lists, in milliseconds: it answers at once and at no
+/// cost. While discovery is down it is silent, and what it is told at the return counts as told at that moment.
+const AGENT_WAIT_MS: f64 = 1_000.0;
+/// After this time beyond its wait a call to an agent has fallen silent, in milliseconds.
+const AGENT_SILENCE_TIMEOUT_MS: f64 = 500.0;
+/// Time between a failed call to an agent and the next, in milliseconds.
+const AGENT_RETRY_INTERVAL_MS: f64 = 200.0;
+/// A call on a reused connection that ends this soon has crossed its closing, in milliseconds: it was not read, and is made
+/// again.
+const CROSSED_CLOSE_MS: f64 = 500.0;
+/// Answers in a row of older versions that are passed over before the service is held to count anew.
+const MAX_STALE_ANSWERS: u32 = 1;
+/// Time between an answer and the next call of the watch, in milliseconds: a watch breaks after 200 ms.
+const WATCH_INTERVAL_MS: f64 = 40.0;
+/// Longest wait of a watch where dispatchers are many, in milliseconds.
+const MAX_WATCH_WAIT_MS: f64 = 55_000.0;
+/// Where dispatchers are many, waits grow with their number, so that all of them together begin one in so many of the calls
+/// that discovery gets through.
+const WAITS_PER_POLL: f64 = 3.0;
+/// A call that has been out for longer may have fallen silent, in milliseconds, and is given up where another is asked for.
+const MIN_CALL_AGE_MS: f64 = 1_000.0;
 
 /// The state of the watch.
 enum Watch {
     Off,
     Calling {
-        since: f64,
-        until: f64,
+        started_at_ms: f64,
+        deadline_ms: f64,
         /// It may wait for news: its silence says that the watch is broken, not that discovery is.
-        waits: bool,
+        is_long_poll: bool,
         /// It went out on a connection that had answered before.
-        kept: bool,
+        is_reused: bool,
     },
     Pausing {
-        until: f64,
+        deadline_ms: f64,
     },
 }
 
@@ -66,12 +77,12 @@
         /// How much of the list they are.
         scope: ListScope,
     },
-    /// It failed. The module says when to call again.
+    /// It failed. The router says when to call again.
     Failed,
 }
 
 impl DiscoveryUpdate {
-    /// Tells a core, and gives the servers that were started again, or have moved: their old connections are gone.
+    /// Tells a core, and gives the endpoints that were started again, or have moved: their old connections are gone.
     pub fn apply(self, core: &mut Core) -> Vec<EndpointId> {
         let DiscoveryUpdate::List { lines, scope } = self else {
             core.on_list_failed();
@@ -93,28 +104,36 @@
 pub struct Discovery {
     address: SocketAddr,
     /// The address in the file as last read. The environment may have named another one at the start.
-    told: Option<SocketAddr>,
+    configured: Option<SocketAddr>,
     conn: Option<ConnId>,
     /// The version held; none where the next call asks for the whole list.
-    seq: Option<u64>,
+    version: Option<u64>,
     /// Answers in a row that told an older version than the one held, and were not taken.
-    older: u32,
+    stale_answers: u32,
     watch: Watch,
     rng: fastrand::Rng,
 }
 
 impl Discovery {
     /// A watch that has not begun, from a version on.
-    pub fn new(address: SocketAddr, told: Option<SocketAddr>, seq: u64, seed: u64) -> Discovery {
+    pub fn new(address: SocketAddr, configured: Option<SocketAddr>, version: u64, seed: u64) -> Discovery {
         let rng = fastrand::Rng::with_seed(seed);
-        Discovery { address, told, conn: None, seq: Some(seq), older: 0, watch: Watch::Off, rng }
+        Discovery {
+            address,
+            configured,
+            conn: None,
+            version: Some(version),
+            stale_answers: 0,
+            watch: Watch::Off,
+            rng,
+        }
     }
 
-    /// Begins the watch where lists are pushed: no call of the module does, since calls to an agent cost nothing and
+    /// Begins the watch where lists are pushed: no call of the router does, since calls to an agent cost nothing and
     /// what it has counts as told whether or not a watch is open.
-    pub fn begin(&mut self, now: f64, settings: &Settings) {
+    pub fn begin(&mut self, now_ms: f64, settings: &Settings) {
         if !settings.must_subscribe {
-            self.watch = Watch::Pausing { until: now };
+            self.watch = Watch::Pausing { deadline_ms: now_ms };
         }
     }
 
@@ -127,66 +146,71 @@
     pub fn next_deadline(&self) -> f64 {
         match self.watch {
             Watch::Off => f64::INFINITY,
-            Watch::Calling { until, .. } | Watch::Pausing { until } => until,
+            Watch::Calling { deadline_ms, .. } | Watch::Pausing { deadline_ms } => deadline_ms,
         }
     }
 
     /// Calls discovery, unless a call was begun just now. One that has waited for a while is begun anew, on a new
     /// connection: the old one may have fallen silent.
-    pub fn call(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
-        if let Watch::Calling { since, .. } = self.watch {
+    pub fn call(&mut self, net: &mut Sockets, now_ms: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
+        if let Watch::Calling { started_at_ms, .. } = self.watch {
             // A call that is given up takes discovery's time all the same: many would only make the line longer.
-            if now < since + FRESH || settings.is_large_fleet() {
+            if now_ms < started_at_ms + MIN_CALL_AGE_MS || settings.is_large_fleet() {
                 return None;
             }
-            self.hang_up(net);
+            self.close(net);
         }
-        let wait = self.seq.map_or(0.0, |_| self.longest(settings));
-        self.ask(net, now, wait, settings)
+        let wait_ms = self.version.map_or(0.0, |_| self.watch_wait_ms(settings));
+        self.start_call(net, now_ms, wait_ms, settings)
     }
 
     /// How long a call may wait for news.
-    fn longest(&mut self, settings: &Settings) -> f64 {
+    fn watch_wait_ms(&mut self, settings: &Settings) -> f64 {
         if !settings.must_subscribe {
-            return AGENT_WAIT;
+            return AGENT_WAIT_MS;
         }
         if !settings.is_large_fleet() {
-            return WAIT;
+            return WATCH_WAIT_MS;
         }
-        let all = f64::from(settings.dispatchers) * millis(Settings::POLL_COST) * WAITS;
+        let all = f64::from(settings.dispatchers) * millis(Settings::POLL_COST) * WAITS_PER_POLL;
         // Guards against many dispatchers that come back at one time as nothing has changed for long.
-        all.min(LONG_WAIT) * (0.5 + 0.5 * self.rng.f64())
+        all.min(MAX_WATCH_WAIT_MS) * (0.5 + 0.5 * self.rng.f64())
     }
 
     /// Asks for what is newer than the version held, and lets the call wait so long for it.
-    fn ask(
+    fn start_call(
         &mut self,
         net: &mut Sockets,
-        now: f64,
-        wait: f64,
+        now_ms: f64,
+        wait_ms: f64,
         settings: &Settings,
     ) -> Option<DiscoveryUpdate> {
-        let waits = wait > 0.0;
-        let takes = match (settings.must_subscribe, waits) {
-            (false, _) => AGENT_SILENT,
-            (true, true) => SILENT,
-            (true, false) if settings.is_large_fleet() => LONG_GRACE,
-            (true, false) => GRACE,
+        let is_long_poll = wait_ms > 0.0;
+        let timeout_ms = match (settings.must_subscribe, is_long_poll) {
+            (false, _) => AGENT_SILENCE_TIMEOUT_MS,
+            (true, true) => SILENCE_TIMEOUT_MS,
+            (true, false) if settings.is_large_fleet() => LARGE_FLEET_CALL_TIMEOUT_MS,
+            (true, false) => CALL_TIMEOUT_MS,
         };
         let fresh = |id: &ConnId| net.conn(*id).is_some_and(|conn| conn.is_fresh());
-        let kept = self.conn.filter(fresh);
-        self.watch = Watch::Calling { since: now, until: now + wait + takes, waits, kept: kept.is_some() };
-        let conn = match kept {
+        let is_reused = self.conn.filter(fresh);
+        self.watch = Watch::Calling {
+            started_at_ms: now_ms,
+            deadline_ms: now_ms + wait_ms + timeout_ms,
+            is_long_poll,
+            is_reused: is_reused.is_some(),
+        };
+        let conn = match is_reused {
             Some(conn) => Ok(conn),
             None => {
-                self.hang_up(net);
+                self.close(net);
                 net.open(self.address)
             }
         };
-        let Ok(conn) = conn else { return self.failed(net, now, settings) };
+        let Ok(conn) = conn else { return self.on_failed(net, now_ms, settings) };
         self.conn = Some(conn);
-        let target = match self.seq {
-            Some(seq) => format!("/discovery/hosts?since={seq}&timeout_ms={}", wait as u64),
+        let target = match self.version {
+            Some(version) => format!("/discovery/hosts?since={version}&timeout_ms={}", wait_ms as u64),
             None => "/discovery/hosts".to_string(),
         };
         let host = [("Host", self.address.to_string())];
@@ -195,56 +219,56 @@
     }
 
     /// Its connection can be read, or broke.
-    pub fn ready(&mut self, net: &mut Sockets, now: f64, site: &Site) -> Option<DiscoveryUpdate> {
+    pub fn on_ready(&mut self, net: &mut Sockets, now_ms: f64, site: &Site) -> Option<DiscoveryUpdate> {
         let conn = self.conn.and_then(|id| net.conn(id))?;
         conn.pump();
         let ended = conn.eof || conn.broken;
         // Guards against half an answer that is taken for a whole one: what a reset cuts off has not ended.
         let message = http::response(&mut conn.rx, conn.eof && !conn.broken);
-        let Watch::Calling { since, waits, kept, .. } = self.watch else {
+        let Watch::Calling { started_at_ms, is_long_poll, is_reused, .. } = self.watch else {
             // Nothing was asked for.
             if ended || !matches!(message, Ok(None)) {
-                self.hang_up(net);
+                self.close(net);
             }
             return None;
         };
         match message {
             Ok(None) if !ended => None,
             // Guards against a failure that is none: the call crossed the closing of a connection that was kept.
-            Ok(None) if kept && now < since + CROSSED => {
-                self.hang_up(net);
-                let wait = if waits { self.longest(&site.settings) } else { 0.0 };
-                self.ask(net, now, wait, &site.settings)
+            Ok(None) if is_reused && now_ms < started_at_ms + CROSSED_CLOSE_MS => {
+                self.close(net);
+                let wait_ms = if is_long_poll { self.watch_wait_ms(&site.settings) } else { 0.0 };
+                self.start_call(net, now_ms, wait_ms, &site.settings)
             }
             Ok(Some(message)) if message.status == 200 => {
                 if ended || message.close {
-                    self.hang_up(net);
+                    self.close(net);
                 }
                 match parse_list(&message.body, site) {
-                    Ok(list) if self.is_stale(list.version) => self.failed(net, now, &site.settings),
+                    Ok(list) if self.is_stale(list.version) => self.on_failed(net, now_ms, &site.settings),
                     Ok(list) => {
-                        self.seq = Some(list.version);
-                        self.watch = Watch::Pausing { until: now + PAUSE };
+                        self.version = Some(list.version);
+                        self.watch = Watch::Pausing { deadline_ms: now_ms + WATCH_INTERVAL_MS };
                         Some(DiscoveryUpdate::List { lines: list.lines, scope: list.scope })
                     }
                     Err(e) => {
                         crate::say(format_args!("discovery's answer does not read: {e}"));
-                        self.failed(net, now, &site.settings)
+                        self.on_failed(net, now_ms, &site.settings)
                     }
                 }
             }
-            _ => self.failed(net, now, &site.settings),
+            _ => self.on_failed(net, now_ms, &site.settings),
         }
     }
 
     /// Whether a version is older than the one held. Guards against a drain that is forgotten again as a late copy of
     /// the service answers. One that tells older versions again and again has begun to count anew: it is asked for the
     /// whole list.
-    fn is_stale(&mut self, seq: u64) -> bool {
-        let stale = self.seq.is_some_and(|held| seq < held);
-        self.older = if stale { self.older + 1 } else { 0 };
-        if self.older > STALE {
-            self.seq = None;
+    fn is_stale(&mut self, version: u64) -> bool {
+        let stale = self.version.is_some_and(|held| version < held);
+        self.stale_answers = if stale { self.stale_answers + 1 } else { 0 };
+        if self.stale_answers > MAX_STALE_ANSWERS {
+            self.version = None;
         }
         stale
     }
@@ -255,29 +279,29 @@
     pub fn follow(
         &mut self,
         net: &mut Sockets,
-        now: f64,
-        told: Option<SocketAddr>,
+        now_ms: f64,
+        configured: Option<SocketAddr>,
         settings: &Settings,
     ) -> Option<DiscoveryUpdate> {
-        let address = told.filter(|_| told != self.told)?;
-        self.hang_up(net);
-        let watch = Watch::Pausing { until: now };
-        (self.address, self.told, self.seq, self.watch) = (address, told, None, watch);
-        self.older = 0;
-        self.tick(net, now, settings)
+        let address = configured.filter(|_| configured != self.configured)?;
+        self.close(net);
+        let watch = Watch::Pausing { deadline_ms: now_ms };
+        (self.address, self.configured, self.version, self.watch) = (address, configured, None, watch);
+        self.stale_answers = 0;
+        self.tick(net, now_ms, settings)
     }
 
-    fn hang_up(&mut self, net: &mut Sockets) {
+    fn close(&mut self, net: &mut Sockets) {
         if let Some(conn) = self.conn.take() {
             net.close(conn);
         }
     }
 
-    /// The module says when to call again, but for an agent, which is asked again at once.
-    fn failed(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
-        self.hang_up(net);
+    /// The router says when to call again, but for an agent, which is asked again at once.
+    fn on_failed(&mut self, net: &mut Sockets, now_ms: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
+        self.close(net);
         if !settings.must_subscribe {
-            self.watch = Watch::Pausing { until: now + AGENT_PAUSE };
+            self.watch = Watch::Pausing { deadline_ms: now_ms + AGENT_RETRY_INTERVAL_MS };
             return None;
         }
         self.watch = Watch::Off;
@@ -285,16 +309,18 @@
     }
 
     /// Does what is due by now.
-    pub fn tick(&mut self, net: &mut Sockets, now: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
+    pub fn tick(&mut self, net: &mut Sockets, now_ms: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
         match self.watch {
-            // Guards against a watch that has fallen silent and is missed only when the module calls again: it is
+            // Guards against a watch that has fallen silent and is missed only when the router calls again: it is
             // asked anew at once, on a new connection. Watches of many end at unlike times, so that this is no rush.
-            Watch::Calling { until, waits: true, .. } if until <= now => {
-                self.hang_up(net);
-                self.ask(net, now, 0.0, settings)
+            Watch::Calling { deadline_ms, is_long_poll: true, .. } if deadline_ms <= now_ms => {
+                self.close(net);
+                self.start_call(net, now_ms, 0.0, settings)
+            }
+            Watch::Calling { deadline_ms, .. } if deadline_ms <= now_ms => {
+                self.on_failed(net, now_ms, settings)
             }
-            Watch::Calling { until, .. } if until <= now => self.failed(net, now, settings),
-            Watch::Pausing { until } if until <= now => self.call(net, now, settings),
+            Watch::Pausing { deadline_ms } if deadline_ms <= now_ms => self.call(net, now_ms, settings),
             _ => None,
         }
     }
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -155,7 +155,7 @@
         } else if self.servers.contains_key(&conn) {
             self.server_ready(net, conn);
         } else if let Some(discovery) = &mut self.discovery {
-            let heard = discovery.ready(net, self.core.clock().now(), self.core.site());
+            let heard = discovery.on_ready(net, self.core.clock().now(), self.core.site());
             self.heard(net, heard);
         }
         self.carry_out(net);
