--- a/rig/src/scale/dispatcher.rs
+++ b/rig/src/scale/dispatcher.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use micabeam::consensus::{Write, file};
+use micabeam::consensus::{Write, vote_file};
 use micabeam::control_plane::{ControlPlane, ControlPlaneConfig};
 use micabeam::fleet::{self, DocumentHash, MemberConfig, MemberId};
 use micabeam::rollout;
@@ -93,7 +93,7 @@
             failover: zones::FailoverSettings::default(),
             rollout,
         };
-        let kept = file::read(&self.disk, 1).ok().and_then(|read| read.0);
+        let kept = vote_file::read(&self.disk, 1).ok().and_then(|read| read.persisted);
         let mut shared = ControlPlane::new(setup, kept, now).expect("the plan was checked");
         for (_, document) in &self.documents {
             shared.with_participant(now, |_, node| node.store_document(document));
--- a/src/consensus/tests.rs
+++ b/src/consensus/tests.rs
@@ -5,10 +5,14 @@
 use proptest::prelude::*;
 
 use omnipaxos::ballot_leader_election::Ballot;
-use omnipaxos::messages::ballot_leader_election::{HeartbeatReply, HeartbeatRequest};
+use omnipaxos::messages::ballot_leader_election::{HeartbeatMsg, HeartbeatReply, HeartbeatRequest};
 
-use super::file::{self, FileError};
-use super::*;
+use super::heartbeat::HeartbeatRounds;
+use super::vote_file::{self, FileError, REWRITE_FILE_BYTES};
+use super::{
+    Consensus, ConsensusConfig, DecisionRef, Decisions, LeaderTerm, OutgoingMessage, Proposal, VoterId,
+    Write, is_heartbeat,
+};
 
 const TOPIC: u8 = 1;
 /// Milliseconds of a tick.
@@ -58,8 +62,13 @@
 
     fn start(&mut self, own: VoterId) {
         self.starts += 1;
-        let setup = ConsensusConfig { own, voters: self.voters, generation: 1, nonce: self.starts };
-        let kept = self.disks.get(&own).map(|bytes| file::read(bytes, 1).unwrap().0).unwrap_or_default();
+        let setup =
+            ConsensusConfig { voter_id: own, voter_count: self.voters, generation: 1, nonce: self.starts };
+        let kept = self
+            .disks
+            .get(&own)
+            .map(|bytes| vote_file::read(bytes, 1).unwrap().persisted)
+            .unwrap_or_default();
         self.replicas.insert(own, Consensus::new(setup, kept, self.tick as f64 * TICK_MS).unwrap());
         // A process that starts knows what its disk says at least.
         self.known.remove(&own);
@@ -95,15 +104,15 @@
                         let at = self.draws.usize(..bytes.len());
                         bytes[at] ^= 1 << self.draws.u8(..8);
                     }
-                    consensus.receive(clock, from, &bytes);
+                    let _ = consensus.receive(clock, from, &bytes);
                     continue;
                 }
-                assert!(consensus.receive(clock, from, &bytes), "voters understand each other");
+                assert_eq!(consensus.receive(clock, from, &bytes), Ok(()), "voters understand each other");
             }
         }
         ids.iter().for_each(|id| self.flush(*id));
         for (id, consensus) in self.replicas.iter().filter(|_| !self.changed) {
-            let (epoch, body) = consensus.decided().newest(TOPIC);
+            let DecisionRef { epoch, body, .. } = consensus.decided().newest(TOPIC);
             let known = self.known.entry(*id).or_default();
             assert!(epoch >= *known, "voter {id} went back from epoch {known} to {epoch}");
             *known = epoch;
@@ -122,7 +131,7 @@
             Write::Append(bytes) => self.disks.entry(id).or_default().extend(bytes),
             Write::Replace(bytes) => drop(self.disks.insert(id, bytes)),
         }
-        for (to, bytes) in batch.send {
+        for OutgoingMessage { to, bytes } in batch.messages {
             if self.cut.contains(&(id, to)) || self.draws.f64() < self.loss {
                 continue;
             }
@@ -137,8 +146,8 @@
     /// Has whoever leads propose.
     fn propose(&mut self) {
         for consensus in self.replicas.values_mut() {
-            let based = consensus.decided().newest(TOPIC).0;
-            let body = vec![self.draws.u8(..), consensus.setup.own as u8];
+            let based = consensus.decided().newest(TOPIC).epoch;
+            let body = vec![self.draws.u8(..), consensus.config.voter_id as u8];
             consensus.propose(TOPIC, based, body);
         }
     }
@@ -157,7 +166,7 @@
     }
 
     fn of(&self, voter: VoterId) -> u64 {
-        self.replicas[&voter].decided().newest(TOPIC).0
+        self.replicas[&voter].decided().newest(TOPIC).epoch
     }
 
     /// Epochs decided in so many ticks.
@@ -304,13 +313,14 @@
 #[test]
 fn a_decision_that_builds_on_an_older_epoch_is_void() {
     let mut decided = Decisions::default();
-    let proposal = |based, body: u8| Proposal { topic: TOPIC, based, body: vec![body] };
+    let proposal = |based_on_epoch, body: u8| Proposal { topic: TOPIC, based_on_epoch, body: vec![body] };
+    let newest = |topic, epoch, body| DecisionRef { topic, epoch, body };
     assert!(decided.apply(&proposal(0, 1)));
     assert!(!decided.apply(&proposal(0, 2)));
-    assert_eq!(decided.newest(TOPIC), (1, [1].as_slice()));
+    assert_eq!(decided.newest(TOPIC), newest(TOPIC, 1, &[1]));
     assert!(decided.apply(&proposal(7, 3)), "a log that was lost goes on where epochs were");
-    assert_eq!(decided.newest(TOPIC), (8, [3].as_slice()));
-    assert_eq!(decided.newest(2), (0, [].as_slice()));
+    assert_eq!(decided.newest(TOPIC), newest(TOPIC, 8, &[3]));
+    assert_eq!(decided.newest(2), newest(2, 0, &[]));
 }
 
 #[test]
@@ -319,11 +329,11 @@
     net.run(4000);
     assert!(net.epoch() > 200);
     let most = net.disks.values().map(Vec::len).max().unwrap();
-    assert!(most < REWRITE + 8192, "{most} bytes");
+    assert!(most < REWRITE_FILE_BYTES + 8192, "{most} bytes");
     let voter = net.replicas.keys().copied().next().unwrap();
-    let (kept, length) = file::read(&net.disks[&voter], 1).unwrap();
-    assert_eq!(length, net.disks[&voter].len());
-    assert!(kept.unwrap().length() > 200);
+    let content = vote_file::read(&net.disks[&voter], 1).unwrap();
+    assert_eq!(content.valid_bytes, net.disks[&voter].len());
+    assert!(content.persisted.unwrap().log_length() > 200);
 }
 
 #[test]
@@ -331,14 +341,14 @@
     let mut net = Net::new(3, 12);
     net.run(60);
     let good = net.disks[&1].clone();
-    assert_eq!(file::read(&good, 2), Err(FileError::Generation(1)));
-    assert_eq!(file::read(b"what is this? a text", 1), Err(FileError::Foreign));
+    assert_eq!(vote_file::read(&good, 2), Err(FileError::Generation(1)));
+    assert_eq!(vote_file::read(b"what is this? a text", 1), Err(FileError::Foreign));
     let mut newer = good.clone();
     newer[8] = 9;
     let sum = crc32c::crc32c(&newer[..14]).to_le_bytes();
     newer[14..18].copy_from_slice(&sum);
-    assert_eq!(file::read(&newer, 1), Err(FileError::Version(9)));
-    assert_eq!(file::read(&vec![0; file::MAX_FILE_BYTES + 1], 1), Err(FileError::Long));
+    assert_eq!(vote_file::read(&newer, 1), Err(FileError::Version(9)));
+    assert_eq!(vote_file::read(&vec![0; vote_file::MAX_FILE_BYTES + 1], 1), Err(FileError::Long));
 }
 
 /// Plays faults by seed.
@@ -403,16 +413,16 @@
         net.run(60);
         let good = net.disks[&1].clone();
         let at = (at * good.len() as f64) as usize;
-        let (_, length) = file::read(&good[..at], 1).unwrap();
+        let length = vote_file::read(&good[..at], 1).unwrap().valid_bytes;
         prop_assert!(length <= at);
         let mut zeros = good[..length.max(18)].to_vec();
         zeros.extend([0; 40]);
-        prop_assert_eq!(file::read(&zeros, 1).map(|r| r.1), Ok(length.max(18)));
+        prop_assert_eq!(vote_file::read(&zeros, 1).map(|read| read.valid_bytes), Ok(length.max(18)));
         let mut damaged = good.clone();
         damaged[at] ^= 1 << bit;
-        if let Ok((_, length)) = file::read(&damaged, 1) {
-            let (_, before) = file::read(&good[..good.len() - 1], 1).unwrap();
-            prop_assert_eq!(length, before, "only the last batch may be taken for torn");
+        if let Ok(content) = vote_file::read(&damaged, 1) {
+            let before = vote_file::read(&good[..good.len() - 1], 1).unwrap().valid_bytes;
+            prop_assert_eq!(content.valid_bytes, before, "only the last batch may be taken for torn");
         }
     }
 
@@ -454,7 +464,7 @@
     let replies: Vec<_> = net.under_way.extract_if(.., |m| m.2 == leader).collect();
     let consensus = net.replicas.get_mut(&leader).unwrap();
     for (_, from, _, bytes) in replies {
-        consensus.receive(late, from, &bytes);
+        let _ = consensus.receive(late, from, &bytes);
     }
     assert!(confirmed(&net) <= before + 8.0 * TICK_MS, "{} after {before}", confirmed(&net));
 }
@@ -462,55 +472,59 @@
 /// Guards against an old leader that counts a voter which has promised to follow the next one.
 #[test]
 fn a_voter_names_no_leader_before_the_one_that_it_has_promised_to_follow() {
-    let mut rounds = Rounds::new(2, 3, 0.0);
+    let mut rounds = HeartbeatRounds::new(2, 3, 0.0);
     let (old, new) = (ballot(1, 1), ballot(2, 3));
     let mut named = |now: f64, leader: Ballot, promise: Ballot| {
         let mut heartbeat = HeartbeatMsg::Reply(reply(1, ballot(1, 2), leader));
-        rounds.sending(now, &mut heartbeat, promise);
+        rounds.on_send(now, &mut heartbeat, promise);
         let HeartbeatMsg::Reply(reply) = heartbeat else { unreachable!("it was a reply") };
         reply.leader
     };
     assert_eq!(named(100.0, old, old), old);
     assert_eq!(named(300.0, old, new), new, "the library still names the old one");
-    assert_eq!(rounds.followed_other(1000.0, new.into(), old), None, "not before its promise");
-    assert_eq!(rounds.followed_other(1000.0, new.into(), new), Some(900), "it named the old one at 100");
+    assert_eq!(rounds.ms_since_followed_other(1000.0, new.into(), old), None, "not before its promise");
+    assert_eq!(
+        rounds.ms_since_followed_other(1000.0, new.into(), new),
+        Some(900),
+        "it named the old one at 100"
+    );
 }
 
 /// A new leader knows the last round of the old one from any majority, and not from fewer.
 #[test]
 fn a_new_leader_learns_when_the_old_one_was_last_followed() {
-    let mut rounds = Rounds::new(3, 5, 0.0);
+    let mut rounds = HeartbeatRounds::new(3, 5, 0.0);
     let new = ballot(2, 3);
-    rounds.lead(new);
-    assert_eq!(rounds.succeeded(new), None);
-    assert_eq!(rounds.to_ask().1, [1, 2, 4, 5]);
-    rounds.answered(1000.0, 1, new.into(), 700);
-    rounds.answered(1000.0, 1, new.into(), 700);
-    assert_eq!(rounds.succeeded(new), None, "two of five");
-    rounds.answered(1010.0, 2, ballot(1, 3).into(), 0);
-    assert_eq!(rounds.succeeded(new), None, "an answer to an earlier ballot");
-    rounds.answered(1010.0, 4, new.into(), 600);
-    assert_eq!(rounds.succeeded(new), Some(410.0));
-    assert!(rounds.to_ask().1.is_empty());
-    assert_eq!(rounds.succeeded(ballot(3, 5)), None, "another leads now");
+    rounds.begin_leading(new);
+    assert_eq!(rounds.predecessors_last_round(new), None);
+    assert_eq!(rounds.succession_query().voters, [1, 2, 4, 5]);
+    rounds.on_followed_reply(1000.0, 1, new.into(), 700);
+    rounds.on_followed_reply(1000.0, 1, new.into(), 700);
+    assert_eq!(rounds.predecessors_last_round(new), None, "two of five");
+    rounds.on_followed_reply(1010.0, 2, ballot(1, 3).into(), 0);
+    assert_eq!(rounds.predecessors_last_round(new), None, "an answer to an earlier ballot");
+    rounds.on_followed_reply(1010.0, 4, new.into(), 600);
+    assert_eq!(rounds.predecessors_last_round(new), Some(410.0));
+    assert!(rounds.succession_query().voters.is_empty());
+    assert_eq!(rounds.predecessors_last_round(ballot(3, 5)), None, "another leads now");
 }
 
 /// A reply that comes twice is one voter.
 #[test]
 fn a_voter_counts_once_in_a_round() {
-    let mut rounds = Rounds::new(1, 5, 0.0);
+    let mut rounds = HeartbeatRounds::new(1, 5, 0.0);
     let own = ballot(1, 1);
-    rounds.sending(100.0, &mut HeartbeatMsg::Request(HeartbeatRequest { round: 7 }), own);
+    rounds.on_send(100.0, &mut HeartbeatMsg::Request(HeartbeatRequest { round: 7 }), own);
     for _ in 0..5 {
-        rounds.replied(2, &reply(7, ballot(1, 2), own), own);
+        rounds.on_reply(2, &reply(7, ballot(1, 2), own), own);
     }
-    assert!(!rounds.count(), "two of five");
-    rounds.replied(3, &reply(6, ballot(1, 3), own), own);
-    rounds.replied(4, &reply(7, ballot(1, 4), ballot(2, 4)), own);
-    assert!(!rounds.count(), "another round, and another leader");
-    rounds.replied(3, &reply(7, ballot(1, 3), own), own);
-    assert!(rounds.count() && !rounds.count(), "once a round");
-    assert_eq!(rounds.began(), 100.0);
+    assert!(!rounds.confirm_round(), "two of five");
+    rounds.on_reply(3, &reply(6, ballot(1, 3), own), own);
+    rounds.on_reply(4, &reply(7, ballot(1, 4), ballot(2, 4)), own);
+    assert!(!rounds.confirm_round(), "another round, and another leader");
+    rounds.on_reply(3, &reply(7, ballot(1, 3), own), own);
+    assert!(rounds.confirm_round() && !rounds.confirm_round(), "once a round");
+    assert_eq!(rounds.round_started_ms(), 100.0);
 }
 
 #[test]
--- /dev/null
+++ b/src/consensus/voter.rs
@@ -0,0 +1,406 @@
+//! One voter: its state machine, which drives the library and gives out what is to be written and sent. The states and
+//! messages are listed at the head of `super`.
+
+use std::mem;
+
+use omnipaxos::messages::Message as PaxosMessage;
+use omnipaxos::messages::ballot_leader_election::HeartbeatMsg;
+use omnipaxos::util::LogEntry;
+use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
+
+use super::heartbeat::{HeartbeatRounds, LeaderBallot};
+use super::message::Message;
+use super::message_checks::{expand_partial_snapshot, is_within_bounds, preserves_decided_entries};
+use super::recovery::Recovery;
+use super::storage::{Decisions, MemoryStorage, Persisted, Proposal};
+use super::types::{
+    Batch, ConsensusConfig, ConsensusError, LeaderTerm, MAX_DECISION_BYTES, OutgoingMessage, ReceiveError,
+    VoterId, Write,
+};
+use super::vote_file::VoteFileWriter;
+
+/// Ticks of a heartbeat round, 200 ms: a leader that is silent for two or three rounds is replaced.
+const HEARTBEAT_ROUND_TICKS: u64 = 4;
+/// Ticks after which what was not answered is sent again, 400 ms: two heartbeat rounds, so that a reply has had its time.
+const RESEND_INTERVAL_TICKS: u64 = 8;
+/// Ticks after which a new leader asks voters again whom they followed before, 100 ms. Shorter than the resend interval,
+/// since a rollout waits for the replies.
+const FOLLOWED_REQUEST_INTERVAL_TICKS: u64 = 2;
+/// Decided entries after which the log is compacted into a snapshot: with `MAX_DECISION_BYTES` each they fit one frame.
+const SNAPSHOT_AFTER_ENTRIES: usize = 32;
+/// Fillers are proposed while fewer entries than this are undecided, so that a leader without a majority does not fill
+/// its log with them.
+const MAX_UNDECIDED_FOR_FILLER: usize = SNAPSHOT_AFTER_ENTRIES;
+/// Messages that the library makes room for at first.
+const MESSAGE_BUFFER_SIZE: usize = 64;
+
+/// The states; `Consensus::start_voting` and `Consensus::fail` make all transitions.
+enum Phase {
+    /// Its file was lost or never written: it collects the states of the others.
+    Recovering(Recovery),
+    Voting(Box<OmniPaxos<Proposal, MemoryStorage>>),
+    /// Its disk failed, or the library refused its settings: it votes no more.
+    Failed,
+}
+
+/// One voter.
+pub struct Consensus {
+    pub(super) config: ConsensusConfig,
+    phase: Phase,
+    storage: MemoryStorage,
+    file: VoteFileWriter,
+    outgoing: Vec<OutgoingMessage>,
+    decided: Decisions,
+    /// How many entries of the log `decided` includes.
+    applied_entries: usize,
+    ticks: u64,
+    /// Ticks for which a proposal has waited for a majority.
+    undecided_ticks: u64,
+    term: LeaderTerm,
+    /// When the last round began that a majority followed this voter in.
+    confirmed_round_ms: f64,
+    heartbeat: HeartbeatRounds,
+    /// The caller's clock at the last tick or message.
+    now_ms: f64,
+    superseded: u64,
+}
+
+impl Consensus {
+    /// A voter with the state that its file has; without one it recovers from the others first.
+    ///
+    /// # Errors
+    /// `Voters` where the number of voters is not supported, `Settings` where the library refuses the settings.
+    pub fn new(
+        config: ConsensusConfig,
+        persisted: Option<Persisted>,
+        now_ms: f64,
+    ) -> Result<Consensus, ConsensusError> {
+        if ![3, 5, 7].contains(&config.voter_count) {
+            return Err(ConsensusError::Voters(config.voter_count));
+        }
+        let mut consensus = Consensus {
+            heartbeat: HeartbeatRounds::new(config.voter_id, config.voter_count, now_ms),
+            file: VoteFileWriter::new(config.generation),
+            config,
+            phase: Phase::Recovering(Recovery::default()),
+            storage: MemoryStorage::default(),
+            outgoing: Vec::new(),
+            decided: Decisions::default(),
+            applied_entries: 0,
+            ticks: 0,
+            undecided_ticks: 0,
+            term: LeaderTerm::default(),
+            confirmed_round_ms: f64::NEG_INFINITY,
+            now_ms,
+            superseded: 0,
+        };
+        if let Some(persisted) = persisted {
+            consensus.start_voting(persisted)?;
+        }
+        Ok(consensus)
+    }
+
+    /// Recovering to Voting. The whole state is written first, whatever the file was.
+    fn start_voting(&mut self, persisted: Persisted) -> Result<(), ConsensusError> {
+        let config = OmniPaxosConfig {
+            cluster_config: ClusterConfig {
+                configuration_id: self.config.generation.max(1),
+                nodes: (1..=self.config.voter_count).collect(),
+                flexible_quorum: None,
+            },
+            server_config: ServerConfig {
+                pid: self.config.voter_id,
+                election_tick_timeout: HEARTBEAT_ROUND_TICKS,
+                resend_message_tick_timeout: RESEND_INTERVAL_TICKS,
+                buffer_size: MESSAGE_BUFFER_SIZE,
+                ..ServerConfig::default()
+            },
+        };
+        self.storage = MemoryStorage::new(persisted);
+        let paxos =
+            config.build(self.storage.clone()).map_err(|e| ConsensusError::Settings(e.to_string()))?;
+        self.phase = Phase::Voting(Box::new(paxos));
+        self.apply_decided();
+        Ok(())
+    }
+
+    /// Any state to Failed: after a failed write this voter must not promise what it cannot remember.
+    pub fn fail(&mut self) {
+        self.phase = Phase::Failed;
+        self.outgoing.clear();
+    }
+
+    /// Whether it votes.
+    pub fn is_voting(&self) -> bool {
+        matches!(self.phase, Phase::Voting(_))
+    }
+
+    /// The voter that leads, as far as is known here.
+    pub fn leader(&self) -> Option<VoterId> {
+        match &self.phase {
+            Phase::Voting(paxos) => paxos.get_current_leader().map(|(leader, _)| leader),
+            _ => None,
+        }
+    }
+
+    /// Whether this voter leads and can propose.
+    pub fn is_leader(&self) -> bool {
+        match &self.phase {
+            Phase::Voting(paxos) => is_led_by(paxos, self.config.voter_id),
+            _ => false,
+        }
+    }
+
+    /// What is decided.
+    pub fn decided(&self) -> &Decisions {
+        &self.decided
+    }
+
+    /// The newest term in which a majority followed this voter as the leader.
+    pub fn term(&self) -> LeaderTerm {
+        self.term
+    }
+
+    /// The voters that followed this one in the last round; none where it does not lead.
+    pub fn followers(&self) -> Vec<VoterId> {
+        if self.is_leader() { self.heartbeat.followers() } else { Vec::new() }
+    }
+
+    /// When the last round began that a majority followed this voter in, in milliseconds of the caller's clock; none where
+    /// it does not lead, or was not followed under this ballot yet.
+    pub fn last_confirmed_round(&self) -> Option<f64> {
+        let Phase::Voting(paxos) = &self.phase else { return None };
+        let promise = paxos.get_promise();
+        let is_own_term = self.term.ballot == promise.n && self.term.leader == promise.pid;
+        (is_own_term && self.is_leader()).then_some(self.confirmed_round_ms)
+    }
+
+    /// The latest time, in milliseconds of the caller's clock, at which a leader before this one may have begun a round
+    /// that a majority followed; none where this voter does not lead, or does not know yet.
+    pub fn predecessors_last_round(&self) -> Option<f64> {
+        let Phase::Voting(paxos) = &self.phase else { return None };
+        self.heartbeat.predecessors_last_round(paxos.get_promise()).filter(|_| self.is_leader())
+    }
+
+    /// Whether all that is in its log is decided.
+    pub fn log_is_committed(&self) -> bool {
+        match &self.phase {
+            Phase::Voting(paxos) => paxos.get_accepted_idx() <= paxos.get_decided_idx(),
+            _ => false,
+        }
+    }
+
+    /// How many proposals had no effect, since another decision was made before them.
+    pub fn superseded(&self) -> u64 {
+        self.superseded
+    }
+
+    /// Proposes a decision that builds on `based_on_epoch`, the newest epoch known. False where this voter does not lead,
+    /// where it has not decided what it proposed before, or where the body is longer than `MAX_DECISION_BYTES`.
+    pub fn propose(&mut self, topic: u8, based_on_epoch: u64, body: Vec<u8>) -> bool {
+        if !self.is_leader() || body.len() > MAX_DECISION_BYTES {
+            return false;
+        }
+        let Phase::Voting(paxos) = &mut self.phase else { return false };
+        let is_committed = paxos.get_accepted_idx() <= paxos.get_decided_idx();
+        let is_accepted = is_committed && paxos.append(Proposal { topic, based_on_epoch, body }).is_ok();
+        self.process_library_output();
+        is_accepted
+    }
+
+    /// A tick of the clock: to be called twenty times a second.
+    pub fn tick(&mut self, now_ms: f64) {
+        self.now_ms = now_ms;
+        self.ticks += 1;
+        match &self.phase {
+            Phase::Voting(_) => self.tick_voting(),
+            Phase::Recovering(recovery) if self.ticks % RESEND_INTERVAL_TICKS == 1 => {
+                for voter in recovery.missing(self.config.voter_id, self.config.voter_count) {
+                    self.send(voter, &Message::StateRequest { nonce: self.config.nonce });
+                }
+            }
+            Phase::Recovering(_) | Phase::Failed => {}
+        }
+        self.process_library_output();
+    }
+
+    fn tick_voting(&mut self) {
+        let Phase::Voting(paxos) = &mut self.phase else { return };
+        paxos.tick();
+        let undecided = paxos.get_accepted_idx().saturating_sub(paxos.get_decided_idx());
+        self.undecided_ticks = if undecided == 0 { 0 } else { self.undecided_ticks + 1 };
+        // A voter notices a lost message only by the next one. Proposals are made one at a time, so that the leader has to
+        // add a filler as the next one.
+        if self.undecided_ticks > 0
+            && self.undecided_ticks.is_multiple_of(RESEND_INTERVAL_TICKS)
+            && undecided < MAX_UNDECIDED_FOR_FILLER
+            && is_led_by(paxos, self.config.voter_id)
+        {
+            let _ = paxos.append(Proposal::filler());
+        }
+        if self.ticks.is_multiple_of(FOLLOWED_REQUEST_INTERVAL_TICKS) {
+            self.send_followed_requests();
+        }
+    }
+
+    /// As a new leader, asks voters when they last followed another one.
+    fn send_followed_requests(&mut self) {
+        if !self.is_leader() {
+            return;
+        }
+        let query = self.heartbeat.succession_query();
+        for voter in query.voters {
+            self.send(voter, &Message::FollowedRequest { ballot: query.ballot });
+        }
+    }
+
+    /// A message of another voter.
+    ///
+    /// # Errors
+    /// Where the message is not one that this voter can take; it has no effect then.
+    pub fn receive(&mut self, now_ms: f64, from: VoterId, bytes: &[u8]) -> Result<(), ReceiveError> {
+        self.now_ms = now_ms;
+        if from == self.config.voter_id || !(1..=self.config.voter_count).contains(&from) {
+            return Err(ReceiveError::UnknownSender(from));
+        }
+        match Message::decode(bytes)? {
+            Message::Paxos(message) => self.receive_paxos(from, message)?,
+            Message::FollowedRequest { ballot } => self.reply_to_followed_request(from, ballot),
+            Message::FollowedReply { ballot, ago_ms } => {
+                self.heartbeat.on_followed_reply(now_ms, from, ballot, ago_ms);
+            }
+            Message::StateRequest { nonce } => self.reply_to_state_request(from, nonce),
+            // A reply to an earlier process of this voter.
+            Message::StateReply { nonce, .. } if nonce != self.config.nonce => return Ok(()),
+            Message::StateReply { state, .. } => self.receive_state(from, *state),
+        }
+        self.process_library_output();
+        Ok(())
+    }
+
+    fn receive_paxos(
+        &mut self,
+        from: VoterId,
+        mut message: Box<PaxosMessage<Proposal>>,
+    ) -> Result<(), ReceiveError> {
+        if message.get_sender() != from || message.get_receiver() != self.config.voter_id {
+            return Err(ReceiveError::Misaddressed);
+        }
+        if !is_within_bounds(&message) {
+            return Err(ReceiveError::OutOfBounds);
+        }
+        expand_partial_snapshot(&mut message);
+        let Phase::Voting(paxos) = &mut self.phase else { return Ok(()) };
+        if !preserves_decided_entries(&mut message, paxos.get_decided_idx()) {
+            return Ok(());
+        }
+        if let PaxosMessage::BLE(heartbeat) = &*message
+            && let HeartbeatMsg::Reply(reply) = &heartbeat.msg
+        {
+            self.heartbeat.on_reply(from, reply, paxos.get_promise());
+        }
+        paxos.handle_incoming(*message);
+        Ok(())
+    }
+
+    fn reply_to_followed_request(&mut self, from: VoterId, ballot: LeaderBallot) {
+        let Phase::Voting(paxos) = &self.phase else { return };
+        let ago_ms = self.heartbeat.ms_since_followed_other(self.now_ms, ballot, paxos.get_promise());
+        if let Some(ago_ms) = ago_ms {
+            self.send(from, &Message::FollowedReply { ballot, ago_ms });
+        }
+    }
+
+    fn reply_to_state_request(&mut self, from: VoterId, nonce: u64) {
+        let state = match &self.phase {
+            Phase::Voting(_) => self.storage.persisted(),
+            Phase::Recovering(_) => Persisted::default(),
+            Phase::Failed => return,
+        };
+        self.send(from, &Message::StateReply { nonce, state: Box::new(state) });
+    }
+
+    fn receive_state(&mut self, from: VoterId, state: Persisted) {
+        let Phase::Recovering(recovery) = &mut self.phase else { return };
+        if let Some(persisted) = recovery.record(from, state, self.config.voter_count)
+            && self.start_voting(persisted).is_err()
+        {
+            self.fail();
+        }
+    }
+
+    fn send(&mut self, to: VoterId, message: &Message) {
+        self.outgoing.push(OutgoingMessage { to, bytes: message.encode() });
+    }
+
+    /// Takes what the library wants to send, and what it has decided.
+    fn process_library_output(&mut self) {
+        let Phase::Voting(paxos) = &mut self.phase else { return };
+        let mut messages = Vec::new();
+        paxos.take_outgoing_messages(&mut messages);
+        let promise = paxos.get_promise();
+        for mut message in messages {
+            if let PaxosMessage::BLE(heartbeat) = &mut message {
+                self.heartbeat.on_send(self.now_ms, &mut heartbeat.msg, promise);
+            }
+            let to = message.get_receiver();
+            self.send(to, &Message::Paxos(Box::new(message)));
+        }
+        self.confirm_round();
+        self.apply_decided();
+    }
+
+    /// Raises the term for the current round, once a majority follows this voter in it.
+    fn confirm_round(&mut self) {
+        let Phase::Voting(paxos) = &self.phase else { return };
+        if !is_led_by(paxos, self.config.voter_id) {
+            return;
+        }
+        let ballot = paxos.get_promise();
+        self.heartbeat.begin_leading(ballot);
+        if !self.heartbeat.confirm_round() {
+            return;
+        }
+        self.confirmed_round_ms = self.heartbeat.round_started_ms();
+        let is_same_ballot = self.term.ballot == ballot.n && self.term.leader == ballot.pid;
+        let round = if is_same_ballot { self.term.round + 1 } else { 1 };
+        self.term = LeaderTerm { ballot: ballot.n, leader: ballot.pid, round };
+    }
+
+    /// Applies the entries that were decided since the last call, and compacts the log.
+    fn apply_decided(&mut self) {
+        let Phase::Voting(paxos) = &mut self.phase else { return };
+        for entry in paxos.read_decided_suffix(self.applied_entries).unwrap_or_default() {
+            match entry {
+                LogEntry::Decided(proposal) => {
+                    let has_effect = self.decided.apply(&proposal);
+                    self.superseded += u64::from(!has_effect && !proposal.is_filler());
+                }
+                LogEntry::Snapshotted(compacted) => self.decided = compacted.snapshot.decided(),
+                _ => {}
+            }
+        }
+        self.applied_entries = paxos.get_decided_idx();
+        if self.applied_entries > paxos.get_compacted_idx() + SNAPSHOT_AFTER_ENTRIES {
+            // Without effect where it cannot be done now; it is tried again.
+            let _ = paxos.snapshot(Some(self.applied_entries), true);
+        }
+    }
+
+    /// What is to be written and sent since the last batch.
+    pub fn take_batch(&mut self) -> Option<Batch> {
+        let changes = self.storage.take_unwritten();
+        let messages = mem::take(&mut self.outgoing);
+        let write = match &self.phase {
+            Phase::Voting(_) => self.file.next_write(&changes, &self.storage),
+            Phase::Recovering(_) | Phase::Failed => Write::Nothing,
+        };
+        let is_empty = write == Write::Nothing && messages.is_empty();
+        (!is_empty).then_some(Batch { write, messages })
+    }
+}
+
+/// Whether `voter` leads, has finished its prepare phase, and so can propose.
+fn is_led_by(paxos: &OmniPaxos<Proposal, MemoryStorage>, voter: VoterId) -> bool {
+    paxos.get_current_leader() == Some((voter, true))
+}
--- a/src/control_plane/tests.rs
+++ b/src/control_plane/tests.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::consensus::{Write, file};
+use crate::consensus::{Write, vote_file};
 use crate::fleet::{self, Body, Decision, Frame, MAX_FRAME_BYTES, MemberConfig};
 use crate::zones::{AgreementStatus, AttemptResult, ZoneState, ZoneTable};
 
@@ -80,7 +80,11 @@
         };
         let setup =
             ControlPlaneConfig { fleet, zones: ZONES, failover: FailoverSettings::default(), rollout: None };
-        let kept = self.disks.get(&own).map(|bytes| file::read(bytes, 1).unwrap().0).unwrap_or_default();
+        let kept = self
+            .disks
+            .get(&own)
+            .map(|bytes| vote_file::read(bytes, 1).unwrap().persisted)
+            .unwrap_or_default();
         self.nodes.insert(own, ControlPlane::new(setup, kept, now).unwrap());
         self.epochs.remove(&own);
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 pub use frame::{Body, Decision, Frame, FrameError, MAX_FRAME_BYTES};
 
 use crate::consensus::{
-    Batch, Consensus, ConsensusConfig, ConsensusError, LeaderTerm, Persisted, VoterId, Write,
+    Batch, Consensus, ConsensusConfig, ConsensusError, LeaderTerm, OutgoingMessage, Persisted, VoterId, Write,
 };
 use delivery::ReorderFilter;
 use documents::Documents;
@@ -49,7 +49,7 @@
     voter: Option<VoterId>,
     consensus: Option<Consensus>,
     /// Messages that wait for a write, of each batch; the first for the write that is under way.
-    held: VecDeque<Vec<(VoterId, Vec<u8>)>>,
+    held: VecDeque<Vec<OutgoingMessage>>,
     swim: Swim,
     documents: Documents,
     /// The newest decision of each topic, by its epoch.
@@ -78,7 +78,11 @@
         let voter = voters.iter().position(|&member| member == setup.own).map(|at| at as VoterId + 1);
         let consensus = voter.map(|own| {
             let (voters, generation) = (voters.len() as u64, setup.generation);
-            Consensus::new(ConsensusConfig { own, voters, generation, nonce: setup.incarnation }, kept, now)
+            Consensus::new(
+                ConsensusConfig { voter_id: own, voter_count: voters, generation, nonce: setup.incarnation },
+                kept,
+                now,
+            )
         });
         Ok(FleetNode {
             swim: Swim::new(setup.own, members, setup.incarnation, setup.seed),
@@ -187,7 +191,7 @@
                 let Some(voter) = self.voters.iter().position(|member| *member == from) else { return false };
                 self.consensus
                     .as_mut()
-                    .is_some_and(|consensus| consensus.receive(now, voter as VoterId + 1, &message))
+                    .is_some_and(|consensus| consensus.receive(now, voter as VoterId + 1, &message).is_ok())
             }
             Body::DecisionQuery(known) => {
                 if self.voter.is_none() || known.len() > TOPICS {
@@ -250,8 +254,8 @@
         let fresh: Vec<(u8, u64, Vec<u8>)> = consensus
             .decided()
             .all()
-            .filter(|(topic, epoch, _)| *epoch > known(*topic))
-            .map(|(topic, epoch, body)| (topic, epoch, body.to_vec()))
+            .filter(|decision| decision.epoch > known(decision.topic))
+            .map(|decision| (decision.topic, decision.epoch, decision.body.to_vec()))
             .collect();
         self.raise_term(now, term);
         if begins_to_lead {
@@ -418,7 +422,8 @@
         for (to, packet) in self.swim.take() {
             self.send(to, Body::Swim(packet));
         }
-        let Some(Batch { write, send }) = self.consensus.as_mut().and_then(Consensus::take_batch) else {
+        let Some(Batch { write, messages: send }) = self.consensus.as_mut().and_then(Consensus::take_batch)
+        else {
             return;
         };
         if write == Write::Nothing && self.held.is_empty() {
@@ -438,10 +443,10 @@
         }
     }
 
-    fn post(&mut self, messages: Vec<(VoterId, Vec<u8>)>) {
-        for (voter, message) in messages {
-            if let Some(&to) = self.voters.get(voter as usize - 1) {
-                self.send(to, Body::Consensus(message));
+    fn post(&mut self, messages: Vec<OutgoingMessage>) {
+        for message in messages {
+            if let Some(&to) = self.voters.get(message.to as usize - 1) {
+                self.send(to, Body::Consensus(message.bytes));
             }
         }
     }
--- a/src/frontend/fleet/vote_log.rs
+++ b/src/frontend/fleet/vote_log.rs
@@ -8,7 +8,7 @@
 
 use calloop::channel::{Channel, Sender, channel};
 
-use crate::consensus::{Persisted, Write, file};
+use crate::consensus::{Persisted, Write, vote_file};
 
 /// Writes that may wait for the thread.
 const WAITING: usize = 256;
@@ -18,22 +18,22 @@
     let mut bytes = Vec::new();
     match File::open(path) {
         Ok(file) => {
-            let read = file.take(file::MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes);
+            let read = file.take(vote_file::MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes);
             read.map_err(|e| format!("{}: {e}", path.display()))?;
         }
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(format!("{}: {e}", path.display())),
     }
-    match file::read(&bytes, generation) {
-        Ok((kept, whole)) => {
-            if whole < bytes.len() {
-                let cut = bytes.len() - whole;
+    match vote_file::read(&bytes, generation) {
+        Ok(content) => {
+            if content.valid_bytes < bytes.len() {
+                let cut = bytes.len() - content.valid_bytes;
                 crate::say(format_args!("{}: a torn end of {cut} bytes is cut", path.display()));
             }
-            Ok(kept)
+            Ok(content.persisted)
         }
         // Operators who start a new generation mean to forget what the old one remembered.
-        Err(file::FileError::Generation(old)) if old < generation => {
+        Err(vote_file::FileError::Generation(old)) if old < generation => {
             crate::say(format_args!("{}: it is of generation {old}; a new one begins", path.display()));
             Ok(None)
         }
@@ -119,9 +119,9 @@
         fs::create_dir_all(&dir).unwrap();
         let path = dir.join("state");
         let (disk, told) = VoteLog::start(path.clone()).unwrap();
-        assert!(disk.write(Write::Replace(file::head(1))));
+        assert!(disk.write(Write::Replace(vote_file::encode_header(1))));
         assert!(wait(&told));
-        assert!(disk.write(Write::Append(file::frame(&[]))));
+        assert!(disk.write(Write::Append(vote_file::encode_frame(&[]))));
         assert!(wait(&told));
         assert!(read(&path, 1).unwrap().is_some());
         assert!(read(&path, 2).unwrap().is_none(), "a new generation begins");
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::consensus::{Write, file};
+use crate::consensus::{Write, vote_file};
 use crate::control_plane::{self, ControlPlane};
 use crate::fleet::{MemberConfig, MemberId as At};
 
@@ -97,7 +97,11 @@
             failover: crate::zones::FailoverSettings::default(),
             rollout,
         };
-        let kept = self.disks.get(&own).map(|bytes| file::read(bytes, 1).unwrap().0).unwrap_or_default();
+        let kept = self
+            .disks
+            .get(&own)
+            .map(|bytes| vote_file::read(bytes, 1).unwrap().persisted)
+            .unwrap_or_default();
         let mut node = ControlPlane::new(setup, kept, self.now).unwrap();
         for document in self.documents.get(&own).into_iter().flatten() {
             node.with_participant(self.now, |_, node| node.store_document(document));
