--- a/rig/src/scale/dispatcher.rs
+++ b/rig/src/scale/dispatcher.rs
@@ -81,7 +81,7 @@
             cluster: CLUSTER.into(),
             generation: 1,
             members: places.to_vec(),
-            own,
+            member_id: own,
             incarnation: now as u64,
             seed,
         };
--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -253,7 +253,7 @@
         dispatcher.tick(now, self.plan.zones, home, lost);
         if let Some(shared) = &dispatcher.shared {
             self.queue.schedule(shared.next_deadline().max(now + 1.0), Event::Tick { member, process });
-            let (term, _) = shared.node().term();
+            let term = shared.node().term();
             if term > self.term {
                 self.leader_changes += u64::from(term.leader() != self.term.leader());
                 self.term = term;
@@ -430,7 +430,7 @@
             Fault::KillLeader => {
                 let leader = self.members.iter().filter(|member| member.runs()).find_map(|member| {
                     let node = member.shared.as_ref()?.node();
-                    (node.term().0 == self.term).then(|| node.leader())?
+                    (node.term() == self.term).then(|| node.leader())?
                 });
                 if let Some(leader) = leader {
                     self.members[usize::from(leader)].kill();
--- a/src/control_plane/mod.rs
+++ b/src/control_plane/mod.rs
@@ -48,7 +48,7 @@
         kept: Option<Persisted>,
         now: f64,
     ) -> Result<ControlPlane, ConsensusError> {
-        let home = setup.fleet.members.get(usize::from(setup.fleet.own)).map_or(0, |place| place.zone);
+        let home = setup.fleet.members.get(usize::from(setup.fleet.member_id)).map_or(0, |place| place.zone);
         let zones = ZoneFailover::new(home, setup.zones, setup.failover, setup.fleet.incarnation, now);
         let rollout = setup.rollout.map(Rollout::new);
         Ok(ControlPlane { node: FleetNode::new(setup.fleet, kept, now)?, zones, rollout })
@@ -71,7 +71,7 @@
 
     /// Whether what is known here to be decided is new: a leader was heard of lately, and it has answered.
     pub fn follows_leader(&self, now: f64) -> bool {
-        let (term, term_raised) = self.node.term();
+        let (term, term_raised) = (self.node.term(), self.node.term_raised_ms());
         term.leader().is_some() && now - term_raised < 1000.0
     }
 
--- a/src/control_plane/tests.rs
+++ b/src/control_plane/tests.rs
@@ -74,7 +74,7 @@
             cluster: "test".into(),
             generation: 1,
             members: places(),
-            own,
+            member_id: own,
             incarnation: now as u64,
             seed: self.draws.u64(..),
         };
--- a/src/fleet/delivery.rs
+++ b/src/fleet/delivery.rs
@@ -1,90 +1,99 @@
-//! Which frames of one member are taken: each once, and of most kinds only what is newer than what came before.
+//! Which frames of one member are accepted: each once, and of most kinds only what is newer than what was accepted before.
 
 use super::frame::{Body, Frame};
 use crate::consensus;
 
-/// Frames of one kind are numbered for themselves, each part's too: one kind that overtakes another on its way is no
-/// reason to drop the other.
-const CHANNELS: usize = 12;
-/// How far behind the newest a heartbeat may come, in frames.
-const WINDOW: u64 = 128;
+/// Channels of `DeliveryOrder::NewestOnly`. A frame that overtakes one of another channel is no reason to drop that one.
+const CHANNEL_COUNT: usize = 12;
+const SWIM_CHANNEL: usize = 0;
+const CONSENSUS_CHANNEL: usize = 1;
+const DECISION_QUERY_CHANNEL: usize = 2;
+const DECISION_UPDATE_CHANNEL: usize = 3;
+/// The first channel of module messages: the rest of the channels is shared out among the topics.
+const FIRST_MODULE_CHANNEL: usize = 4;
+/// How far behind the newest one a heartbeat is still accepted, in frames: as many as `ReplayWindow` has bits.
+const REPLAY_WINDOW_FRAMES: u64 = 128;
 
-/// How frames of a kind are taken.
-enum Order {
-    /// Any, however often: pieces of documents say which they are.
-    Any,
+/// In which order frames of a kind are accepted.
+enum DeliveryOrder {
+    /// In any, also repeatedly: chunks of documents name their place.
+    Unordered,
     /// Each once, also where others have overtaken it.
     Once,
-    /// What is newer than all before it on the channel.
-    Newest(usize),
+    /// Only what is newer than all before it on the channel.
+    NewestOnly { channel: usize },
 }
 
-fn order(body: &Body) -> Order {
-    match body {
-        Body::Swim(_) => Order::Newest(0),
+fn delivery_order(body: &Body) -> DeliveryOrder {
+    let channel = match body {
+        Body::Swim(_) => SWIM_CHANNEL,
         // Guards against leaders that are replaced for nothing: a datagram network reorders, and a reply to a heartbeat
-        // that another message has overtaken is as good as before.
-        Body::Consensus(message) if consensus::is_heartbeat(message) => Order::Once,
-        Body::Consensus(_) => Order::Newest(1),
-        Body::DecisionQuery(_) => Order::Newest(2),
-        Body::DecisionUpdate { .. } => Order::Newest(3),
-        Body::ModuleMessage { topic, .. } => Order::Newest(4 + usize::from(*topic) % (CHANNELS - 4)),
-        Body::ChunkRequest { .. } | Body::DocumentChunk { .. } => Order::Any,
-    }
+        // that another message has overtaken is still valid.
+        Body::Consensus(message) if consensus::is_heartbeat(message) => return DeliveryOrder::Once,
+        Body::Consensus(_) => CONSENSUS_CHANNEL,
+        Body::DecisionQuery(_) => DECISION_QUERY_CHANNEL,
+        Body::DecisionUpdate { .. } => DECISION_UPDATE_CHANNEL,
+        Body::ModuleMessage { topic, .. } => {
+            FIRST_MODULE_CHANNEL + usize::from(*topic) % (CHANNEL_COUNT - FIRST_MODULE_CHANNEL)
+        }
+        Body::ChunkRequest { .. } | Body::DocumentChunk { .. } => return DeliveryOrder::Unordered,
+    };
+    DeliveryOrder::NewestOnly { channel }
 }
 
-/// The numbers that were taken lately: the newest, and a bit for each of those before it.
+/// The numbers that were accepted lately: the newest, and a bit for each of those before it.
 #[derive(Clone, Copy, Debug, Default)]
-struct Window {
+struct ReplayWindow {
     newest: u64,
-    taken: u128,
+    /// Bit n is for the number `newest - n`.
+    accepted: u128,
 }
 
-impl Window {
-    /// Whether a number was not taken before, and is not too old to tell.
-    fn takes(&mut self, number: u64) -> bool {
+impl ReplayWindow {
+    /// Whether a number was not accepted before and is not too old to know; it counts as accepted then.
+    fn accept(&mut self, number: u64) -> bool {
         if number > self.newest {
-            let passed = number - self.newest;
-            self.taken = if passed < WINDOW { self.taken << passed } else { 0 };
-            self.taken |= 1;
+            let advance = number - self.newest;
+            self.accepted = if advance < REPLAY_WINDOW_FRAMES { self.accepted << advance } else { 0 };
+            self.accepted |= 1;
             self.newest = number;
             return true;
         }
-        let behind = self.newest - number;
-        let fresh = behind < WINDOW && self.taken & 1 << behind == 0;
-        if fresh {
-            self.taken |= 1 << behind;
+        let age = self.newest - number;
+        let is_new = age < REPLAY_WINDOW_FRAMES && self.accepted & 1 << age == 0;
+        if is_new {
+            self.accepted |= 1 << age;
         }
-        fresh
+        is_new
     }
 }
 
-/// What came last from one member: the process that sent it, and the numbers of each kind.
+/// What was accepted from one member: the incarnation that sent it, and the newest numbers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReorderFilter {
     incarnation: u64,
-    numbers: [u64; CHANNELS],
-    heartbeats: Window,
+    newest_by_channel: [u64; CHANNEL_COUNT],
+    heartbeats: ReplayWindow,
 }
 
 impl ReorderFilter {
-    /// Whether a frame is taken; it counts as taken then.
-    pub(super) fn takes(&mut self, frame: &Frame) -> bool {
+    /// Whether a frame is accepted; its number is used up then.
+    pub(super) fn accept(&mut self, frame: &Frame) -> bool {
         if frame.incarnation < self.incarnation {
             return false;
         }
         if frame.incarnation > self.incarnation {
             *self = ReorderFilter { incarnation: frame.incarnation, ..ReorderFilter::default() };
         }
-        match order(&frame.body) {
-            Order::Any => true,
-            Order::Once => self.heartbeats.takes(frame.number),
-            Order::Newest(channel) => {
-                let newer = frame.number > self.numbers[channel];
-                if newer {
-                    self.numbers[channel] = frame.number;
+        match delivery_order(&frame.body) {
+            DeliveryOrder::Unordered => true,
+            DeliveryOrder::Once => self.heartbeats.accept(frame.number),
+            DeliveryOrder::NewestOnly { channel } => {
+                let is_newer = frame.number > self.newest_by_channel[channel];
+                if is_newer {
+                    self.newest_by_channel[channel] = frame.number;
                 }
-                newer
+                is_newer
             }
         }
     }
--- a/src/fleet/documents.rs
+++ b/src/fleet/documents.rs
@@ -1,197 +1,214 @@
-//! Documents that are too long for a decision: the log carries a document's hash, and its bytes travel apart, in pieces
-//! that are asked for one by one and checked as a whole.
+//! Documents that are too long for a decision: the log has a document's hash, and its bytes travel apart, in chunks that
+//! are requested one by one.
+//!
+//! It owns the documents that are here and the requests for those that are not. It leaves the sending to the node, which
+//! asks for `due_requests`, serves `chunk` and passes on what it receives to `receive_chunk`. A document is checked
+//! against its hash before it is stored.
+
+#[cfg(test)]
+mod tests;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use super::MemberId;
+use super::types::MemberId;
 
 /// A document's name: the BLAKE3 hash of its bytes.
 pub type DocumentHash = [u8; 32];
 
 /// Longest document, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 256 << 10;
-/// Bytes of a piece: a few of them and their frame fit a datagram.
-const PIECE: usize = 16 << 10;
-/// Documents that are kept.
-const KEPT: usize = 8;
-/// Documents that are asked for at once.
-const WANTED: usize = 4;
-/// After so long without an answer another member is asked, in milliseconds.
-const AGAIN: f64 = 100.0;
-
-/// A document's name.
+/// Length of a chunk, in bytes: with its header it fits a frame.
+const CHUNK_BYTES: usize = 16 << 10;
+/// Documents that are stored: bounds the memory to 2 MiB.
+const MAX_STORED_DOCUMENTS: usize = 8;
+/// Documents that are requested at a time.
+const MAX_PENDING_DOCUMENTS: usize = 4;
+/// Time after which another member is asked, in milliseconds: two ticks of the node.
+const REQUEST_TIMEOUT_MS: f64 = 100.0;
+/// Bytes of a hash that `short` writes out.
+const SHORT_HASH_BYTES: usize = 6;
+
+/// The hash of a document.
 pub fn hash(bytes: &[u8]) -> DocumentHash {
     *blake3::hash(bytes).as_bytes()
 }
 
-/// The beginning of a name, for people.
+/// The beginning of a hash in hexadecimal, for people.
 pub fn short(hash: &DocumentHash) -> String {
-    hash[..6].iter().map(|byte| format!("{byte:02x}")).collect()
+    hash[..SHORT_HASH_BYTES].iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// A part of a document.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct Chunk {
+    pub(super) hash: DocumentHash,
+    /// Length of the document, in bytes.
+    pub(super) document_bytes: u32,
+    /// The chunk's place in the document, from 0.
+    pub(super) index: u16,
+    pub(super) bytes: Vec<u8>,
+}
+
+/// A chunk that is to be requested of a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct DueRequest {
+    pub(super) member: MemberId,
+    pub(super) hash: DocumentHash,
+    pub(super) index: u16,
 }
 
-struct Wanted {
-    /// Its length, once a piece has told it.
+/// A document on its way here.
+struct PendingDocument {
+    /// Its length in bytes, once a chunk has named it.
     length: Option<usize>,
-    pieces: Vec<Option<Vec<u8>>>,
-    asked: f64,
-    tries: usize,
+    /// Its chunks, once the length is known.
+    chunks: Vec<Option<Vec<u8>>>,
+    last_request_ms: f64,
+    requests: usize,
     /// A member that has it, as far as is known.
     source: Option<MemberId>,
 }
 
+impl PendingDocument {
+    fn new(source: Option<MemberId>) -> PendingDocument {
+        PendingDocument {
+            length: None,
+            chunks: Vec::new(),
+            last_request_ms: f64::NEG_INFINITY,
+            requests: 0,
+            source,
+        }
+    }
+
+    /// Whom to ask next: every other time a member that should have it, else all in turn.
+    fn next_member(&self, alive: &[MemberId]) -> Option<MemberId> {
+        let in_turn = alive.get(self.requests / 2 % alive.len().max(1)).copied();
+        let source = self.source.filter(|source| self.requests.is_multiple_of(2) && alive.contains(source));
+        source.or(in_turn)
+    }
+
+    /// The chunks that are missing; the first alone while the length is not known.
+    fn missing_chunks(&self) -> Vec<u16> {
+        if self.length.is_none() {
+            return vec![0];
+        }
+        let indexes = 0..self.chunks.len() as u16;
+        indexes.filter(|index| self.chunks[usize::from(*index)].is_none()).collect()
+    }
+
+    /// Adds a chunk; one that does not fit the document is ignored. Whether all chunks are here after it.
+    fn insert(&mut self, from: MemberId, chunk: Chunk) -> bool {
+        let length = chunk.document_bytes as usize;
+        if length > MAX_DOCUMENT_BYTES || self.length.is_some_and(|known| known != length) {
+            return false;
+        }
+        if self.length.is_none() {
+            self.length = Some(length);
+            self.chunks = vec![None; length.div_ceil(CHUNK_BYTES).max(1)];
+            // The other chunks are requested at once.
+            (self.last_request_ms, self.requests) = (f64::NEG_INFINITY, 0);
+        }
+        self.source = Some(from);
+        let start = usize::from(chunk.index) * CHUNK_BYTES;
+        let is_right_length = chunk.bytes.len() == length.saturating_sub(start).min(CHUNK_BYTES);
+        match self.chunks.get_mut(usize::from(chunk.index)) {
+            Some(slot) if is_right_length => *slot = Some(chunk.bytes),
+            _ => return false,
+        }
+        self.chunks.iter().all(Option::is_some)
+    }
+}
+
+struct StoredDocument {
+    hash: DocumentHash,
+    bytes: Arc<[u8]>,
+}
+
 /// The documents of a member.
 #[derive(Default)]
-pub struct Documents {
-    kept: VecDeque<(DocumentHash, Arc<[u8]>)>,
-    wanted: BTreeMap<DocumentHash, Wanted>,
+pub(super) struct Documents {
+    /// The least recently used one first.
+    stored: VecDeque<StoredDocument>,
+    pending: BTreeMap<DocumentHash, PendingDocument>,
 }
 
 impl Documents {
-    /// Keeps a document, and gives its name; none where it is too long.
-    pub fn keep(&mut self, bytes: &[u8]) -> Option<DocumentHash> {
+    /// Stores a document, and gives its hash; none where it is longer than `MAX_DOCUMENT_BYTES`.
+    pub(super) fn store(&mut self, bytes: &[u8]) -> Option<DocumentHash> {
         if bytes.len() > MAX_DOCUMENT_BYTES {
             return None;
         }
         let hash = hash(bytes);
-        self.wanted.remove(&hash);
+        self.pending.remove(&hash);
         if self.get(&hash).is_none() {
-            if self.kept.len() >= KEPT {
-                self.kept.pop_front();
+            if self.stored.len() >= MAX_STORED_DOCUMENTS {
+                self.stored.pop_front();
             }
-            self.kept.push_back((hash, bytes.into()));
+            self.stored.push_back(StoredDocument { hash, bytes: bytes.into() });
         }
         Some(hash)
     }
 
-    /// A document that is here. What is asked for stays longest.
-    pub fn get(&mut self, hash: &DocumentHash) -> Option<Arc<[u8]>> {
-        let at = self.kept.iter().position(|(kept, _)| kept == hash)?;
-        let document = self.kept.remove(at)?;
-        let bytes = Arc::clone(&document.1);
-        self.kept.push_back(document);
+    /// A document that is here. It becomes the most recently used one.
+    pub(super) fn get(&mut self, hash: &DocumentHash) -> Option<Arc<[u8]>> {
+        let position = self.stored.iter().position(|document| document.hash == *hash)?;
+        let document = self.stored.remove(position)?;
+        let bytes = Arc::clone(&document.bytes);
+        self.stored.push_back(document);
         Some(bytes)
     }
 
-    /// Has a document asked for until it is here, first of a member that should have it.
-    pub fn want(&mut self, hash: DocumentHash, source: Option<MemberId>) {
-        if self.wanted.len() < WANTED && self.get(&hash).is_none() {
-            let (length, pieces, asked) = (None, Vec::new(), f64::NEG_INFINITY);
-            self.wanted.entry(hash).or_insert(Wanted { length, pieces, asked, tries: 0, source });
+    /// Has a document requested until it is here, first of a member that should have it. Without effect while
+    /// `MAX_PENDING_DOCUMENTS` are requested.
+    pub(super) fn request(&mut self, hash: DocumentHash, source: Option<MemberId>) {
+        if self.pending.len() < MAX_PENDING_DOCUMENTS && self.get(&hash).is_none() {
+            self.pending.entry(hash).or_insert_with(|| PendingDocument::new(source));
         }
     }
 
-    /// Gives a document up.
-    pub fn forget(&mut self, hash: &DocumentHash) {
-        self.wanted.remove(hash);
+    /// Requests a document no more.
+    pub(super) fn cancel_request(&mut self, hash: &DocumentHash) {
+        self.pending.remove(hash);
     }
 
-    /// What to ask by now, of whom: `there` are the members that are there, but for this one.
-    pub fn due(&mut self, now: f64, there: &[MemberId]) -> Vec<(MemberId, DocumentHash, u16)> {
-        let mut asks = Vec::new();
-        for (hash, wanted) in self.wanted.iter_mut().filter(|(_, w)| now >= w.asked + AGAIN) {
-            let next = there.get(wanted.tries / 2 % there.len().max(1)).copied();
-            // Every other time the one that should have it.
-            let source = wanted.source.filter(|source| wanted.tries % 2 == 0 && there.contains(source));
-            let Some(member) = source.or(next) else { continue };
-            (wanted.asked, wanted.tries) = (now, wanted.tries + 1);
-            let missing: Vec<u16> = match wanted.length {
-                None => vec![0],
-                Some(_) => (0..wanted.pieces.len() as u16)
-                    .filter(|at| wanted.pieces[usize::from(*at)].is_none())
-                    .collect(),
-            };
-            asks.extend(missing.into_iter().map(|at| (member, *hash, at)));
+    /// The chunks to request now, of `alive`: the members that are up, without this one.
+    pub(super) fn due_requests(&mut self, now_ms: f64, alive: &[MemberId]) -> Vec<DueRequest> {
+        let mut requests = Vec::new();
+        for (&hash, pending) in &mut self.pending {
+            if now_ms < pending.last_request_ms + REQUEST_TIMEOUT_MS {
+                continue;
+            }
+            let Some(member) = pending.next_member(alive) else { continue };
+            (pending.last_request_ms, pending.requests) = (now_ms, pending.requests + 1);
+            let missing = pending.missing_chunks();
+            requests.extend(missing.into_iter().map(|index| DueRequest { member, hash, index }));
         }
-        asks
+        requests
     }
 
-    /// A piece of a document that is here: the document's length, and its bytes.
-    pub fn piece(&mut self, hash: &DocumentHash, at: u16) -> Option<(u32, Vec<u8>)> {
+    /// A chunk of a document that is here.
+    pub(super) fn chunk(&mut self, hash: &DocumentHash, index: u16) -> Option<Chunk> {
         let document = self.get(hash)?;
-        let from = usize::from(at) * PIECE;
-        let bytes = document.get(from..document.len().min(from + PIECE))?;
-        Some((document.len() as u32, bytes.to_vec()))
+        let start = usize::from(index) * CHUNK_BYTES;
+        let bytes = document.get(start..document.len().min(start + CHUNK_BYTES))?.to_vec();
+        Some(Chunk { hash: *hash, document_bytes: document.len() as u32, index, bytes })
     }
 
-    /// A piece has come. True where the document is whole now; one that is not what its name says begins anew.
-    pub fn take(
-        &mut self,
-        from: MemberId,
-        hash: &DocumentHash,
-        length: u32,
-        at: u16,
-        bytes: Vec<u8>,
-    ) -> bool {
-        let Some(wanted) = self.wanted.get_mut(hash) else { return false };
-        let length = length as usize;
-        if length > MAX_DOCUMENT_BYTES || wanted.length.is_some_and(|known| known != length) {
-            return false;
-        }
-        if wanted.length.is_none() {
-            wanted.length = Some(length);
-            wanted.pieces = vec![None; length.div_ceil(PIECE).max(1)];
-            (wanted.asked, wanted.tries) = (f64::NEG_INFINITY, 0);
-        }
-        wanted.source = Some(from);
-        let begins = usize::from(at) * PIECE;
-        let fits = bytes.len() == length.saturating_sub(begins).min(PIECE);
-        match wanted.pieces.get_mut(usize::from(at)) {
-            Some(piece) if fits => *piece = Some(bytes),
-            _ => return false,
-        }
-        if wanted.pieces.iter().any(Option::is_none) {
+    /// A chunk was received. True where its document is complete now. A document with another hash than its name is
+    /// requested anew.
+    pub(super) fn receive_chunk(&mut self, from: MemberId, chunk: Chunk) -> bool {
+        let hash = chunk.hash;
+        let Some(pending) = self.pending.get_mut(&hash) else { return false };
+        if !pending.insert(from, chunk) {
             return false;
         }
-        let whole: Vec<u8> = wanted.pieces.drain(..).flatten().flatten().collect();
-        if self::hash(&whole) == *hash {
-            self.keep(&whole);
+        let bytes: Vec<u8> = pending.chunks.drain(..).flatten().flatten().collect();
+        if self::hash(&bytes) == hash {
+            self.store(&bytes);
             return true;
         }
-        wanted.length = None;
+        pending.length = None;
         false
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn carry(from: &mut Documents, to: &mut Documents, now: f64) -> bool {
-        let mut whole = false;
-        for (_, hash, at) in to.due(now, &[1]) {
-            if let Some((length, bytes)) = from.piece(&hash, at) {
-                whole |= to.take(1, &hash, length, at, bytes);
-            }
-        }
-        whole
-    }
-
-    #[test]
-    fn a_document_of_many_pieces_comes_whole_or_not_at_all() {
-        let (mut from, mut to) = (Documents::default(), Documents::default());
-        let bytes: Vec<u8> = (0..100_000u32).map(|n| (n / 7) as u8).collect();
-        let hash = from.keep(&bytes).unwrap();
-        to.want(hash, None);
-        assert!(!carry(&mut from, &mut to, 0.0), "the first piece tells the length");
-        // Damage on the way: a piece of the right length with another content.
-        let (length, mut piece) = from.piece(&hash, 3).unwrap();
-        piece[7] ^= 1;
-        assert!(!to.take(1, &hash, length, 3, piece));
-        assert!(!carry(&mut from, &mut to, 1000.0), "what is damaged is noticed, and begun anew");
-        assert!(to.get(&hash).is_none());
-        assert!((2..6).any(|turn| carry(&mut from, &mut to, f64::from(turn) * 1000.0)));
-        assert_eq!(to.get(&hash).as_deref(), Some(&bytes[..]));
-        assert!(from.keep(&vec![0; MAX_DOCUMENT_BYTES + 1]).is_none(), "too long");
-    }
-
-    #[test]
-    fn an_empty_document_and_one_of_an_exact_number_of_pieces_come_as_well() {
-        for length in [0, PIECE, 2 * PIECE] {
-            let (mut from, mut to) = (Documents::default(), Documents::default());
-            let hash = from.keep(&vec![9; length]).unwrap();
-            to.want(hash, None);
-            assert!((0..4).any(|turn| carry(&mut from, &mut to, f64::from(turn) * 1000.0)), "{length} bytes");
-        }
-    }
-}
--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -1,18 +1,28 @@
-//! Frames: what members send one another in a datagram. A frame is `MB`, a version byte, the CRC-32C of what follows
-//! (four bytes, little-endian), and by postcard the cluster's name, its generation, the sender, its incarnation and the
-//! frame's number, and a body with its length before it.
+//! Frames: what members send one another, each in a datagram.
+//!
+//! It owns the form; who may send what is the node's to check. A frame is
+//!
+//! ```text
+//!    0  magic      2  "MB"
+//!    2  version    1  3
+//!    3  checksum   4  CRC-32C of all that follows, little-endian
+//!    7  header        by postcard: cluster (its name), generation, from, incarnation, number,
+//!                     and the body with its length before it
+//! ```
+//!
+//! and the body is a `Body` by postcard, so that its variants and fields keep their order.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::MemberId;
 use super::documents::DocumentHash;
+use super::types::MemberId;
 use crate::consensus::LeaderTerm;
 
 const MAGIC: &[u8; 2] = b"MB";
 /// The version of the form that is written and read.
 const VERSION: u8 = 3;
-/// Longest frame, in bytes.
+/// Longest frame, in bytes: it fits a UDP datagram.
 pub const MAX_FRAME_BYTES: usize = 60_000;
 
 /// Why a frame is dropped.
@@ -27,22 +37,34 @@
     /// It is of another cluster, or of another generation of it.
     #[error("a frame of another cluster or generation")]
     Cluster,
-    /// It does not read.
+    /// It does not decode, or is not from the member whose address it came from.
     #[error("a frame that does not read")]
     Damaged,
+    /// Its sender may not send this body, or the body has more than a frame may.
+    #[error("a frame that its sender may not send")]
+    Unexpected,
 }
 
 /// A decision on its way to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// What it is about.
+    /// The topic.
     pub topic: u8,
     /// Its epoch.
     pub epoch: u64,
-    /// What it says.
+    /// The decision itself; its form is the topic's module's.
     pub body: Vec<u8>,
 }
 
+/// The epoch of the newest decision that a member knows of a topic.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct KnownEpoch {
+    /// The topic.
+    pub topic: u8,
+    /// The epoch.
+    pub epoch: u64,
+}
+
 /// What a frame carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
@@ -50,44 +72,44 @@
     Swim(Vec<u8>),
     /// A message of the consensus.
     Consensus(Vec<u8>),
-    /// A member asks a voter for what is newer than the epochs that it knows, by topic.
-    DecisionQuery(Vec<(u8, u64)>),
-    /// What a voter knows to be decided and the other may not have, and how far that is confirmed.
+    /// A member asks a voter for decisions that are newer than those that it knows.
+    DecisionQuery(Vec<KnownEpoch>),
+    /// Decisions that the receiver may not know.
     DecisionUpdate {
         /// The decisions.
         decisions: Vec<Decision>,
-        /// The newest term.
+        /// The newest term that the sender knows.
         term: LeaderTerm,
     },
-    /// A message of one part to the same part of another member.
+    /// A message of a control-plane module to the same module of another member.
     ModuleMessage {
-        /// The part's topic.
+        /// The module's topic.
         topic: u8,
-        /// What it says.
+        /// The message; its form is the module's.
         bytes: Vec<u8>,
     },
-    /// A piece of a document is asked for.
+    /// Asks for a chunk of a document.
     ChunkRequest {
         /// The document.
         hash: DocumentHash,
-        /// The piece, from 0.
-        at: u16,
+        /// The chunk's place in the document, from 0.
+        index: u16,
     },
-    /// A piece of a document.
+    /// A chunk of a document.
     DocumentChunk {
         /// The document.
         hash: DocumentHash,
         /// The document's length in bytes.
         length: u32,
-        /// The piece, from 0.
-        at: u16,
-        /// Its bytes.
+        /// The chunk's place in the document, from 0.
+        index: u16,
+        /// The datagram of this frame.
         bytes: Vec<u8>,
     },
 }
 
 #[derive(Serialize, Deserialize)]
-struct Head<'a> {
+struct Header<'a> {
     cluster: &'a str,
     generation: u32,
     from: MemberId,
@@ -96,35 +118,38 @@
     body: &'a [u8],
 }
 
-/// A frame that was read.
+/// A frame with what its header says of the sender.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
     /// The sender's place in the operator's file.
     pub from: MemberId,
     /// When the sender's process started, by its clock.
     pub incarnation: u64,
-    /// The frame's number on its way from the one to the other.
+    /// Counts the frames from the sender to the receiver.
     pub number: u64,
     /// What it carries.
     pub body: Body,
 }
 
 impl Frame {
-    /// Its bytes.
+    /// The datagram of this frame.
     pub fn encode(&self, cluster: &str, generation: u32) -> Vec<u8> {
-        // Into vectors nothing can fail to fit.
+        // Encoding into a vector cannot run out of space.
         let body = postcard::to_stdvec(&self.body).unwrap_or_default();
         let Frame { from, incarnation, number, .. } = *self;
-        let head = Head { cluster, generation, from, incarnation, number, body: &body };
-        let head = postcard::to_stdvec(&head).unwrap_or_default();
+        let header = Header { cluster, generation, from, incarnation, number, body: &body };
+        let header = postcard::to_stdvec(&header).unwrap_or_default();
         let mut bytes = MAGIC.to_vec();
         bytes.push(VERSION);
-        bytes.extend(crc32c::crc32c(&head).to_le_bytes());
-        bytes.extend(head);
+        bytes.extend(crc32c::crc32c(&header).to_le_bytes());
+        bytes.extend(header);
         bytes
     }
 
-    /// Reads one. Whatever the bytes, it does not panic.
+    /// Reads a datagram as a frame of a cluster and its generation. Whatever the bytes, it does not panic.
+    ///
+    /// # Errors
+    /// Where the datagram is no such frame.
     pub fn decode(bytes: &[u8], cluster: &str, generation: u32) -> Result<Frame, FrameError> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::Long);
@@ -134,19 +159,19 @@
         if *version != VERSION {
             return Err(FrameError::Version);
         }
-        let (sum, rest) = rest.split_first_chunk::<4>().ok_or(FrameError::Damaged)?;
-        if crc32c::crc32c(rest) != u32::from_le_bytes(*sum) {
+        let (checksum, rest) = rest.split_first_chunk::<4>().ok_or(FrameError::Damaged)?;
+        if crc32c::crc32c(rest) != u32::from_le_bytes(*checksum) {
             return Err(FrameError::Damaged);
         }
-        let Ok((head, [])) = postcard::take_from_bytes::<Head<'_>>(rest) else {
+        let Ok((header, [])) = postcard::take_from_bytes::<Header<'_>>(rest) else {
             return Err(FrameError::Damaged);
         };
-        if head.cluster != cluster || head.generation != generation {
+        if header.cluster != cluster || header.generation != generation {
             return Err(FrameError::Cluster);
         }
-        let Ok((body, [])) = postcard::take_from_bytes(head.body) else {
+        let Ok((body, [])) = postcard::take_from_bytes(header.body) else {
             return Err(FrameError::Damaged);
         };
-        Ok(Frame { from: head.from, incarnation: head.incarnation, number: head.number, body })
+        Ok(Frame { from: header.from, incarnation: header.incarnation, number: header.number, body })
     }
 }
--- a/src/fleet/swim.rs
+++ b/src/fleet/swim.rs
@@ -1,4 +1,7 @@
-//! Who is there: SWIM by `foca`, driven by packets and the clock.
+//! Membership: which members are up, by SWIM (`foca`), driven by packets and the clock.
+//!
+//! It owns the protocol's timers and what is known of the members. The caller passes on each packet and calls `tick`, and
+//! sends what `take_packets` gives.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,200 +13,235 @@
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
-use super::MemberId;
-
-/// Longest packet of the protocol, in bytes.
-const PACKET: usize = 1200;
-/// Most timers that are kept; the library has a few of each member.
-const TIMERS: usize = 8192;
-
-/// A member's process. One that has started later wins over one under the same name; one that was taken for dead and
-/// is not goes on under the next number.
+use super::types::MemberId;
+
+/// Longest packet of the protocol, in bytes: it is not fragmented on a usual network.
+const MAX_PACKET_BYTES: usize = 1200;
+/// Most timers at a time: the library has a few for each member.
+const MAX_TIMERS: usize = 8192;
+/// Time between two probes, in milliseconds.
+const PROBE_PERIOD_MS: u64 = 300;
+/// Time for a direct probe's answer, in milliseconds; the rest of the period is for indirect ones.
+const PROBE_TIMEOUT_MS: u64 = PROBE_PERIOD_MS / 3;
+/// Members that are asked to probe one that did not answer.
+const INDIRECT_PROBES: usize = 3;
+/// How long a member that does not answer is suspected before it counts as down, in milliseconds: two probe periods and
+/// more, so that it can refute.
+const SUSPICION_TIMEOUT_MS: u64 = 700;
+/// Time between two rounds of gossip, in milliseconds.
+const GOSSIP_INTERVAL_MS: u64 = 200;
+/// Members that each round of gossip goes to.
+const GOSSIP_FANOUT: usize = 2;
+/// Most times that an update is sent, whatever the fleet's size.
+const MAX_TRANSMISSIONS: u32 = 40;
+/// Time after which a member announces itself to one that is not known to be up, in milliseconds: two parts of the fleet
+/// that started or were cut apart would otherwise never learn of each other.
+const ANNOUNCE_INTERVAL_MS: f64 = 500.0;
+
+/// A member's process. One that has started later replaces an earlier one of the same member; one that was declared down
+/// and is not goes on with the next renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Id {
+pub(super) struct SwimIdentity {
     member: MemberId,
     incarnation: u64,
-    renewed: u32,
+    renewal: u32,
 }
 
-impl Identity for Id {
+impl Identity for SwimIdentity {
     type Addr = MemberId;
 
-    fn renew(&self) -> Option<Id> {
-        Some(Id { renewed: self.renewed.wrapping_add(1), ..*self })
+    fn renew(&self) -> Option<SwimIdentity> {
+        Some(SwimIdentity { renewal: self.renewal.wrapping_add(1), ..*self })
     }
 
     fn addr(&self) -> MemberId {
         self.member
     }
 
-    fn win_addr_conflict(&self, other: &Id) -> bool {
-        (self.incarnation, self.renewed) > (other.incarnation, other.renewed)
+    fn win_addr_conflict(&self, other: &SwimIdentity) -> bool {
+        (self.incarnation, self.renewal) > (other.incarnation, other.renewal)
     }
 }
 
-/// A timer of the library, with its time and its number: of two at a time the older comes first.
+/// A timer of the library. Of two for the same time the older fires first.
 #[derive(Clone, Debug)]
-struct Due {
-    at: f64,
-    number: u64,
-    timer: Timer<Id>,
+struct PendingTimer {
+    fires_at_ms: f64,
+    sequence: u64,
+    timer: Timer<SwimIdentity>,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
-        self.number == other.number
+impl PartialEq for PendingTimer {
+    fn eq(&self, other: &PendingTimer) -> bool {
+        self.sequence == other.sequence
     }
 }
 
-impl Eq for Due {}
+impl Eq for PendingTimer {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl PartialOrd for PendingTimer {
+    fn partial_cmp(&self, other: &PendingTimer) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
-        self.at.total_cmp(&other.at).then(self.number.cmp(&other.number))
+impl Ord for PendingTimer {
+    fn cmp(&self, other: &PendingTimer) -> std::cmp::Ordering {
+        self.fires_at_ms.total_cmp(&other.fires_at_ms).then(self.sequence.cmp(&other.sequence))
     }
 }
 
-/// What the library asks for.
+/// A packet of the protocol for another member.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct SwimPacket {
+    pub(super) to: MemberId,
+    pub(super) bytes: Vec<u8>,
+}
+
+/// What the library has asked for.
 #[derive(Default)]
-struct Asked {
-    now: f64,
-    number: u64,
-    send: Vec<(MemberId, Vec<u8>)>,
-    timers: BinaryHeap<Reverse<Due>>,
-    changes: u64,
+struct SwimRuntime {
+    now_ms: f64,
+    /// Of the newest timer.
+    sequence: u64,
+    outgoing: Vec<SwimPacket>,
+    timers: BinaryHeap<Reverse<PendingTimer>>,
+    /// Whether a member went up or down.
+    has_changed: bool,
 }
 
-impl Runtime<Id> for Asked {
-    fn notify(&mut self, notification: Notification<'_, Id>) {
+impl Runtime<SwimIdentity> for SwimRuntime {
+    fn notify(&mut self, notification: Notification<'_, SwimIdentity>) {
         if matches!(notification, Notification::MemberUp(_) | Notification::MemberDown(_)) {
-            self.changes += 1;
+            self.has_changed = true;
         }
     }
 
-    fn send_to(&mut self, to: Id, data: &[u8]) {
-        self.send.push((to.member, data.to_vec()));
+    fn send_to(&mut self, to: SwimIdentity, data: &[u8]) {
+        self.outgoing.push(SwimPacket { to: to.member, bytes: data.to_vec() });
     }
 
-    fn submit_after(&mut self, timer: Timer<Id>, after: Duration) {
-        if self.timers.len() < TIMERS {
-            self.number += 1;
-            let at = self.now + after.as_secs_f64() * 1e3;
-            self.timers.push(Reverse(Due { at, number: self.number, timer }));
+    fn submit_after(&mut self, timer: Timer<SwimIdentity>, after: Duration) {
+        if self.timers.len() < MAX_TIMERS {
+            self.sequence += 1;
+            let fires_at_ms = self.now_ms + after.as_secs_f64() * 1e3;
+            self.timers.push(Reverse(PendingTimer { fires_at_ms, sequence: self.sequence, timer }));
         }
     }
 }
 
 /// The members as one of them knows them.
 pub(super) struct Swim {
-    foca: Foca<Id, PostcardCodec, SmallRng, foca::NoCustomBroadcast>,
-    asked: Asked,
-    up: Vec<bool>,
+    foca: Foca<SwimIdentity, PostcardCodec, SmallRng, foca::NoCustomBroadcast>,
+    runtime: SwimRuntime,
+    /// Whether each member is up; this one always is.
+    alive: Vec<bool>,
     own: MemberId,
-    announced: f64,
+    last_announce_ms: f64,
 }
 
-/// Probes go out so often, in milliseconds.
-const PERIOD: u64 = 300;
-/// A member that does not answer is suspected, and has so long to say that it lives, in milliseconds.
-const SUSPECT: u64 = 700;
-/// A member asks one that it does not know of so often, in milliseconds: two parts of the fleet that came up or were cut
-/// apart would else never hear of each other.
-const ANNOUNCE: f64 = 500.0;
-
 impl Swim {
     pub(super) fn new(own: MemberId, members: usize, incarnation: u64, seed: u64) -> Swim {
-        let some = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
-        let each = |ms: u64, count: usize| {
-            Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members: some(count) })
-        };
-        // An update reaches all with near certainty after a few times the logarithm of their number.
-        let times = 4 + 2 * members.max(2).ilog2();
-        let config = Config {
-            probe_period: Duration::from_millis(PERIOD),
-            probe_rtt: Duration::from_millis(PERIOD / 3),
-            num_indirect_probes: some(3),
-            max_transmissions: NonZeroU8::new(times.min(40) as u8).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: Duration::from_millis(SUSPECT),
-            // The members are those of the operator's file: nothing grows by remembering them.
-            remove_down_after: None,
-            max_packet_size: some(PACKET),
-            notify_down_members: true,
-            // Done here, from the operator's file.
-            periodic_announce: None,
-            periodic_announce_to_down_members: None,
-            periodic_gossip: each(200, 2),
-        };
-        let id = Id { member: own, incarnation, renewed: 0 };
-        let mut up = vec![false; members];
-        if let Some(up) = up.get_mut(usize::from(own)) {
-            *up = true;
+        let identity = SwimIdentity { member: own, incarnation, renewal: 0 };
+        let mut alive = vec![false; members];
+        if let Some(alive) = alive.get_mut(usize::from(own)) {
+            *alive = true;
+        }
+        let foca = Foca::new(identity, config(members), SmallRng::seed_from_u64(seed), PostcardCodec);
+        Swim { foca, runtime: SwimRuntime::default(), alive, own, last_announce_ms: f64::NEG_INFINITY }
+    }
+
+    /// A packet of the protocol.
+    ///
+    /// # Errors
+    /// Where the library cannot use it.
+    pub(super) fn receive(&mut self, now_ms: f64, bytes: &[u8]) -> Result<(), foca::Error> {
+        self.runtime.now_ms = now_ms;
+        let result = self.foca.handle_data(bytes, &mut self.runtime);
+        self.refresh_alive();
+        result
+    }
+
+    /// Fires timers and announces this member. `pick` chooses one of so many members that are not up.
+    pub(super) fn tick(&mut self, now_ms: f64, pick: impl FnOnce(usize) -> usize) {
+        self.runtime.now_ms = now_ms;
+        self.fire_timers(now_ms);
+        if now_ms >= self.last_announce_ms + ANNOUNCE_INTERVAL_MS {
+            self.last_announce_ms = now_ms;
+            self.announce(pick);
         }
-        let foca = Foca::new(id, config, SmallRng::seed_from_u64(seed), PostcardCodec);
-        Swim { foca, asked: Asked::default(), up, own, announced: f64::NEG_INFINITY }
-    }
-
-    /// A packet of the protocol. False where it does not read.
-    pub(super) fn receive(&mut self, now: f64, bytes: &[u8]) -> bool {
-        self.asked.now = now;
-        let read = self.foca.handle_data(bytes, &mut self.asked).is_ok();
-        self.look();
-        read
-    }
-
-    /// Does what is due. `pick` chooses whom to ask of those that are not there.
-    pub(super) fn tick(&mut self, now: f64, pick: impl FnOnce(usize) -> usize) {
-        self.asked.now = now;
-        // Only what was due before: a process that was frozen is not to catch up on each missed period.
-        let due = self.asked.timers.len();
-        for _ in 0..due {
-            match self.asked.timers.peek() {
-                Some(Reverse(due)) if due.at <= now => {}
+        self.refresh_alive();
+    }
+
+    fn fire_timers(&mut self, now_ms: f64) {
+        // At most as many as there are now: a process that was frozen must not make up for each missed period.
+        for _ in 0..self.runtime.timers.len() {
+            match self.runtime.timers.peek() {
+                Some(Reverse(next)) if next.fires_at_ms <= now_ms => {}
                 _ => break,
             }
-            if let Some(Reverse(due)) = self.asked.timers.pop() {
-                // A timer that has lost its meaning says so by an error.
-                let _ = self.foca.handle_timer(due.timer, &mut self.asked);
+            if let Some(Reverse(next)) = self.runtime.timers.pop() {
+                // The library answers a timer that is obsolete with an error.
+                let _ = self.foca.handle_timer(next.timer, &mut self.runtime);
             }
         }
-        if now >= self.announced + ANNOUNCE {
-            self.announced = now;
-            let missing = self.up.iter().enumerate().filter(|(_, up)| !**up);
-            let missing: Vec<MemberId> = missing.map(|(at, _)| at as MemberId).collect();
-            if !missing.is_empty() {
-                let member = missing[pick(missing.len()) % missing.len()];
-                let _ = self.foca.announce(Id { member, incarnation: 0, renewed: 0 }, &mut self.asked);
-            }
+    }
+
+    fn announce(&mut self, pick: impl FnOnce(usize) -> usize) {
+        let down = self.alive.iter().enumerate().filter(|(_, alive)| !**alive);
+        let down: Vec<MemberId> = down.map(|(member, _)| member as MemberId).collect();
+        if !down.is_empty() {
+            let member = down[pick(down.len()) % down.len()];
+            let identity = SwimIdentity { member, incarnation: 0, renewal: 0 };
+            let _ = self.foca.announce(identity, &mut self.runtime);
         }
-        self.look();
     }
 
-    fn look(&mut self) {
-        if std::mem::take(&mut self.asked.changes) == 0 {
+    fn refresh_alive(&mut self) {
+        if !std::mem::take(&mut self.runtime.has_changed) {
             return;
         }
         let own = usize::from(self.own);
-        self.up.iter_mut().enumerate().for_each(|(at, up)| *up = at == own);
+        self.alive.iter_mut().enumerate().for_each(|(member, alive)| *alive = member == own);
         for member in self.foca.iter_members() {
-            if let Some(up) = self.up.get_mut(usize::from(member.id().member)) {
-                *up = true;
+            if let Some(alive) = self.alive.get_mut(usize::from(member.id().member)) {
+                *alive = true;
             }
         }
     }
 
-    /// Which members are there.
-    pub(super) fn up(&self) -> &[bool] {
-        &self.up
+    /// Whether each member is up, in the order of the operator's file.
+    pub(super) fn alive(&self) -> &[bool] {
+        &self.alive
+    }
+
+    /// The packets to be sent since the last call.
+    pub(super) fn take_packets(&mut self) -> Vec<SwimPacket> {
+        std::mem::take(&mut self.runtime.outgoing)
     }
+}
 
-    /// What is to be sent.
-    pub(super) fn take(&mut self) -> Vec<(MemberId, Vec<u8>)> {
-        std::mem::take(&mut self.asked.send)
+/// The library's settings for a fleet of so many members.
+fn config(members: usize) -> Config {
+    let at_least_one = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
+    // An update reaches all with near certainty after a few times the logarithm of their number.
+    let transmissions = (4 + 2 * members.max(2).ilog2()).min(MAX_TRANSMISSIONS);
+    Config {
+        probe_period: Duration::from_millis(PROBE_PERIOD_MS),
+        probe_rtt: Duration::from_millis(PROBE_TIMEOUT_MS),
+        num_indirect_probes: at_least_one(INDIRECT_PROBES),
+        max_transmissions: NonZeroU8::new(transmissions as u8).unwrap_or(NonZeroU8::MIN),
+        suspect_to_down_after: Duration::from_millis(SUSPICION_TIMEOUT_MS),
+        // The members are those of the operator's file: remembering those that are down takes no growing space.
+        remove_down_after: None,
+        max_packet_size: at_least_one(MAX_PACKET_BYTES),
+        notify_down_members: true,
+        // `Swim::announce` does this, for the members of the operator's file.
+        periodic_announce: None,
+        periodic_announce_to_down_members: None,
+        periodic_gossip: Some(PeriodicParams {
+            frequency: Duration::from_millis(GOSSIP_INTERVAL_MS),
+            num_members: at_least_one(GOSSIP_FANOUT),
+        }),
     }
 }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -23,17 +23,17 @@
 #[test]
 fn heartbeats_are_taken_once_in_any_order_and_others_only_forward() {
     let (mut newest, body) = (ReorderFilter::default(), Body::Consensus(heartbeat()));
-    let takes = |newest: &mut ReorderFilter, number| newest.takes(&frame(number, body.clone()));
+    let takes = |newest: &mut ReorderFilter, number| newest.accept(&frame(number, body.clone()));
     assert!(takes(&mut newest, 9) && takes(&mut newest, 7) && takes(&mut newest, 8));
     assert!(!takes(&mut newest, 8) && !takes(&mut newest, 9), "each once");
     let ask =
-        |newest: &mut ReorderFilter, number| newest.takes(&frame(number, Body::DecisionQuery(Vec::new())));
+        |newest: &mut ReorderFilter, number| newest.accept(&frame(number, Body::DecisionQuery(Vec::new())));
     assert!(ask(&mut newest, 6), "another kind is numbered for itself");
     assert!(!ask(&mut newest, 5) && !ask(&mut newest, 6));
     assert!(takes(&mut newest, 500) && !takes(&mut newest, 10), "too old to tell");
     let later = Frame { incarnation: 6, ..frame(1, body.clone()) };
     assert!(
-        newest.takes(&later) && !takes(&mut newest, 501),
+        newest.accept(&later) && !takes(&mut newest, 501),
         "a later process, and then not the earlier one"
     );
 }
@@ -45,7 +45,7 @@
         let (mut newest, body) = (ReorderFilter::default(), Body::Consensus(heartbeat()));
         let mut taken = std::collections::BTreeSet::new();
         for number in numbers {
-            if newest.takes(&frame(number, body.clone())) {
+            if newest.accept(&frame(number, body.clone())) {
                 prop_assert!(taken.insert(number));
             }
         }
--- a/src/fleet/types.rs
+++ b/src/fleet/types.rs
@@ -1,4 +1,4 @@
-//! What a node is, what it gives out, and what it counts.
+//! What a node is configured with, what it gives out, and what it counts.
 
 use super::documents::DocumentHash;
 use crate::consensus::Write;
@@ -15,7 +15,7 @@
     pub is_voter: bool,
 }
 
-/// What a node is.
+/// The settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The cluster's name.
@@ -25,47 +25,47 @@
     /// All members.
     pub members: Vec<MemberConfig>,
     /// This one.
-    pub own: MemberId,
+    pub member_id: MemberId,
     /// When this process started, in milliseconds of its clock: it tells it from an earlier one.
     pub incarnation: u64,
     /// For random numbers.
     pub seed: u64,
 }
 
-/// What is to be done.
+/// What the caller is to do for a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a datagram to a member.
     Send {
         /// The member.
         to: MemberId,
-        /// The frame.
+        /// The encoded frame.
         bytes: Vec<u8>,
     },
-    /// Write and sync, in order, and tell by `written`.
+    /// Write and sync to the voter's file, in order, and report each by `FleetNode::on_written`.
     Write(Write),
 }
 
-/// What parts are to be told.
+/// An event for a control-plane module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeEvent {
-    /// A message of the same part of another member.
+    /// A message of the same module of another member.
     Message {
-        /// The part.
+        /// The module's topic.
         topic: u8,
-        /// Who sent it.
+        /// The sender.
         from: MemberId,
-        /// The process that sent it, by its start.
+        /// The sender's incarnation.
         incarnation: u64,
-        /// What it says.
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// A decision was read that is newer than any before: `newest` has it.
+    /// A topic has a newer decision: `FleetNode::newest_decision` has it.
     Decided {
-        /// What it is about.
+        /// The topic.
         topic: u8,
     },
-    /// A document that was wanted is here.
+    /// A document that was requested is here.
     Document(DocumentHash),
 }
 
@@ -76,13 +76,13 @@
     pub frames: u64,
     /// Frames that were dropped: of another cluster, damaged, too long, or from nobody.
     pub dropped: u64,
-    /// Frames that came late or twice.
+    /// Frames that were late or repeated.
     pub stale: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
     /// Bytes received.
     pub received_bytes: u64,
-    /// Decisions read.
+    /// Decisions learned.
     pub decisions: u64,
     /// Decisions proposed here.
     pub proposed: u64,
--- a/src/fleet/wire_tests.rs
+++ b/src/fleet/wire_tests.rs
@@ -1,7 +1,7 @@
 //! Guards the form of each kind of frame between dispatchers.
 
-use super::frame::{Body, Decision, Frame};
-use super::swim::Swim;
+use super::frame::{Body, Decision, Frame, KnownEpoch};
+use super::swim::{Swim, SwimPacket};
 use crate::consensus::LeaderTerm;
 use crate::wire_fixture::assert_bytes;
 
@@ -12,11 +12,14 @@
     for (name, body) in [
         ("fleet.swim", Body::Swim(vec![1, 2, 3])),
         ("fleet.consensus", Body::Consensus(vec![4, 5])),
-        ("fleet.ask", Body::DecisionQuery(vec![(1, 300), (2, 4)])),
+        (
+            "fleet.ask",
+            Body::DecisionQuery(vec![KnownEpoch { topic: 1, epoch: 300 }, KnownEpoch { topic: 2, epoch: 4 }]),
+        ),
         ("fleet.news", Body::DecisionUpdate { decisions, term }),
         ("fleet.part", Body::ModuleMessage { topic: 1, bytes: vec![6] }),
-        ("fleet.want", Body::ChunkRequest { hash: [7; 32], at: 300 }),
-        ("fleet.piece", Body::DocumentChunk { hash: [8; 32], length: 70_000, at: 4, bytes: vec![9, 10] }),
+        ("fleet.want", Body::ChunkRequest { hash: [7; 32], index: 300 }),
+        ("fleet.piece", Body::DocumentChunk { hash: [8; 32], length: 70_000, index: 4, bytes: vec![9, 10] }),
     ] {
         let frame = Frame { from: 3, incarnation: 1_700_000_000_000, number: 77, body };
         let bytes = frame.encode("example", 5);
@@ -29,8 +32,8 @@
 fn a_member_is_announced_by_the_same_bytes() {
     let mut swim = Swim::new(1, 3, 1_700_000_000_000, 9);
     swim.tick(0.0, |_| 1);
-    let sent = swim.take();
-    let (to, bytes) = sent.first().expect("it announces itself");
+    let sent = swim.take_packets();
+    let SwimPacket { to, bytes } = sent.first().expect("it announces itself");
     assert_eq!(*to, 2);
     assert_bytes("fleet.swim_announce", bytes);
 }
--- a/src/frontend/fleet/thread.rs
+++ b/src/frontend/fleet/thread.rs
@@ -301,7 +301,7 @@
             cluster: self.config.cluster.clone(),
             generation: self.config.generation,
             members: self.config.places.clone(),
-            own: own as MemberId,
+            member_id: own as MemberId,
             incarnation: now as u64,
             seed: now as u64 ^ (own as u64) << 48,
         };
--- a/src/rollout/coordinator.rs
+++ b/src/rollout/coordinator.rs
@@ -122,7 +122,7 @@
             return;
         }
         slot.leased = slot.leased.max(now + self.rules.over(left));
-        let (epoch, _) = node.newest_decision(TOPIC);
+        let epoch = node.newest_decision(TOPIC).epoch;
         node.send_message(from, TOPIC, Message::LeaseGrant { nonce, lasts: left as u32, epoch }.encode());
     }
 
@@ -167,7 +167,7 @@
     /// Does what is due.
     pub(super) fn tick(&mut self, now: f64, node: &mut FleetNode) {
         self.inherit(node);
-        let decision = PolicyDecision::decode(node.newest_decision(TOPIC).1);
+        let decision = PolicyDecision::decode(node.newest_decision(TOPIC).body);
         let Some(staged) = decision.staged else {
             // What was proposed to be staged may not be decided yet.
             self.staged = self.staged.filter(|(own, _)| own.version > decision.highest);
@@ -195,10 +195,10 @@
                     slot.told.checked == Some((staged.version, None)) && now - slot.heard <= HEARD
                 };
                 let ready = self.missing(now, yes).next().is_none();
-                let own = yes(&self.slots[usize::from(node.own())]);
+                let own = yes(&self.slots[usize::from(node.member_id())]);
                 if ready && own && now >= self.next_hold {
                     self.attempts += 1;
-                    let hold = Pause { term: node.term().0, attempt: self.attempts, version: staged.version };
+                    let hold = Pause { term: node.term(), attempt: self.attempts, version: staged.version };
                     self.phase = Phase::Holding { hold, since: now };
                     self.to_all(node, &Message::Pause(hold));
                 } else if now - since > self.rules.over(self.rules.lease_ms) + CHECKS {
--- a/src/rollout/participant.rs
+++ b/src/rollout/participant.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 
 use super::{LeaseRequest, Message, Pause, PolicyDecision, PolicyVersion, RolloutSettings, TOPIC, cut};
+use crate::consensus::DecisionRef;
 use crate::fleet::{self, DocumentHash, FleetNode};
 
 /// A member tells the leader how it stands so often while nothing changes, in milliseconds.
@@ -178,7 +179,7 @@
 
     /// Follows the newest decision that the node knows.
     pub(super) fn follow(&mut self, now: f64, node: &mut FleetNode) {
-        let (epoch, body) = node.newest_decision(TOPIC);
+        let DecisionRef { epoch, body, .. } = node.newest_decision(TOPIC);
         if epoch > self.epoch {
             let decision = PolicyDecision::decode(body);
             if decision.staged != self.decision.staged {
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -86,7 +86,7 @@
             cluster: "test".into(),
             generation: 1,
             members: places,
-            own,
+            member_id: own,
             incarnation,
             seed,
         };
--- a/src/zones/zone_failover.rs
+++ b/src/zones/zone_failover.rs
@@ -7,6 +7,7 @@
     Digest, FailoverController, FailoverSettings, HealthReports, OutcomeCounter, TOPIC, ZoneSample,
     ZoneSummary, ZoneTable, ZoneView, ZoneViewTracker,
 };
+use crate::consensus::DecisionRef;
 use crate::fleet::{FleetNode, MemberId};
 
 /// What is to be done.
@@ -111,10 +112,10 @@
 
     /// Follows the newest decision that the node knows.
     pub fn follow(&mut self, now: f64, node: &FleetNode) {
-        let (epoch, body) = node.newest_decision(TOPIC);
+        let DecisionRef { epoch, body, .. } = node.newest_decision(TOPIC);
         let known = self.follower.newest().0;
         let table = if epoch > known { ZoneTable::decode(body, self.count) } else { None };
-        let (term, _) = node.term();
+        let term = node.term();
         if !self.follower.on_update(now, epoch, table, term) {
             return;
         }
@@ -140,11 +141,11 @@
     fn send_digest(&mut self, now: f64, node: &mut FleetNode, digest: Digest) {
         let number = digest.number;
         if node.is_voting().is_some() {
-            self.evidence.record(now, node.own(), digest.clone(), self.count);
+            self.evidence.record(now, node.member_id(), digest.clone(), self.count);
         }
         // Into a vector nothing can fail to fit.
         let bytes = postcard::to_stdvec(&DigestMessage(digest)).unwrap_or_default();
-        let (own, leader, voters) = (node.own(), node.leader(), node.voters().to_vec());
+        let (own, leader, voters) = (node.member_id(), node.leader(), node.voters().to_vec());
         let due = |(at, voter): &(usize, MemberId)| {
             let turn = (number + *at as u64).is_multiple_of(FOLLOWERS_EVERY);
             *voter != own && (turn || leader.is_none_or(|leader| leader == *voter))
@@ -172,7 +173,7 @@
             .collect();
         // What the node knows may be newer than what is followed here; then it is looked at first.
         if let Some(next) = decider.next_table(now, table, &self.evidence, &gone)
-            && node.newest_decision(TOPIC).0 == epoch
+            && node.newest_decision(TOPIC).epoch == epoch
             && node.propose(now, TOPIC, next.encode())
         {
             self.last_proposed = epoch + 1;
