--- a/src/consensus/heartbeat.rs
+++ b/src/consensus/heartbeat.rs
@@ -31,7 +31,7 @@
 /// The rounds of one voter. Times are the caller's, in milliseconds.
 #[derive(Debug)]
 pub(super) struct HeartbeatRounds {
-    own: VoterId,
+    voter_id: VoterId,
     voter_count: u64,
     /// The library's number of the current round.
     round: u32,
@@ -72,9 +72,9 @@
 
 impl HeartbeatRounds {
     /// The rounds of a voter that has just started: it does not know what it named before, and assumes just now.
-    pub(super) fn new(own: VoterId, voter_count: u64, now_ms: f64) -> HeartbeatRounds {
+    pub(super) fn new(voter_id: VoterId, voter_count: u64, now_ms: f64) -> HeartbeatRounds {
         HeartbeatRounds {
-            own,
+            voter_id,
             voter_count,
             round: 0,
             round_started_ms: now_ms,
@@ -126,14 +126,14 @@
         (self.round, self.round_started_ms, self.is_confirmed) = (round, now_ms, false);
         self.followers.clear();
         // A leader follows itself.
-        if promise.pid == self.own {
+        if promise.pid == self.voter_id {
             self.record_named_leader(now_ms, promise);
         }
     }
 
     /// A reply to a heartbeat; one to an earlier round, or that names another leader, has no effect.
     pub(super) fn on_reply(&mut self, from: VoterId, reply: &HeartbeatReply, promise: Ballot) {
-        if reply.round == self.round && reply.leader == promise && promise.pid == self.own {
+        if reply.round == self.round && reply.leader == promise && promise.pid == self.voter_id {
             self.followers.insert(from);
         }
     }
@@ -153,7 +153,7 @@
     /// The voters that followed this one in its last confirmed round, itself among them.
     pub(super) fn followers(&self) -> Vec<VoterId> {
         let followers = if self.last_followers.is_empty() { &self.followers } else { &self.last_followers };
-        followers.iter().copied().chain([self.own]).collect()
+        followers.iter().copied().chain([self.voter_id]).collect()
     }
 
     /// When this voter last named a leader other than the one of `ballot`.
@@ -181,7 +181,7 @@
             self.succession = Succession {
                 ballot,
                 latest_ms: self.named_other_than_ms(ballot),
-                replied: BTreeSet::from([self.own]),
+                replied: BTreeSet::from([self.voter_id]),
             };
         }
     }
--- a/src/consensus/message_checks.rs
+++ b/src/consensus/message_checks.rs
@@ -59,8 +59,8 @@
 }
 
 /// Whether a message may be handled by a voter that has so many decided entries. A delayed one could overwrite them:
-/// such an AcceptSync is dropped, and a Promise loses its log. The library would ignore both: it takes no AcceptSync once
-/// it accepts, and reads no log of a Promise once it leads.
+/// such an `AcceptSync` is dropped, and a `Promise` loses its log. The library would ignore both: it takes no `AcceptSync` once
+/// it accepts, and reads no log of a `Promise` once it leads.
 pub(super) fn preserves_decided_entries(
     message: &mut PaxosMessage<Proposal>,
     decided_entries: usize,
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -20,11 +20,11 @@
 //!
 //! | message | Recovering | Voting | Failed |
 //! | --- | --- | --- | --- |
-//! | Paxos (log and heartbeats) | ignored | checked, then handled by the library | ignored |
-//! | StateRequest | replied to with an empty state | replied to with this voter's state | ignored |
-//! | StateReply | collected; the last one starts the voting | ignored | ignored |
-//! | FollowedRequest | ignored | replied to once the ballot is promised | ignored |
-//! | FollowedReply | no effect | counted by a new leader | no effect |
+//! | `Paxos` (log and heartbeats) | ignored | checked, then handled by the library | ignored |
+//! | `StateRequest` | replied to with an empty state | replied to with this voter's state | ignored |
+//! | `StateReply` | collected; the last one starts the voting | ignored | ignored |
+//! | `FollowedRequest` | ignored | replied to once the ballot is promised | ignored |
+//! | `FollowedReply` | no effect | counted by a new leader | no effect |
 //!
 //! # Recovery without the file
 //!
--- a/src/consensus/recovery.rs
+++ b/src/consensus/recovery.rs
@@ -21,8 +21,8 @@
     }
 
     /// The voters that have not sent their state.
-    pub(super) fn missing(&self, own: VoterId, voter_count: u64) -> Vec<VoterId> {
-        let others = (1..=voter_count).filter(|&voter| voter != own);
+    pub(super) fn missing(&self, voter_id: VoterId, voter_count: u64) -> Vec<VoterId> {
+        let others = (1..=voter_count).filter(|&voter| voter != voter_id);
         others.filter(|voter| !self.states.contains_key(voter)).collect()
     }
 }
--- /dev/null
+++ b/src/consensus/tests/heartbeat.rs
@@ -0,0 +1,106 @@
+//! Guards against leases that count from too late a time, and followers that are counted wrongly.
+
+use omnipaxos::ballot_leader_election::Ballot;
+use omnipaxos::messages::ballot_leader_election::{HeartbeatMsg, HeartbeatReply, HeartbeatRequest};
+
+use super::{SimulatedNetwork, TICK_MS};
+use crate::consensus::heartbeat::HeartbeatRounds;
+use crate::consensus::{VoterId, is_heartbeat};
+
+fn ballot(number: u32, voter: VoterId) -> Ballot {
+    Ballot::with(1, number, 0, voter)
+}
+
+fn reply(round: u32, own: Ballot, leader: Ballot) -> HeartbeatReply {
+    HeartbeatReply { round, ballot: own, leader, happy: true }
+}
+
+/// Guards against a lease on the strength of replies that waited in the socket of a leader that stood still.
+#[test]
+fn a_round_counts_from_when_it_was_asked_for() {
+    let mut net = SimulatedNetwork::new(3, 31);
+    net.run(100);
+    let leader = net.replicas[&1].leader().unwrap();
+    let confirmed = |net: &SimulatedNetwork| net.replicas[&leader].last_confirmed_round().unwrap();
+    let before = confirmed(&net);
+    // The leader stands still with its requests on their way, and reads all replies much later.
+    let late = net.tick as f64 * TICK_MS + 60_000.0;
+    let replies: Vec<_> = net.in_transit.extract_if(.., |m| m.2 == leader).collect();
+    let consensus = net.replicas.get_mut(&leader).unwrap();
+    for (_, from, _, bytes) in replies {
+        let _ = consensus.receive(late, from, &bytes);
+    }
+    assert!(confirmed(&net) <= before + 8.0 * TICK_MS, "{} after {before}", confirmed(&net));
+}
+
+/// Guards against an old leader that counts a voter which has promised to follow the next one.
+#[test]
+fn a_voter_names_no_leader_before_the_one_that_it_has_promised_to_follow() {
+    let mut rounds = HeartbeatRounds::new(2, 3, 0.0);
+    let (old, new) = (ballot(1, 1), ballot(2, 3));
+    let mut named = |now: f64, leader: Ballot, promise: Ballot| {
+        let mut heartbeat = HeartbeatMsg::Reply(reply(1, ballot(1, 2), leader));
+        rounds.on_send(now, &mut heartbeat, promise);
+        let HeartbeatMsg::Reply(reply) = heartbeat else { unreachable!("it was a reply") };
+        reply.leader
+    };
+    assert_eq!(named(100.0, old, old), old);
+    assert_eq!(named(300.0, old, new), new, "the library still names the old one");
+    assert_eq!(rounds.ms_since_followed_other(1000.0, new.into(), old), None, "not before its promise");
+    assert_eq!(
+        rounds.ms_since_followed_other(1000.0, new.into(), new),
+        Some(900),
+        "it named the old one at 100"
+    );
+}
+
+/// A new leader knows the last round of the old one from any majority, and not from fewer.
+#[test]
+fn a_new_leader_learns_when_the_old_one_was_last_followed() {
+    let mut rounds = HeartbeatRounds::new(3, 5, 0.0);
+    let new = ballot(2, 3);
+    rounds.begin_leading(new);
+    assert_eq!(rounds.predecessors_last_round(new), None);
+    assert_eq!(rounds.succession_query().voters, [1, 2, 4, 5]);
+    rounds.on_followed_reply(1000.0, 1, new.into(), 700);
+    rounds.on_followed_reply(1000.0, 1, new.into(), 700);
+    assert_eq!(rounds.predecessors_last_round(new), None, "two of five");
+    rounds.on_followed_reply(1010.0, 2, ballot(1, 3).into(), 0);
+    assert_eq!(rounds.predecessors_last_round(new), None, "an answer to an earlier ballot");
+    rounds.on_followed_reply(1010.0, 4, new.into(), 600);
+    assert_eq!(rounds.predecessors_last_round(new), Some(410.0));
+    assert!(rounds.succession_query().voters.is_empty());
+    assert_eq!(rounds.predecessors_last_round(ballot(3, 5)), None, "another leads now");
+}
+
+/// A reply that comes twice is one voter.
+#[test]
+fn a_voter_counts_once_in_a_round() {
+    let mut rounds = HeartbeatRounds::new(1, 5, 0.0);
+    let own = ballot(1, 1);
+    rounds.on_send(100.0, &mut HeartbeatMsg::Request(HeartbeatRequest { round: 7 }), own);
+    for _ in 0..5 {
+        rounds.on_reply(2, &reply(7, ballot(1, 2), own), own);
+    }
+    assert!(!rounds.confirm_round(), "two of five");
+    rounds.on_reply(3, &reply(6, ballot(1, 3), own), own);
+    rounds.on_reply(4, &reply(7, ballot(1, 4), ballot(2, 4)), own);
+    assert!(!rounds.confirm_round(), "another round, and another leader");
+    rounds.on_reply(3, &reply(7, ballot(1, 3), own), own);
+    assert!(rounds.confirm_round() && !rounds.confirm_round(), "once a round");
+    assert_eq!(rounds.round_started_ms(), 100.0);
+}
+
+#[test]
+fn heartbeats_are_distinguished_from_messages_that_need_order() {
+    let mut net = SimulatedNetwork::new(3, 32);
+    let (mut heartbeats, mut others) = (0, 0);
+    for _ in 0..40 {
+        net.run(5);
+        let count = net.in_transit.iter().filter(|m| is_heartbeat(&m.3)).count();
+        heartbeats += count;
+        others += net.in_transit.len() - count;
+    }
+    assert!(heartbeats > 10 && others > 10, "{heartbeats} heartbeats, {others} others");
+    assert!(!is_heartbeat(&[]) && !is_heartbeat(&[9, 9, 9]));
+}
--- a/src/fleet/documents/tests.rs
+++ b/src/fleet/documents/tests.rs
@@ -3,26 +3,26 @@
 use super::*;
 
 fn carry(from: &mut Documents, to: &mut Documents, now: f64) -> bool {
-    let mut whole = false;
+    let mut is_complete = false;
     for request in to.due_requests(now, &[1]) {
         if let Some(chunk) = from.chunk(&request.hash, request.index) {
-            whole |= to.receive_chunk(1, chunk);
+            is_complete |= to.receive_chunk(1, chunk);
         }
     }
-    whole
+    is_complete
 }
 
 #[test]
-fn a_document_of_many_pieces_comes_whole_or_not_at_all() {
+fn a_document_of_many_chunks_arrives_complete_or_not_at_all() {
     let (mut from, mut to) = (Documents::default(), Documents::default());
     let bytes: Vec<u8> = (0..100_000u32).map(|n| (n / 7) as u8).collect();
     let hash = from.store(&bytes).unwrap();
     to.request(hash, None);
-    assert!(!carry(&mut from, &mut to, 0.0), "the first piece tells the length");
-    // Damage on the way: a piece of the right length with another content.
-    let mut piece = from.chunk(&hash, 3).unwrap();
-    piece.bytes[7] ^= 1;
-    assert!(!to.receive_chunk(1, piece));
+    assert!(!carry(&mut from, &mut to, 0.0), "the first chunk tells the length");
+    // Damage on the way: a chunk of the right length with another content.
+    let mut chunk = from.chunk(&hash, 3).unwrap();
+    chunk.bytes[7] ^= 1;
+    assert!(!to.receive_chunk(1, chunk));
     assert!(!carry(&mut from, &mut to, 1000.0), "what is damaged is noticed, and begun anew");
     assert!(to.get(&hash).is_none());
     assert!((2..6).any(|turn| carry(&mut from, &mut to, f64::from(turn) * 1000.0)));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_empty_document_and_one_of_an_exact_number_of_pieces_come_as_well() {
+fn an_empty_document_and_one_of_an_exact_number_of_chunks_arrive() {
     for length in [0, CHUNK_BYTES, 2 * CHUNK_BYTES] {
         let (mut from, mut to) = (Documents::default(), Documents::default());
         let hash = from.store(&vec![9; length]).unwrap();
--- a/src/fleet/swim.rs
+++ b/src/fleet/swim.rs
@@ -136,19 +136,19 @@
     runtime: SwimRuntime,
     /// Whether each member is up; this one always is.
     alive: Vec<bool>,
-    own: MemberId,
+    member_id: MemberId,
     last_announce_ms: f64,
 }
 
 impl Swim {
-    pub(super) fn new(own: MemberId, members: usize, incarnation: u64, seed: u64) -> Swim {
-        let identity = SwimIdentity { member: own, incarnation, renewal: 0 };
+    pub(super) fn new(member_id: MemberId, members: usize, incarnation: u64, seed: u64) -> Swim {
+        let identity = SwimIdentity { member: member_id, incarnation, renewal: 0 };
         let mut alive = vec![false; members];
-        if let Some(alive) = alive.get_mut(usize::from(own)) {
+        if let Some(alive) = alive.get_mut(usize::from(member_id)) {
             *alive = true;
         }
         let foca = Foca::new(identity, config(members), SmallRng::seed_from_u64(seed), PostcardCodec);
-        Swim { foca, runtime: SwimRuntime::default(), alive, own, last_announce_ms: f64::NEG_INFINITY }
+        Swim { foca, runtime: SwimRuntime::default(), alive, member_id, last_announce_ms: f64::NEG_INFINITY }
     }
 
     /// A packet of the protocol.
@@ -201,7 +201,7 @@
         if !std::mem::take(&mut self.runtime.has_changed) {
             return;
         }
-        let own = usize::from(self.own);
+        let own = usize::from(self.member_id);
         self.alive.iter_mut().enumerate().for_each(|(member, alive)| *alive = member == own);
         for member in self.foca.iter_members() {
             if let Some(alive) = self.alive.get_mut(usize::from(member.id().member)) {
