--- a/src/consensus/heartbeat.rs
+++ b/src/consensus/heartbeat.rs
@@ -150,7 +150,8 @@
         self.round_started_ms
     }
 
-    /// The voters that followed this one in its last confirmed round, itself among them.
+    /// The voters that followed this one in the last finished round that a majority followed, itself among them; those of
+    /// the current round so far where no such round has finished under this ballot.
     pub(super) fn followers(&self) -> Vec<VoterId> {
         let followers = if self.last_followers.is_empty() { &self.followers } else { &self.last_followers };
         followers.iter().copied().chain([self.voter_id]).collect()
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -33,6 +33,7 @@
 //! of a fleet is the same case.
 
 mod heartbeat;
+mod library;
 mod message;
 mod message_checks;
 mod recovery;
--- a/src/consensus/tests/mod.rs
+++ b/src/consensus/tests/mod.rs
@@ -57,14 +57,14 @@
 
     fn start(&mut self, own: VoterId) {
         self.starts += 1;
-        let setup =
+        let config =
             ConsensusConfig { voter_id: own, voter_count: self.voters, generation: 1, nonce: self.starts };
-        let kept = self
+        let persisted = self
             .disks
             .get(&own)
             .map(|bytes| vote_file::read(bytes, 1).unwrap().persisted)
             .unwrap_or_default();
-        self.replicas.insert(own, Consensus::new(setup, kept, self.tick as f64 * TICK_MS).unwrap());
+        self.replicas.insert(own, Consensus::new(config, persisted, self.tick as f64 * TICK_MS).unwrap());
         // A process that starts knows what its disk says at least.
         self.known.remove(&own);
     }
--- a/src/consensus/types.rs
+++ b/src/consensus/types.rs
@@ -19,7 +19,7 @@
     pub voter_count: u64,
     /// The fleet's generation: raised by operators who start anew after a majority's disks were lost.
     pub generation: u32,
-    /// Differs at each start: it tells replies to this process from those to an earlier one.
+    /// Differs at each start: it distinguishes replies to this process from those to an earlier one.
     pub nonce: u64,
 }
 
@@ -43,11 +43,11 @@
     /// The bytes are no message.
     #[error("a message that does not decode")]
     Malformed,
-    /// The message names another sender or receiver than the link that it came by.
-    #[error("a message that was addressed otherwise")]
+    /// The message names another sender or receiver than the link that it arrived on.
+    #[error("a message whose sender or receiver differs from its link")]
     Misaddressed,
     /// The message is of a kind or size that voters of this program do not send.
-    #[error("a message past its bounds")]
+    #[error("a message of an unexpected kind or size")]
     OutOfBounds,
 }
 
--- a/src/consensus/vote_file.rs
+++ b/src/consensus/vote_file.rs
@@ -16,7 +16,7 @@
 //!   12  body            `Vec<Change>` by postcard
 //! ```
 //!
-//! The length has a checksum of its own, so that a damaged length in the middle is told from a torn last frame.
+//! The length has a checksum of its own, so that a damaged length in the middle is not mistaken for a torn last frame.
 
 use thiserror::Error;
 
--- a/src/consensus/voter.rs
+++ b/src/consensus/voter.rs
@@ -6,9 +6,9 @@
 use omnipaxos::messages::Message as PaxosMessage;
 use omnipaxos::messages::ballot_leader_election::HeartbeatMsg;
 use omnipaxos::util::LogEntry;
-use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
 use super::heartbeat::{HeartbeatRounds, LeaderBallot};
+use super::library::{self, Paxos, RESEND_INTERVAL_TICKS, is_led_by};
 use super::message::Message;
 use super::message_checks::{expand_partial_snapshot, is_within_bounds, preserves_decided_entries};
 use super::recovery::Recovery;
@@ -19,10 +19,6 @@
 };
 use super::vote_file::VoteFileWriter;
 
-/// Ticks of a heartbeat round, 200 ms: a leader that is silent for two or three rounds is replaced.
-const HEARTBEAT_ROUND_TICKS: u64 = 4;
-/// Ticks after which what was not answered is sent again, 400 ms: two heartbeat rounds, so that a reply has had its time.
-const RESEND_INTERVAL_TICKS: u64 = 8;
 /// Ticks after which a new leader asks voters again whom they followed before, 100 ms. Shorter than the resend interval,
 /// since a rollout waits for the replies.
 const FOLLOWED_REQUEST_INTERVAL_TICKS: u64 = 2;
@@ -31,14 +27,12 @@
 /// Fillers are proposed while fewer entries than this are undecided, so that a leader without a majority does not fill
 /// its log with them.
 const MAX_UNDECIDED_FOR_FILLER: usize = SNAPSHOT_AFTER_ENTRIES;
-/// Messages that the library makes room for at first.
-const MESSAGE_BUFFER_SIZE: usize = 64;
 
 /// The states; `Consensus::start_voting` and `Consensus::fail` make all transitions.
 enum Phase {
     /// Its file was lost or never written: it collects the states of the others.
     Recovering(Recovery),
-    Voting(Box<OmniPaxos<Proposal, MemoryStorage>>),
+    Voting(Box<Paxos>),
     /// Its disk failed, or the library refused its settings: it votes no more.
     Failed,
 }
@@ -102,23 +96,8 @@
 
     /// Recovering to Voting. The whole state is written first, whatever the file was.
     fn start_voting(&mut self, persisted: Persisted) -> Result<(), ConsensusError> {
-        let config = OmniPaxosConfig {
-            cluster_config: ClusterConfig {
-                configuration_id: self.config.generation.max(1),
-                nodes: (1..=self.config.voter_count).collect(),
-                flexible_quorum: None,
-            },
-            server_config: ServerConfig {
-                pid: self.config.voter_id,
-                election_tick_timeout: HEARTBEAT_ROUND_TICKS,
-                resend_message_tick_timeout: RESEND_INTERVAL_TICKS,
-                buffer_size: MESSAGE_BUFFER_SIZE,
-                ..ServerConfig::default()
-            },
-        };
         self.storage = MemoryStorage::new(persisted);
-        let paxos =
-            config.build(self.storage.clone()).map_err(|e| ConsensusError::Settings(e.to_string()))?;
+        let paxos = library::build(&self.config, self.storage.clone())?;
         self.phase = Phase::Voting(Box::new(paxos));
         self.apply_decided();
         Ok(())
@@ -132,23 +111,25 @@
 
     /// Whether it votes.
     pub fn is_voting(&self) -> bool {
-        matches!(self.phase, Phase::Voting(_))
+        self.paxos().is_some()
     }
 
-    /// The voter that leads, as far as is known here.
-    pub fn leader(&self) -> Option<VoterId> {
+    /// The library's state, while this voter votes.
+    fn paxos(&self) -> Option<&Paxos> {
         match &self.phase {
-            Phase::Voting(paxos) => paxos.get_current_leader().map(|(leader, _)| leader),
-            _ => None,
+            Phase::Voting(paxos) => Some(paxos),
+            Phase::Recovering(_) | Phase::Failed => None,
         }
     }
 
+    /// The voter that leads, as far as is known here.
+    pub fn leader(&self) -> Option<VoterId> {
+        self.paxos()?.get_current_leader().map(|(leader, _)| leader)
+    }
+
     /// Whether this voter leads and can propose.
     pub fn is_leader(&self) -> bool {
-        match &self.phase {
-            Phase::Voting(paxos) => is_led_by(paxos, self.config.voter_id),
-            _ => false,
-        }
+        self.paxos().is_some_and(|paxos| is_led_by(paxos, self.config.voter_id))
     }
 
     /// What is decided.
@@ -161,7 +142,8 @@
         self.term
     }
 
-    /// The voters that followed this one in the last round; none where it does not lead.
+    /// The voters that followed this one in the last round that a majority followed, itself among them; none where it does
+    /// not lead.
     pub fn followers(&self) -> Vec<VoterId> {
         if self.is_leader() { self.heartbeat.followers() } else { Vec::new() }
     }
@@ -169,8 +151,7 @@
     /// When the last round began that a majority followed this voter in, in milliseconds of the caller's clock; none where
     /// it does not lead, or was not followed under this ballot yet.
     pub fn last_confirmed_round(&self) -> Option<f64> {
-        let Phase::Voting(paxos) = &self.phase else { return None };
-        let promise = paxos.get_promise();
+        let promise = self.paxos()?.get_promise();
         let is_own_term = self.term.ballot == promise.n && self.term.leader == promise.pid;
         (is_own_term && self.is_leader()).then_some(self.confirmed_round_ms)
     }
@@ -178,19 +159,17 @@
     /// The latest time, in milliseconds of the caller's clock, at which a leader before this one may have begun a round
     /// that a majority followed; none where this voter does not lead, or does not know yet.
     pub fn predecessors_last_round(&self) -> Option<f64> {
-        let Phase::Voting(paxos) = &self.phase else { return None };
-        self.heartbeat.predecessors_last_round(paxos.get_promise()).filter(|_| self.is_leader())
+        let promise = self.paxos()?.get_promise();
+        self.heartbeat.predecessors_last_round(promise).filter(|_| self.is_leader())
     }
 
     /// Whether all that is in its log is decided.
     pub fn log_is_committed(&self) -> bool {
-        match &self.phase {
-            Phase::Voting(paxos) => paxos.get_accepted_idx() <= paxos.get_decided_idx(),
-            _ => false,
-        }
+        self.paxos().is_some_and(|paxos| paxos.get_accepted_idx() <= paxos.get_decided_idx())
     }
 
-    /// How many proposals had no effect, since another decision was made before them.
+    /// How many proposals of the log, as far as it was applied here, had no effect since another decision was made before
+    /// them.
     pub fn superseded(&self) -> u64 {
         self.superseded
     }
@@ -304,7 +283,7 @@
     }
 
     fn reply_to_followed_request(&mut self, from: VoterId, ballot: LeaderBallot) {
-        let Phase::Voting(paxos) = &self.phase else { return };
+        let Some(paxos) = self.paxos() else { return };
         let ago_ms = self.heartbeat.ms_since_followed_other(self.now_ms, ballot, paxos.get_promise());
         if let Some(ago_ms) = ago_ms {
             self.send(from, &Message::FollowedReply { ballot, ago_ms });
@@ -352,11 +331,9 @@
 
     /// Raises the term for the current round, once a majority follows this voter in it.
     fn confirm_round(&mut self) {
-        let Phase::Voting(paxos) = &self.phase else { return };
-        if !is_led_by(paxos, self.config.voter_id) {
+        let Some(ballot) = self.paxos().map(Paxos::get_promise).filter(|_| self.is_leader()) else {
             return;
-        }
-        let ballot = paxos.get_promise();
+        };
         self.heartbeat.begin_leading(ballot);
         if !self.heartbeat.confirm_round() {
             return;
@@ -399,8 +376,3 @@
         (!is_empty).then_some(Batch { write, messages })
     }
 }
-
-/// Whether `voter` leads, has finished its prepare phase, and so can propose.
-fn is_led_by(paxos: &OmniPaxos<Proposal, MemoryStorage>, voter: VoterId) -> bool {
-    paxos.get_current_leader() == Some((voter, true))
-}
--- a/src/consensus/wire_tests.rs
+++ b/src/consensus/wire_tests.rs
@@ -36,8 +36,8 @@
     let ballot = LeaderBallot::from(ballot());
     note("consensus.followed_request", &Message::FollowedRequest { ballot });
     note("consensus.followed_reply", &Message::FollowedReply { ballot, ago_ms: 1500 });
-    let setup = ConsensusConfig { voter_id: 1, voter_count: 3, generation: 1, nonce: 1 };
-    let mut voter = Consensus::new(setup, Some(Persisted::default()), 0.0).unwrap();
+    let config = ConsensusConfig { voter_id: 1, voter_count: 3, generation: 1, nonce: 1 };
+    let mut voter = Consensus::new(config, Some(Persisted::default()), 0.0).unwrap();
     voter.tick(50.0);
     let sent = voter.take_batch().unwrap().messages;
     assert_bytes("consensus.heartbeat", &sent.first().expect("a heartbeat").bytes);
@@ -65,8 +65,8 @@
 fn a_stored_voters_file_is_read_and_used() {
     let content = vote_file::read(STORED, 1).unwrap();
     assert_eq!(content.valid_bytes, STORED.len());
-    let setup = ConsensusConfig { voter_id: 1, voter_count: 3, generation: 1, nonce: 1 };
-    let mut voter = Consensus::new(setup, content.persisted, 0.0).unwrap();
+    let config = ConsensusConfig { voter_id: 1, voter_count: 3, generation: 1, nonce: 1 };
+    let mut voter = Consensus::new(config, content.persisted, 0.0).unwrap();
     assert!(voter.is_voting(), "it remembers, and need not ask the others");
     assert_eq!(voter.decided().newest(crate::rollout::TOPIC).epoch, 4, "two versions, staged and in force");
     let Some(Write::Replace(bytes)) = voter.take_batch().map(|batch| batch.write) else {
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! The node of a member: it takes frames, drives membership, consensus and documents, and gives out effects and events.
+//! The node of a member: it takes frames, drives membership, consensus and documents, and collects effects and events for the caller.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -371,7 +371,8 @@
         self.consensus.as_ref().is_some_and(Consensus::log_is_committed)
     }
 
-    /// How many proposals had no effect, since another decision was made before them.
+    /// How many proposals of the log, as far as it was applied here, had no effect since another decision was made before
+    /// them; 0 where this member is no voter.
     pub fn superseded(&self) -> u64 {
         self.consensus.as_ref().map_or(0, Consensus::superseded)
     }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -8,8 +8,8 @@
 
 /// A heartbeat as a voter sends it.
 fn heartbeat() -> Vec<u8> {
-    let setup = ConsensusConfig { voter_id: 1, voter_count: 3, generation: 1, nonce: 1 };
-    let mut voter = Consensus::new(setup, Some(Persisted::default()), 0.0).unwrap();
+    let config = ConsensusConfig { voter_id: 1, voter_count: 3, generation: 1, nonce: 1 };
+    let mut voter = Consensus::new(config, Some(Persisted::default()), 0.0).unwrap();
     voter.tick(50.0);
     let sent = voter.take_batch().unwrap().messages;
     sent.into_iter().map(|message| message.bytes).find(|bytes| is_heartbeat(bytes)).unwrap()
--- a/src/fleet/types.rs
+++ b/src/fleet/types.rs
@@ -26,7 +26,7 @@
     pub members: Vec<MemberConfig>,
     /// This one.
     pub member_id: MemberId,
-    /// When this process started, in milliseconds of its clock: it tells it from an earlier one.
+    /// When this process started, in milliseconds of its clock: it distinguishes this process from an earlier one.
     pub incarnation: u64,
     /// For random numbers.
     pub seed: u64,
