--- a/src/consensus/voter.rs
+++ b/src/consensus/voter.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The voter that leads, as far as is known here.
+    /// The voter that this one has promised to follow, which leads or is about to.
     pub fn leader(&self) -> Option<VoterId> {
         self.paxos()?.get_current_leader().map(|(leader, _)| leader)
     }
--- a/src/fleet/delivery.rs
+++ b/src/fleet/delivery.rs
@@ -36,7 +36,7 @@
         Body::ModuleMessage { topic, .. } => {
             FIRST_MODULE_CHANNEL + usize::from(*topic) % (CHANNEL_COUNT - FIRST_MODULE_CHANNEL)
         }
-        Body::ChunkRequest { .. } | Body::DocumentChunk { .. } => return DeliveryOrder::Unordered,
+        Body::ChunkRequest { .. } | Body::DocumentChunk(_) => return DeliveryOrder::Unordered,
     };
     DeliveryOrder::NewestOnly { channel }
 }
--- a/src/fleet/documents.rs
+++ b/src/fleet/documents.rs
@@ -11,6 +11,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
+use serde::{Deserialize, Serialize};
+
 use super::types::MemberId;
 
 /// A document's name: the BLAKE3 hash of its bytes.
@@ -39,15 +41,17 @@
     hash[..SHORT_HASH_BYTES].iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A part of a document.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Chunk {
-    pub(super) hash: DocumentHash,
+/// A part of a document, as frames carry it.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Chunk {
+    /// The document.
+    pub hash: DocumentHash,
     /// Length of the document, in bytes.
-    pub(super) document_bytes: u32,
+    pub document_bytes: u32,
     /// The chunk's place in the document, from 0.
-    pub(super) index: u16,
-    pub(super) bytes: Vec<u8>,
+    pub index: u16,
+    /// Its bytes.
+    pub bytes: Vec<u8>,
 }
 
 /// A chunk that is to be requested of a member.
--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::documents::DocumentHash;
+use super::documents::{Chunk, DocumentHash};
 use super::types::MemberId;
 use crate::consensus::LeaderTerm;
 
@@ -96,16 +96,7 @@
         index: u16,
     },
     /// A chunk of a document.
-    DocumentChunk {
-        /// The document.
-        hash: DocumentHash,
-        /// The document's length in bytes.
-        length: u32,
-        /// The chunk's place in the document, from 0.
-        index: u16,
-        /// The datagram of this frame.
-        bytes: Vec<u8>,
-    },
+    DocumentChunk(Chunk),
 }
 
 #[derive(Serialize, Deserialize)]
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 #[cfg(test)]
 mod wire_tests;
 
-pub use documents::{DocumentHash, MAX_DOCUMENT_BYTES, hash, short};
+pub use documents::{Chunk, DocumentHash, MAX_DOCUMENT_BYTES, hash, short};
 pub use frame::{Body, Decision, Frame, FrameError, KnownEpoch, MAX_FRAME_BYTES};
 pub use node::{FleetNode, MAX_MEMBERS, TICK_MS};
 pub use types::{Effect, MemberConfig, MemberId, NodeConfig, NodeCounters, NodeEvent};
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -5,7 +5,7 @@
 
 use super::decision_exchange::KnownDecisions;
 use super::delivery::ReorderFilter;
-use super::documents::{Chunk, DocumentHash, Documents};
+use super::documents::{DocumentHash, Documents};
 use super::frame::{Body, Frame, FrameError, MAX_FRAME_BYTES};
 use super::swim::Swim;
 use super::types::{Effect, MemberConfig, MemberId, NodeConfig, NodeCounters, NodeEvent};
@@ -185,13 +185,12 @@
                 }
             }
             Body::ChunkRequest { hash, index } => {
-                if let Some(Chunk { hash, document_bytes, index, bytes }) = self.documents.chunk(&hash, index)
-                {
-                    self.send(from, Body::DocumentChunk { hash, length: document_bytes, index, bytes });
+                if let Some(chunk) = self.documents.chunk(&hash, index) {
+                    self.send(from, Body::DocumentChunk(chunk));
                 }
             }
-            Body::DocumentChunk { hash, length, index, bytes } => {
-                let chunk = Chunk { hash, document_bytes: length, index, bytes };
+            Body::DocumentChunk(chunk) => {
+                let hash = chunk.hash;
                 if self.documents.receive_chunk(from, chunk) {
                     self.events.push_back(NodeEvent::Document(hash));
                 }
--- a/src/fleet/wire_tests.rs
+++ b/src/fleet/wire_tests.rs
@@ -1,5 +1,6 @@
 //! Guards the form of each kind of frame between dispatchers.
 
+use super::documents::Chunk;
 use super::frame::{Body, Decision, Frame, KnownEpoch};
 use super::swim::{Swim, SwimPacket};
 use crate::consensus::LeaderTerm;
@@ -19,7 +20,15 @@
         ("fleet.news", Body::DecisionUpdate { decisions, term }),
         ("fleet.part", Body::ModuleMessage { topic: 1, bytes: vec![6] }),
         ("fleet.want", Body::ChunkRequest { hash: [7; 32], index: 300 }),
-        ("fleet.piece", Body::DocumentChunk { hash: [8; 32], length: 70_000, index: 4, bytes: vec![9, 10] }),
+        (
+            "fleet.piece",
+            Body::DocumentChunk(Chunk {
+                hash: [8; 32],
+                document_bytes: 70_000,
+                index: 4,
+                bytes: vec![9, 10],
+            }),
+        ),
     ] {
         let frame = Frame { from: 3, incarnation: 1_700_000_000_000, number: 77, body };
         let bytes = frame.encode("example", 5);
