--- a/src/frontend/fleet/open_node.rs
+++ b/src/frontend/fleet/open_node.rs
@@ -204,7 +204,7 @@
         cluster: config.cluster.clone(),
         generation: config.generation,
         members: config.members.clone(),
-        own: config.own as MemberId,
+        member_id: config.own as MemberId,
         incarnation: now_ms as u64,
         seed: now_ms as u64 ^ (config.own as u64) << 48,
     };
--- a/src/frontend/fleet/vote_log.rs
+++ b/src/frontend/fleet/vote_log.rs
@@ -1,5 +1,5 @@
 //! The voter's file: read at the start, and written by a thread of its own, since a sync blocks. Its form is
-//! `crate::consensus::file`'s.
+//! `crate::consensus::vote_file`'s.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write as _};
@@ -10,7 +10,7 @@
 use calloop::channel::{Channel, Sender, channel};
 use thiserror::Error;
 
-use crate::consensus::{Persisted, Write, file};
+use crate::consensus::{Persisted, Write, vote_file};
 
 /// Writes that may wait for the thread.
 const MAX_WAITING_WRITES: usize = 256;
@@ -28,7 +28,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
-    File(#[from] file::FileError),
+    File(#[from] vote_file::FileError),
 }
 
 /// How a write has ended.
@@ -53,20 +53,20 @@
     let mut bytes = Vec::new();
     match File::open(path) {
         Ok(file) => {
-            file.take(file::MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes)?;
+            file.take(vote_file::MAX_FILE_BYTES as u64 + 1).read_to_end(&mut bytes)?;
         }
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(e.into()),
     }
-    match file::read(&bytes, generation) {
-        Ok((persisted, valid_bytes)) => {
-            if valid_bytes < bytes.len() {
-                let cut_bytes = bytes.len() - valid_bytes;
+    match vote_file::read(&bytes, generation) {
+        Ok(content) => {
+            if content.valid_bytes < bytes.len() {
+                let cut_bytes = bytes.len() - content.valid_bytes;
                 tracing::warn!(path = %path.display(), cut_bytes, "torn end of the voter's file cut");
             }
-            Ok(persisted)
+            Ok(content.persisted)
         }
-        Err(file::FileError::Generation(old)) if old < generation => {
+        Err(vote_file::FileError::Generation(old)) if old < generation => {
             tracing::info!(path = %path.display(), old, generation, "voter's file of an earlier generation ignored");
             Ok(None)
         }
--- a/src/frontend/fleet/vote_log/tests.rs
+++ b/src/frontend/fleet/vote_log/tests.rs
@@ -20,9 +20,9 @@
     fs::create_dir_all(&dir).unwrap();
     let path = dir.join("state");
     let (disk, told) = VoteLog::start(path.clone()).unwrap();
-    assert!(disk.write(Write::Replace(file::head(1))));
+    assert!(disk.write(Write::Replace(vote_file::encode_header(1))));
     assert!(wait(&told));
-    assert!(disk.write(Write::Append(file::frame(&[]))));
+    assert!(disk.write(Write::Append(vote_file::encode_frame(&[]))));
     assert!(wait(&told));
     assert!(read(&path, 1).unwrap().is_some());
     assert!(read(&path, 2).unwrap().is_none(), "a new generation begins");
