--- a/rig/src/datagrams.rs
+++ b/rig/src/datagrams.rs
@@ -29,6 +29,9 @@
 impl Addresses {
     /// Some that were free a moment ago, for the processes to take: on a host address of this run's own, lest others
     /// take them meanwhile.
+    ///
+    /// # Errors
+    /// Where a socket, a thread or a process cannot be had.
     pub fn free(count: usize, seed: u64) -> Result<Addresses, RigError> {
         let pid = std::process::id();
         let own = SocketAddr::from(([127, 100 + (pid >> 8) as u8 % 100, pid as u8, seed as u8], 0));
@@ -74,6 +77,9 @@
 
 impl Datagrams {
     /// A layer between processes at these addresses.
+    ///
+    /// # Errors
+    /// Where a socket, a thread or a process cannot be had.
     pub fn start(addresses: &[SocketAddr], seed: u64) -> Result<Datagrams, RigError> {
         let mut sockets = Vec::new();
         let mut doors = BTreeMap::new();
--- a/rig/src/dispatch.rs
+++ b/rig/src/dispatch.rs
@@ -11,6 +11,9 @@
 use crate::streams::operator;
 
 /// Runs the three ways over the same slow uploads, and prints what each cost.
+///
+/// # Errors
+/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
 pub fn experiment(count: usize, rate: u64, least_kb_s: u64) -> Result<String, RigError> {
     let binary = build()?;
     let mut line = Vec::new();
--- a/rig/src/http.rs
+++ b/rig/src/http.rs
@@ -16,6 +16,9 @@
 
 impl Http {
     /// Over a connection that is open.
+    ///
+    /// # Errors
+    /// Where a socket, a thread or a process cannot be had.
     pub fn over(stream: TcpStream, patience: Duration) -> std::io::Result<Http> {
         stream.set_read_timeout(Some(patience))?;
         stream.set_nodelay(true)?;
@@ -23,16 +26,25 @@
     }
 
     /// Over a new connection.
+    ///
+    /// # Errors
+    /// Where a socket, a thread or a process cannot be had.
     pub fn connect(address: SocketAddr, patience: Duration) -> std::io::Result<Http> {
         Http::over(TcpStream::connect_timeout(&address, Duration::from_secs(1))?, patience)
     }
 
     /// Writes a message.
+    ///
+    /// # Errors
+    /// Where the connection breaks or is silent for too long.
     pub fn write(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
 
     /// A whole message: its head and its body.
+    ///
+    /// # Errors
+    /// Where the connection breaks or is silent for too long.
     pub fn read(&mut self) -> std::io::Result<(String, String)> {
         let (mut head, mut length) = (String::new(), 0);
         loop {
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -44,11 +44,17 @@
 }
 
 /// Says what was tried, where the system refuses it.
+///
+/// # Errors
+/// The error of the result, with what was tried.
 pub fn tried<T>(what: &str, result: std::io::Result<T>) -> Result<T, RigError> {
     result.map_err(|cause| RigError::System { what: what.into(), cause })
 }
 
 /// Whether a proof holds: each of these is 0, and half of the jobs were served at least.
+///
+/// # Errors
+/// Where one of the figures is not 0, or too little was served.
 pub fn proved(zeros: &[(&str, u64)], jobs: u64, served: u64) -> Result<(), RigError> {
     match zeros.iter().find(|zero| zero.1 > 0) {
         Some((name, count)) => Err(RigError::Disproved(format!("{name} is {count}"))),
--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -224,82 +224,45 @@
     }
 }
 
+/// The last line of an experiment: its figures. Where its proof fails they are printed all the same.
+fn report(line: String, proof: Result<(), RigError>) -> Result<String, RigError> {
+    if proof.is_err() {
+        println!("{line}");
+    }
+    proof.map(|()| line)
+}
+
+fn disproved(what: impl Into<String>) -> RigError {
+    RigError::Disproved(what.into())
+}
+
 fn run(experiment: Experiment) -> Result<String, RigError> {
     match experiment {
-        Experiment::Streams {
-            count,
-            mb,
-            slow,
-            slow_kb_s,
-            slow_mb,
-            least_kb_s,
-            pipes,
-            ceiling_mb,
-            bare_mb,
-        } => {
-            let plan = Plan {
-                count,
-                bytes: mb * 1_000_000,
-                slow: slow.min(count),
-                slow_rate: slow_kb_s * 1000,
-                slow_bytes: slow_mb.unwrap_or(mb) * 1_000_000,
-                least_kb_s,
-                pipes: pipes.unwrap_or(count),
-                ceiling_mb,
-                bare_bytes: bare_mb.unwrap_or((mb / 10).max(1)) * 1_000_000,
-            };
-            let figures = streams::experiment(&plan)?;
-            let proved = figures.proves(&plan);
-            if let Err(e) = proved {
-                println!("{}", figures.line());
-                return Err(e);
-            }
-            Ok(figures.line())
-        }
+        Experiment::Streams { .. } => run_streams(&experiment),
         Experiment::Zones { dispatchers, zones, seconds, seed, rate, fault, alone } => {
             if dispatchers < 3 || zones < 2 || zones > dispatchers {
-                return Err(RigError::Disproved("3 dispatchers and 2 zones are needed at least".into()));
+                return Err(disproved("3 dispatchers and 2 zones are needed at least"));
             }
-            let only = match fault.as_deref().map(|name| (name, micabeam_rig::zones::Fault::named(name))) {
-                Some((name, None)) => return Err(RigError::Disproved(format!("there is no fault `{name}`"))),
-                named => named.and_then(|(_, fault)| fault),
-            };
+            let only = named_fault(fault.as_deref())?;
             let plan =
                 micabeam_rig::zones::Plan { dispatchers, zones, seconds, seed, rate, agreed: !alone, only };
             let figures = micabeam_rig::zones::experiment(&plan)?;
-            if let Err(e) = figures.proves() {
-                println!("{}", figures.line());
-                return Err(e);
-            }
-            Ok(figures.line())
+            report(figures.line(), figures.proves())
         }
         Experiment::Upgrade { rounds, rate, seed } => {
             let figures = upgrade::experiment(&upgrade::Plan { rounds, rate, seed })?;
-            if let Err(e) = figures.proves() {
-                println!("{}", figures.line());
-                return Err(e);
-            }
-            Ok(figures.line())
+            report(figures.line(), figures.proves())
         }
         Experiment::Rollout { dispatchers, seconds, seed, alone } => {
             if dispatchers < 3 {
-                return Err(RigError::Disproved("3 dispatchers are needed at least".into()));
-            }
-            let plan = rollout::Plan { dispatchers, seconds, seed, agreed: !alone };
-            let figures = rollout::experiment(&plan)?;
-            if let Err(e) = figures.proves() {
-                println!("{}", figures.line());
-                return Err(e);
+                return Err(disproved("3 dispatchers are needed at least"));
             }
-            Ok(figures.line())
+            let figures = rollout::experiment(&rollout::Plan { dispatchers, seconds, seed, agreed: !alone })?;
+            report(figures.line(), figures.proves())
         }
         Experiment::Scale(arguments) => {
             let figures = scale::experiment(&arguments.plan())?;
-            if let Err(e) = figures.proves() {
-                println!("{}", figures.line());
-                return Err(e);
-            }
-            Ok(figures.line())
+            report(figures.line(), figures.proves())
         }
         Experiment::Lists { workers, out } => Ok(scale::play_list(workers, out)?.line()),
         Experiment::Ladder { mb, pipes } => ladder(mb, pipes),
@@ -310,6 +273,36 @@
     }
 }
 
+/// The one fault that is to be played, where one is named.
+fn named_fault(name: Option<&str>) -> Result<Option<micabeam_rig::zones::Fault>, RigError> {
+    let Some(name) = name else { return Ok(None) };
+    match micabeam_rig::zones::Fault::named(name) {
+        Some(fault) => Ok(Some(fault)),
+        None => Err(disproved(format!("there is no fault `{name}`"))),
+    }
+}
+
+fn run_streams(experiment: &Experiment) -> Result<String, RigError> {
+    let &Experiment::Streams { count, mb, slow, slow_kb_s, slow_mb, least_kb_s, pipes, ceiling_mb, bare_mb } =
+        experiment
+    else {
+        return Err(disproved("no experiment with streams"));
+    };
+    let plan = Plan {
+        count,
+        bytes: mb * 1_000_000,
+        slow: slow.min(count),
+        slow_rate: slow_kb_s * 1000,
+        slow_bytes: slow_mb.unwrap_or(mb) * 1_000_000,
+        least_kb_s,
+        pipes: pipes.unwrap_or(count),
+        ceiling_mb,
+        bare_bytes: bare_mb.unwrap_or((mb / 10).max(1)) * 1_000_000,
+    };
+    let figures = streams::experiment(&plan)?;
+    report(figures.line(), figures.proves(&plan))
+}
+
 fn main() -> ExitCode {
     match run(Arguments::parse().experiment) {
         Ok(line) => {
--- a/rig/src/peers.rs
+++ b/rig/src/peers.rs
@@ -234,8 +234,7 @@
             // The server tells what it got.
             Way::Up => {
                 let size = header(&headers, "rig-size").unwrap_or(0);
-                let hash =
-                    headers.iter().find(|(n, _)| n == "rig-hash").map(|(_, v)| v.as_str()).unwrap_or("");
+                let hash = headers.iter().find(|(n, _)| n == "rig-hash").map_or("", |(_, v)| v.as_str());
                 (size, u64::from_str_radix(hash, 16).unwrap_or(0))
             }
         };
@@ -248,6 +247,9 @@
 }
 
 /// A connection that waits long and no longer.
+///
+/// # Errors
+/// Where a socket, a thread or a process cannot be had.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
@@ -268,6 +270,9 @@
 }
 
 /// Starts a stand-in server; it runs until the process ends.
+///
+/// # Errors
+/// Where the process, its files or its sockets fail.
 pub fn serve() -> Result<(SocketAddr, Arc<Seen>), RigError> {
     let listener = tried("a stand-in server", TcpListener::bind("127.0.0.1:0"))?;
     let address = tried("a stand-in server", listener.local_addr())?;
@@ -289,6 +294,9 @@
 }
 
 /// Starts a thread of the rig's.
+///
+/// # Panics
+/// Where the system has no thread left.
 pub fn spawn<T: Send + 'static>(run: impl FnOnce() -> T + Send + 'static) -> thread::JoinHandle<T> {
     // The system has no thread left: there is nothing to measure then.
     thread::Builder::new().stack_size(STACK).spawn(run).expect("a thread starts")
--- a/rig/src/process.rs
+++ b/rig/src/process.rs
@@ -20,6 +20,9 @@
 
 impl Process {
     /// Starts it and waits until its front and its console listen. The command names the binary and its files.
+    ///
+    /// # Errors
+    /// Where a socket, a thread or a process cannot be had.
     pub fn start(mut command: Command) -> Result<Process, RigError> {
         for variable in ["LB_LISTEN", "LB_DISCOVERY", "LB_NAME", "LB_CONSOLE"] {
             command.env_remove(variable);
@@ -34,16 +37,14 @@
                 console = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
             }
         }
-        match console {
-            Some(console) => Ok(Process { child, console }),
-            None => {
-                let _ = child.kill();
-                let _ = child.wait();
-                let mut said = String::new();
-                let _ = child.stderr.take().map(|mut log| log.read_to_string(&mut said));
-                Err(RigError::Program(format!("it does not listen: {said}")))
-            }
+        if let Some(console) = console {
+            return Ok(Process { child, console });
         }
+        let _ = child.kill();
+        let _ = child.wait();
+        let mut log_text = String::new();
+        let _ = child.stderr.take().map(|mut log| log.read_to_string(&mut log_text));
+        Err(RigError::Program(format!("it does not listen: {log_text}")))
     }
 
     /// Has a thread read its log, line by line.
@@ -58,6 +59,9 @@
     }
 
     /// Sends it a signal, by name.
+    ///
+    /// # Errors
+    /// Where the process, its files or its sockets fail.
     pub fn signal(&self, name: &str) -> Result<(), RigError> {
         let line = format!("kill -{name} {}", self.child.id());
         tried("kill", Command::new("/bin/sh").args(["-c", &line]).status()).map(drop)
@@ -85,6 +89,9 @@
     }
 
     /// Waits until it says so.
+    ///
+    /// # Errors
+    /// Where the process, its files or its sockets fail.
     pub fn await_ready(&self) -> Result<(), RigError> {
         let end = Instant::now() + PATIENCE;
         while !self.ready() {
@@ -97,6 +104,9 @@
     }
 
     /// Whether it has ended.
+    ///
+    /// # Errors
+    /// Where the process, its files or its sockets fail.
     pub fn ended(&mut self) -> Result<bool, RigError> {
         Ok(tried("its end", self.child.try_wait())?.is_some())
     }
--- a/rig/src/program.rs
+++ b/rig/src/program.rs
@@ -30,6 +30,9 @@
 const TICKS: f64 = 100.0;
 
 /// Builds the program as a release and gives its path. It costs nothing where the workspace was built before.
+///
+/// # Errors
+/// Where the program does not build.
 pub fn build() -> Result<PathBuf, RigError> {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("..");
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
@@ -44,6 +47,9 @@
 }
 
 /// What a process has used so far.
+///
+/// # Errors
+/// Where the process, its files or its sockets fail.
 pub fn usage(id: u32) -> Result<Usage, RigError> {
     let proc = format!("/proc/{id}");
     let status = tried("its status", std::fs::read_to_string(format!("{proc}/status")))?;
@@ -58,6 +64,9 @@
 
 impl Program {
     /// Starts the program with this operator's file, of which it is to open so many listeners.
+    ///
+    /// # Errors
+    /// Where a socket, a thread or a process cannot be had.
     pub fn start(binary: &PathBuf, operator: &str, listeners: usize) -> Result<Program, RigError> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -92,11 +101,17 @@
     }
 
     /// What it has used so far.
+    ///
+    /// # Errors
+    /// Where the process, its files or its sockets fail.
     pub fn usage(&self) -> Result<Usage, RigError> {
         usage(self.child.id())
     }
 
     /// Sends it a signal, by name.
+    ///
+    /// # Errors
+    /// Where the process, its files or its sockets fail.
     pub fn signal(&self, name: &str) -> Result<(), RigError> {
         let sent =
             Command::new("/bin/sh").args(["-c", &format!("kill -{name} {}", self.child.id())]).status();
@@ -104,6 +119,9 @@
     }
 
     /// Stops it by SIGTERM and gives its counters, by name.
+    ///
+    /// # Errors
+    /// Where the process, its files or its sockets fail.
     pub fn stop(mut self) -> Result<Vec<(String, f64)>, RigError> {
         self.signal("TERM")?;
         let mut text = String::new();
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -49,49 +49,11 @@
     }
 
     /// Moves bytes until one side would wait, or others should have their turn. True where it has more to do.
-    fn turn(&mut self, mut from: &TcpStream, mut to: &TcpStream) -> std::io::Result<bool> {
+    fn turn(&mut self, from: &TcpStream, to: &TcpStream) -> std::io::Result<bool> {
         for _ in 0..2 {
-            if let Some((read, write)) = &self.pipe {
-                let flags = SpliceFlags::NONBLOCK | SpliceFlags::MOVE;
-                if self.piped == 0 && !self.ended {
-                    match splice(from, None, write, None, BUFFER, flags) {
-                        Ok(0) => self.ended = true,
-                        Ok(n) => self.piped = n,
-                        Err(rustix::io::Errno::AGAIN) => return Ok(false),
-                        Err(e) => return Err(e.into()),
-                    }
-                }
-                while self.piped > 0 {
-                    match splice(read, None, to, None, self.piped, flags) {
-                        Ok(n) => self.piped -= n,
-                        Err(rustix::io::Errno::AGAIN) => return Ok(false),
-                        Err(e) => return Err(e.into()),
-                    }
-                }
-            } else {
-                if self.at == self.buffer.len() && !self.ended {
-                    self.buffer.resize(BUFFER, 0);
-                    self.at = 0;
-                    match from.read(&mut self.buffer) {
-                        Ok(0) => self.ended = true,
-                        Ok(n) => self.buffer.truncate(n),
-                        Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                            self.buffer.clear();
-                            return Ok(false);
-                        }
-                        Err(e) => return Err(e),
-                    }
-                    if self.ended {
-                        self.buffer.clear();
-                    }
-                }
-                while self.at < self.buffer.len() {
-                    match to.write(&self.buffer[self.at..]) {
-                        Ok(n) => self.at += n,
-                        Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
-                        Err(e) => return Err(e),
-                    }
-                }
+            let moved = if self.pipe.is_some() { self.splice(from, to)? } else { self.copy(from, to)? };
+            if !moved {
+                return Ok(false);
             }
             if self.ended {
                 if !std::mem::replace(&mut self.shut, true) {
@@ -102,6 +64,56 @@
         }
         Ok(true)
     }
+
+    /// Moves bytes through the pipe. False where one side would wait.
+    fn splice(&mut self, from: &TcpStream, to: &TcpStream) -> std::io::Result<bool> {
+        let Some((read, write)) = &self.pipe else { return Ok(true) };
+        let flags = SpliceFlags::NONBLOCK | SpliceFlags::MOVE;
+        if self.piped == 0 && !self.ended {
+            match splice(from, None, write, None, BUFFER, flags) {
+                Ok(0) => self.ended = true,
+                Ok(n) => self.piped = n,
+                Err(rustix::io::Errno::AGAIN) => return Ok(false),
+                Err(e) => return Err(e.into()),
+            }
+        }
+        while self.piped > 0 {
+            match splice(read, None, to, None, self.piped, flags) {
+                Ok(n) => self.piped -= n,
+                Err(rustix::io::Errno::AGAIN) => return Ok(false),
+                Err(e) => return Err(e.into()),
+            }
+        }
+        Ok(true)
+    }
+
+    /// Moves bytes through a buffer. False where one side would wait.
+    fn copy(&mut self, mut from: &TcpStream, mut to: &TcpStream) -> std::io::Result<bool> {
+        if self.at == self.buffer.len() && !self.ended {
+            self.buffer.resize(BUFFER, 0);
+            self.at = 0;
+            match from.read(&mut self.buffer) {
+                Ok(0) => self.ended = true,
+                Ok(n) => self.buffer.truncate(n),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                    self.buffer.clear();
+                    return Ok(false);
+                }
+                Err(e) => return Err(e),
+            }
+            if self.ended {
+                self.buffer.clear();
+            }
+        }
+        while self.at < self.buffer.len() {
+            match to.write(&self.buffer[self.at..]) {
+                Ok(n) => self.at += n,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
+                Err(e) => return Err(e),
+            }
+        }
+        Ok(true)
+    }
 }
 
 struct Pair {
@@ -112,6 +124,9 @@
 }
 
 /// Starts a bare relay to a server; it runs until the process ends.
+///
+/// # Errors
+/// Where a socket, a thread or a process cannot be had.
 pub fn start(to: SocketAddr, mode: Mode) -> Result<SocketAddr, RigError> {
     let listener = tried("the bare relay", TcpListener::bind("127.0.0.1:0"))?;
     tried("the bare relay", listener.set_nonblocking(true))?;
--- a/rig/src/rollout.rs
+++ b/rig/src/rollout.rs
@@ -132,6 +132,9 @@
     }
 
     /// Whether the proof holds.
+    ///
+    /// # Errors
+    /// Where a figure disproves what the experiment is to show.
     pub fn proves(&self) -> Result<(), RigError> {
         let zeros = [
             ("half_applied", self.half_applied),
@@ -408,14 +411,7 @@
                 thread::sleep(lasts);
                 self.layer.change(|w| w.cut.clear());
             }
-            Fault::Split => {
-                self.cut(|a, b| (a * 5 < count * 2) != (b * 5 < count * 2));
-                self.want(0, *version)?;
-                *version += 1;
-                self.want(count - 1, *version)?;
-                thread::sleep(lasts);
-                self.layer.change(|w| w.cut.clear());
-            }
+            Fault::Split => self.play_split(version, lasts)?,
             Fault::Lossy => {
                 self.layer.change(|w| (w.lost, w.doubled, w.delay_ms) = (300, 50, 60));
                 self.want(at, *version)?;
@@ -425,17 +421,35 @@
             Fault::AllKilled => {
                 self.want(at, *version)?;
                 thread::sleep(soon);
-                for number in 0..count {
-                    self.gone(number);
-                    self.processes[number] = None;
-                }
-                for number in 0..count {
-                    self.start(number)?;
-                }
+                self.restart_all()?;
             }
         }
         Ok(())
     }
+
+    /// Wants another version on each side of a split.
+    fn play_split(&mut self, version: &mut u64, lasts: Duration) -> Result<(), RigError> {
+        let count = self.world.plan.dispatchers;
+        self.cut(|a, b| (a * 5 < count * 2) != (b * 5 < count * 2));
+        self.want(0, *version)?;
+        *version += 1;
+        self.want(count - 1, *version)?;
+        thread::sleep(lasts);
+        self.layer.change(|w| w.cut.clear());
+        Ok(())
+    }
+
+    /// Kills all processes and starts them again.
+    fn restart_all(&mut self) -> Result<(), RigError> {
+        for number in 0..self.world.plan.dispatchers {
+            self.gone(number);
+            self.processes[number] = None;
+        }
+        for number in 0..self.world.plan.dispatchers {
+            self.start(number)?;
+        }
+        Ok(())
+    }
 }
 
 fn write_files(
@@ -489,6 +503,9 @@
 }
 
 /// Plays a plan with the real program.
+///
+/// # Errors
+/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let binary = crate::program::build()?;
     let dir = std::env::temp_dir().join(format!("micabeam-rollout-{}-{}", std::process::id(), plan.seed));
@@ -498,8 +515,41 @@
     result
 }
 
+/// Starts the stand-in workers, and gives their lines of the list by their block.
+fn start_workers(world: &Arc<World>) -> Result<Vec<(u64, String)>, RigError> {
+    let mut hosts = Vec::new();
+    for block in 0..BLOCKS {
+        for number in 0..WORKERS {
+            let listener = tried("a stand-in", TcpListener::bind("127.0.0.1:0"))?;
+            let dial = tried("a stand-in", listener.local_addr())?;
+            let line = format!(
+                r#"{{"host":"s-{block}-{number}","dial":"{dial}","site":"z","health":"up","share":1.0,"born_ms":0}}"#
+            );
+            hosts.push((block, line));
+            let (at, over) = (Arc::clone(world), Arc::clone(world));
+            serve(
+                listener,
+                move || over.over.load(Ordering::Relaxed),
+                move |stream| worker(&at, block, number, stream),
+            );
+        }
+    }
+    Ok(hosts)
+}
+
+/// Starts the clients of each process.
+fn start_clients(world: &Arc<World>) -> Vec<thread::JoinHandle<()>> {
+    let mut threads = Vec::new();
+    for process in 0..world.plan.dispatchers {
+        for _ in 0..3 {
+            let world = Arc::clone(world);
+            threads.push(thread::spawn(move || client(&world, process, Duration::from_millis(100))));
+        }
+    }
+    threads
+}
+
 fn played(plan: &Plan, binary: PathBuf, dir: &Path) -> Result<Figures, RigError> {
-    let local = |l: &TcpListener| tried("a stand-in", l.local_addr());
     let Addresses { clients, datagrams: addresses } = Addresses::free(plan.dispatchers, plan.seed)?;
     let layer = Datagrams::start(&addresses, plan.seed)?;
     layer.change(|w| w.delay_ms = 1);
@@ -514,25 +564,7 @@
         away: Mutex::default(),
         figures: Mutex::default(),
     });
-    let mut hosts = Vec::new();
-    for block in 0..BLOCKS {
-        for number in 0..WORKERS {
-            let door = tried("a stand-in", TcpListener::bind("127.0.0.1:0"))?;
-            let dial = local(&door)?;
-            hosts.push((
-                block,
-                format!(
-                    r#"{{"host":"s-{block}-{number}","dial":"{dial}","site":"z","health":"up","share":1.0,"born_ms":0}}"#
-                ),
-            ));
-            let (at, over) = (Arc::clone(&world), Arc::clone(&world));
-            serve(
-                door,
-                move || over.over.load(Ordering::Relaxed),
-                move |stream| worker(&at, block, number, stream),
-            );
-        }
-    }
+    let hosts = start_workers(&world)?;
     for number in 0..plan.dispatchers {
         write_files(&world, dir, &hosts, &addresses, &layer, number)?;
     }
@@ -542,13 +574,7 @@
         stage.start(number)?;
     }
     let mut version = stage.settled(1)?;
-    let mut threads = Vec::new();
-    for process in 0..plan.dispatchers {
-        for _ in 0..3 {
-            let world = Arc::clone(&world);
-            threads.push(thread::spawn(move || client(&world, process, Duration::from_millis(100))));
-        }
-    }
+    let threads = start_clients(&world);
     let result = changes(plan, &mut stage, &mut version);
     world.over.store(true, Ordering::Relaxed);
     for thread in threads {
@@ -646,9 +672,25 @@
         // Each takes what its own operator wants: that is what is in force there.
         in_force = (1..=figures.changes + 1).collect();
     }
-    // What a client has seen bounds what anything sent later may run under.
-    let mut events: Vec<(Instant, bool, usize)> = Vec::new();
     let served = held(&world.served);
+    check_order(&served, &in_force, figures);
+    check_times(&served, times, figures);
+    let mut spans: Vec<u64> = Vec::new();
+    for (version, wanted) in &times.changes {
+        let reads = (0..world.plan.dispatchers).filter_map(|process| {
+            let read = decided.iter().find(|d| d.process == process && d.in_force == *version)?;
+            Some(read.at.saturating_duration_since(*wanted).as_millis() as u64)
+        });
+        spans.extend(reads.max());
+    }
+    spans.sort_unstable();
+    figures.change_ms_p50 = spans.get(spans.len() / 2).copied().unwrap_or(0);
+    figures.change_ms_worst = spans.last().copied().unwrap_or(0);
+}
+
+/// What a client has seen bounds what anything sent later may run under.
+fn check_order(served: &[Served], in_force: &BTreeSet<u64>, figures: &mut Figures) {
+    let mut events: Vec<(Instant, bool, usize)> = Vec::new();
     for (at, job) in served.iter().enumerate() {
         events.push((job.sent, false, at));
         events.push((job.done, true, at));
@@ -671,21 +713,14 @@
             None => figures.half_applied += 1,
         }
     }
+}
+
+/// How long jobs took beyond their own time, with and without changes.
+fn check_times(served: &[Served], times: &Times, figures: &mut Figures) {
     let took = |from: Instant, to: Instant| -> Vec<u64> {
         let within = served.iter().filter(|job| job.sent >= from && job.done <= to);
         within.map(|job| (job.done - job.sent).as_millis() as u64).map(|ms| ms.saturating_sub(RUNS)).collect()
     };
     figures.calm_ms_p99 = p99(took(times.calm.0, times.calm.1));
     figures.pause_ms_p99 = p99(took(times.plain.0, times.plain.1));
-    let mut spans: Vec<u64> = Vec::new();
-    for (version, wanted) in &times.changes {
-        let reads = (0..world.plan.dispatchers).filter_map(|process| {
-            let read = decided.iter().find(|d| d.process == process && d.in_force == *version)?;
-            Some(read.at.saturating_duration_since(*wanted).as_millis() as u64)
-        });
-        spans.extend(reads.max());
-    }
-    spans.sort_unstable();
-    figures.change_ms_p50 = spans.get(spans.len() / 2).copied().unwrap_or(0);
-    figures.change_ms_worst = spans.last().copied().unwrap_or(0);
 }
--- a/rig/src/scale/figures.rs
+++ b/rig/src/scale/figures.rs
@@ -83,6 +83,9 @@
     }
 
     /// Whether the proof holds.
+    ///
+    /// # Errors
+    /// Where a figure disproves what the experiment is to show.
     pub fn proves(&self) -> Result<(), RigError> {
         let zeros = [
             ("dropped_workers", self.dropped_workers),
--- a/rig/src/scale/lists.rs
+++ b/rig/src/scale/lists.rs
@@ -89,6 +89,9 @@
 }
 
 /// Plays a list of so many workers, and so many attempts that stay out.
+///
+/// # Errors
+/// Where the process, its files or its sockets fail.
 pub fn play(workers: usize, out: usize) -> Result<ListFigures, RigError> {
     let site = Site::parse(SETTINGS).map_err(failed)?;
     let clock = Clock::manual(1e9);
@@ -147,7 +150,7 @@
                     out += 1;
                 }
                 Command::Probe { endpoint: server } => {
-                    core.on_probe_ended(server, true, 1.0, LoadReport::default())
+                    core.on_probe_ended(server, true, 1.0, LoadReport::default());
                 }
                 _ => {}
             }
@@ -181,7 +184,7 @@
                     );
                 }
                 Command::Probe { endpoint: server } => {
-                    core.on_probe_ended(server, true, 1.0, LoadReport::default())
+                    core.on_probe_ended(server, true, 1.0, LoadReport::default());
                 }
                 _ => {}
             }
--- a/rig/src/scale/mod.rs
+++ b/rig/src/scale/mod.rs
@@ -21,6 +21,9 @@
 use crate::RigError;
 
 /// Plays a plan.
+///
+/// # Errors
+/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     plan.check()?;
     let lists = lists::play(plan.workers, 0)?;
--- a/rig/src/scale/plan.rs
+++ b/rig/src/scale/plan.rs
@@ -85,6 +85,9 @@
 
 impl Plan {
     /// Whether it can be played.
+    ///
+    /// # Errors
+    /// Where the process, its files or its sockets fail.
     pub fn check(&self) -> Result<(), RigError> {
         let lasting = self.members.saturating_sub(self.deaths);
         let bounds = [
--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -281,8 +281,9 @@
     /// Carries out what a dispatcher gave out, until nothing follows from it.
     fn carry_out(&mut self, member: MemberId) {
         loop {
-            let effects =
-                self.members[usize::from(member)].work(|shared| shared.take_effects()).unwrap_or_default();
+            let effects = self.members[usize::from(member)]
+                .work(micabeam::control_plane::ControlPlane::take_effects)
+                .unwrap_or_default();
             if effects.is_empty() {
                 break;
             }
--- a/rig/src/stores.rs
+++ b/rig/src/stores.rs
@@ -170,6 +170,9 @@
 type Count = fn(&Path) -> Result<usize, String>;
 
 /// Runs so many jobs through each engine and prints what each cost.
+///
+/// # Errors
+/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
 pub fn experiment(jobs: usize) -> Result<String, RigError> {
     let engines: [(&str, Open, Count); 3] = [
         ("redb", |p| Ok(Box::new(Redb::open(p)?)), Redb::read),
--- a/rig/src/streams.rs
+++ b/rig/src/streams.rs
@@ -92,6 +92,9 @@
     }
 
     /// Whether the proof holds.
+    ///
+    /// # Errors
+    /// Where a figure disproves what the experiment is to show.
     pub fn proves(&self, plan: &Plan) -> Result<(), RigError> {
         let fast = plan.count - plan.slow;
         if self.broken > 0 || self.completed + self.failed_clean != self.streams {
@@ -226,6 +229,9 @@
 }
 
 /// Runs the experiment and prints its table.
+///
+/// # Errors
+/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let binary = build()?;
     let servers: Vec<_> = (0..SERVERS).map(|_| serve()).collect::<Result<_, _>>()?;
@@ -324,6 +330,9 @@
 }
 
 /// The cost of more and more streams over the same bytes in all.
+///
+/// # Errors
+/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
 pub fn ladder(total_mb: u64, pipes: usize) -> Result<String, RigError> {
     let mut last = String::new();
     println!(
--- a/rig/src/upgrade.rs
+++ b/rig/src/upgrade.rs
@@ -123,6 +123,9 @@
     }
 
     /// Whether the proof holds.
+    ///
+    /// # Errors
+    /// Where a figure disproves what the experiment is to show.
     pub fn proves(&self) -> Result<(), RigError> {
         let zeros = [
             ("answered_twice", self.answered_twice),
@@ -237,6 +240,18 @@
     held(&world.kills).iter().any(|k| *k >= began)
 }
 
+/// How a job went for its client.
+struct JobRun {
+    /// The status and whether the body was right; none without an answer.
+    end: Option<(u16, bool)>,
+    /// The connection broke where something may have read the job.
+    broke: bool,
+    /// When the last try began: the deadline that a process reads counts from the try that reaches it.
+    sent: Instant,
+    /// Nobody was there at some time of its tries.
+    was_deserted: bool,
+}
+
 /// A client: submits jobs at a pace and waits for each answer.
 fn client(world: &Arc<World>, pause: Duration) {
     let mut conn: Option<Http> = None;
@@ -249,80 +264,86 @@
             DEADLINE.as_millis()
         );
         let began = Instant::now();
-        // A kept connection may have been closed between requests: the job goes once more on a new one.
-        let (mut end, mut broke, mut sent) = (None, false, began);
-        // Nobody was there at some time of its tries.
-        let mut was_deserted = false;
-        for _ in 0..3 {
-            // The deadline that a process reads counts from the try that reaches it.
-            sent = Instant::now();
-            let kept = conn.is_some();
-            let deserted = world.deserted.load(Ordering::Relaxed);
-            was_deserted |= deserted;
-            let Some(mut http) = conn.take().or_else(|| Http::connect(world.address, DEADLINE * 2).ok())
-            else {
+        let run = submit(world, &mut conn, &id, &text, began);
+        count_run(world, &id, began, &run);
+    }
+}
+
+/// Submits a job. A kept connection may have been closed between requests: the job goes once more on a new one.
+fn submit(world: &World, conn: &mut Option<Http>, id: &str, text: &str, began: Instant) -> JobRun {
+    let mut run = JobRun { end: None, broke: false, sent: began, was_deserted: false };
+    for _ in 0..3 {
+        run.sent = Instant::now();
+        let kept = conn.is_some();
+        let deserted = world.deserted.load(Ordering::Relaxed);
+        run.was_deserted |= deserted;
+        let Some(mut http) = conn.take().or_else(|| Http::connect(world.address, DEADLINE * 2).ok()) else {
+            let mut figures = held(&world.figures);
+            let deserted = deserted || world.deserted.load(Ordering::Relaxed);
+            run.was_deserted |= deserted;
+            *(if deserted { &mut figures.nobody_there } else { &mut figures.refused_at_seam }) += 1;
+            drop(figures);
+            thread::sleep(Duration::from_millis(50));
+            continue;
+        };
+        if kept && !http.0.buffer().is_empty() {
+            held(&world.figures).answered_twice += 1;
+        }
+        match http.write(text).and_then(|()| http.read()) {
+            Ok((head, body)) => {
+                let closes = header(&head, "connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
+                run.end = Some((status(&head), body == id));
+                *conn = (!closes).then_some(http);
+                break;
+            }
+            // A close or reset that crossed a request which nobody has read.
+            Err(e)
+                if e.kind() != std::io::ErrorKind::WouldBlock
+                    && !held(&world.runs).contains_key(id)
+                    && !killed(world, began) =>
+            {
+                let count = u64::from(!kept);
                 let mut figures = held(&world.figures);
-                let deserted = deserted || world.deserted.load(Ordering::Relaxed);
-                was_deserted |= deserted;
-                *(if deserted { &mut figures.nobody_there } else { &mut figures.refused_at_seam }) += 1;
-                drop(figures);
-                thread::sleep(Duration::from_millis(50));
-                continue;
-            };
-            if kept && !http.0.buffer().is_empty() {
-                held(&world.figures).answered_twice += 1;
+                *(if deserted { &mut figures.nobody_there } else { &mut figures.refused_at_seam }) += count;
             }
-            match http.write(&text).and_then(|()| http.read()) {
-                Ok((head, body)) => {
-                    let closes = header(&head, "connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-                    end = Some((status(&head), body == id));
-                    conn = (!closes).then_some(http);
-                    break;
-                }
-                // A close or reset that crossed a request which nobody has read.
-                Err(e)
-                    if e.kind() != std::io::ErrorKind::WouldBlock
-                        && !held(&world.runs).contains_key(&id)
-                        && !killed(world, began) =>
-                {
-                    let count = u64::from(!kept);
-                    let mut figures = held(&world.figures);
-                    *(if deserted { &mut figures.nobody_there } else { &mut figures.refused_at_seam }) +=
-                        count;
+            Err(e) => {
+                run.broke = true;
+                if !killed(world, began) {
+                    println!("{id}: no answer after {:?}: {e}", began.elapsed());
                 }
-                Err(e) => {
-                    broke = true;
-                    if !killed(world, began) {
-                        println!("{id}: no answer after {:?}: {e}", began.elapsed());
-                    }
-                    break;
-                }
-            }
-        }
-        let mut figures = held(&world.figures);
-        // Each try found nobody, or a close that crossed it, while both processes were gone: it was never handed in.
-        if end.is_none() && !broke && was_deserted {
-            continue;
-        }
-        figures.jobs += 1;
-        match end {
-            Some((200, true)) => figures.served += 1,
-            Some((200, false)) => figures.answered_twice += 1,
-            Some(_) => {}
-            None if killed(world, began) => figures.killed += 1,
-            None => {
-                println!("{id}: no answer in three tries over {:?}", began.elapsed());
-                figures.unanswered += 1;
+                break;
             }
         }
-        // What comes to a frozen process waits for its thaw, and has its time from then on.
-        let froze = held(&world.freezes).iter().any(|f| *f + FREEZE >= sent);
-        let most = DEADLINE + Duration::from_millis(500) + if froze { FREEZE } else { Duration::ZERO };
-        if end.is_some() && sent.elapsed() > most {
-            println!("{id}: answered after {:?}", sent.elapsed());
+    }
+    run
+}
+
+/// Counts what became of a job.
+fn count_run(world: &World, id: &str, began: Instant, run: &JobRun) {
+    let &JobRun { end, broke, sent, was_deserted } = run;
+    let mut figures = held(&world.figures);
+    // Each try found nobody, or a close that crossed it, while both processes were gone: it was never handed in.
+    if end.is_none() && !broke && was_deserted {
+        return;
+    }
+    figures.jobs += 1;
+    match end {
+        Some((200, true)) => figures.served += 1,
+        Some((200, false)) => figures.answered_twice += 1,
+        Some(_) => {}
+        None if killed(world, began) => figures.killed += 1,
+        None => {
+            println!("{id}: no answer in three tries over {:?}", began.elapsed());
             figures.unanswered += 1;
         }
     }
+    // What comes to a frozen process waits for its thaw, and has its time from then on.
+    let froze = held(&world.freezes).iter().any(|f| *f + FREEZE >= sent);
+    let most = DEADLINE + Duration::from_millis(500) + if froze { FREEZE } else { Duration::ZERO };
+    if end.is_some() && sent.elapsed() > most {
+        println!("{id}: answered after {:?}", sent.elapsed());
+        figures.unanswered += 1;
+    }
 }
 
 /// Starts a process. On a full disk what it writes its note to has no room: the shell that becomes it knows its id.
@@ -464,88 +485,139 @@
     Ok(new)
 }
 
-/// Plays a plan with the real program.
-pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
-    let binary = crate::program::build()?;
-    let notes: PathBuf =
-        std::env::temp_dir().join(format!("micabeam-upgrade-{}-{}", std::process::id(), plan.seed));
-    tried("the notes", std::fs::create_dir_all(&notes))?;
-    let listen = || tried("a stand-in", TcpListener::bind("127.0.0.1:0"));
-    let workers = (0..WORKERS).map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
-    let lists = listen()?;
-    let pid = std::process::id();
-    // An address that nothing else of this machine's tests listens at.
-    let address = SocketAddr::from(([127, 201 + (pid >> 8) as u8 % 50, pid as u8, plan.seed as u8], 8081));
-    let local = |l: &TcpListener| tried("a stand-in", l.local_addr());
-    let world = Arc::new(World {
-        address,
-        dials: workers.iter().map(local).collect::<Result<_, _>>()?,
-        over: AtomicBool::new(false),
-        deserted: AtomicBool::new(false),
-        runs: Mutex::default(),
-        kills: Mutex::default(),
-        freezes: Mutex::default(),
-        list: Mutex::new((1, None)),
-        unread: Mutex::default(),
-        figures: Mutex::default(),
-        next: AtomicU64::new(0),
-    });
-    let file = notes.join("config.json");
-    tried("the configuration", std::fs::write(&file, config(&world, local(&lists)?)))?;
-    workers.into_iter().enumerate().for_each(|(n, l)| stand(&world, l, worker, n));
-    stand(&world, lists, discovery, 0);
-    let note = micabeam::frontend::handover::note_path(&notes, address);
-    let start = |full: bool| start_process(&binary, &file, &notes, full.then_some(note.as_path()));
-    let mut serving = start(false)?;
-    serving.await_ready()?;
-    let clients = (plan.rate / 4).clamp(1, 64);
-    let pause = Duration::from_secs_f64(clients as f64 / plan.rate.max(1) as f64);
-    let threads: Vec<_> = (0..clients)
-        .map(|_| {
-            let world = Arc::clone(&world);
+/// The stand-ins of a run, and the file that its processes are started with.
+struct Testbed {
+    world: Arc<World>,
+    binary: PathBuf,
+    notes: PathBuf,
+    config: PathBuf,
+    /// The handover note of the processes.
+    note: PathBuf,
+}
+
+impl Testbed {
+    /// Starts the stand-ins.
+    fn start(plan: &Plan) -> Result<Testbed, RigError> {
+        let binary = crate::program::build()?;
+        let notes: PathBuf =
+            std::env::temp_dir().join(format!("micabeam-upgrade-{}-{}", std::process::id(), plan.seed));
+        tried("the notes", std::fs::create_dir_all(&notes))?;
+        let listen = || tried("a stand-in", TcpListener::bind("127.0.0.1:0"));
+        let workers = (0..WORKERS).map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
+        let lists = listen()?;
+        let pid = std::process::id();
+        // An address that nothing else of this machine's tests listens at.
+        let address =
+            SocketAddr::from(([127, 201 + (pid >> 8) as u8 % 50, pid as u8, plan.seed as u8], 8081));
+        let local = |l: &TcpListener| tried("a stand-in", l.local_addr());
+        let world = Arc::new(World {
+            address,
+            dials: workers.iter().map(local).collect::<Result<_, _>>()?,
+            over: AtomicBool::new(false),
+            deserted: AtomicBool::new(false),
+            runs: Mutex::default(),
+            kills: Mutex::default(),
+            freezes: Mutex::default(),
+            list: Mutex::new((1, None)),
+            unread: Mutex::default(),
+            figures: Mutex::default(),
+            next: AtomicU64::new(0),
+        });
+        let file = notes.join("config.json");
+        tried("the configuration", std::fs::write(&file, config(&world, local(&lists)?)))?;
+        workers.into_iter().enumerate().for_each(|(n, l)| stand(&world, l, worker, n));
+        stand(&world, lists, discovery, 0);
+        let note = micabeam::frontend::handover::note_path(&notes, address);
+        Ok(Testbed { world, binary, notes, config: file, note })
+    }
+
+    /// Starts a process of the program, on a full disk or not.
+    fn start_process(&self, full: bool) -> Result<Process, RigError> {
+        start_process(&self.binary, &self.config, &self.notes, full.then_some(self.note.as_path()))
+    }
+
+    /// Starts the clients.
+    fn start_clients(&self, plan: &Plan) -> Vec<thread::JoinHandle<()>> {
+        let clients = (plan.rate / 4).clamp(1, 64);
+        let pause = Duration::from_secs_f64(clients as f64 / plan.rate.max(1) as f64);
+        let start = |_| {
+            let world = Arc::clone(&self.world);
             thread::spawn(move || client(&world, pause))
-        })
-        .collect();
-    let mut draws = fastrand::Rng::with_seed(plan.seed);
-    for number in 0..plan.rounds {
-        let fault = FAULTS[draws.u64(..FAULTS.len() as u64) as usize];
-        println!("round {number}: {fault:?}");
-        {
-            let mut list = held(&world.list);
-            let drains = draws.u64(..WORKERS as u64 + 1) as usize;
-            *list = (list.0 + 1, (drains < WORKERS).then(|| (drains, Instant::now())));
-        }
-        damage(&notes, fault)?;
+        };
+        (0..clients).map(start).collect()
+    }
+
+    /// Drains another worker, or none.
+    fn change_list(&self, draws: &mut fastrand::Rng) {
+        let mut list = held(&self.world.list);
+        let drains = draws.u64(..WORKERS as u64 + 1) as usize;
+        *list = (list.0 + 1, (drains < WORKERS).then(|| (drains, Instant::now())));
+    }
+
+    /// Plays one upgrade with a fault. Gives the process that serves then.
+    fn play(&self, serving: Process, fault: Fault, draws: &mut fastrand::Rng) -> Result<Process, RigError> {
+        self.change_list(draws);
+        damage(&self.notes, fault)?;
         if fault == Fault::Full {
-            let memory = note.with_extension(format!("memory.{}", serving.id()));
+            let memory = self.note.with_extension(format!("memory.{}", serving.id()));
             tried("a full disk", std::os::unix::fs::symlink("/dev/full", memory))?;
         }
         thread::sleep(Duration::from_millis(draws.u64(..300)));
-        serving = round(&world, serving, fault, &start)?;
+        let serving = round(&self.world, serving, fault, &|full| self.start_process(full))?;
         if matches!(fault, Fault::NoRoom | Fault::Full) {
-            for entry in tried("the notes", std::fs::read_dir(&notes))?.flatten() {
-                let _ = std::fs::remove_dir_all(entry.path().join("full"));
-                let _ = std::fs::remove_dir(entry.path());
-                if entry.file_type().is_ok_and(|kind| kind.is_symlink()) {
-                    let _ = std::fs::remove_file(entry.path());
-                }
+            self.make_room()?;
+        }
+        Ok(serving)
+    }
+
+    /// Takes away what kept processes from leaving anything.
+    fn make_room(&self) -> Result<(), RigError> {
+        for entry in tried("the notes", std::fs::read_dir(&self.notes))?.flatten() {
+            let _ = std::fs::remove_dir_all(entry.path().join("full"));
+            let _ = std::fs::remove_dir(entry.path());
+            if entry.file_type().is_ok_and(|kind| kind.is_symlink()) {
+                let _ = std::fs::remove_file(entry.path());
             }
         }
+        Ok(())
+    }
+
+    /// The figures of a run that is over.
+    fn figures(&self, plan: &Plan) -> Figures {
+        let number = |id: &str| id[1..].parse::<u64>().unwrap_or(0);
+        let runs = held(&self.world.runs);
+        let twice =
+            runs.iter().filter(|(id, runs)| **runs > 1 && !number(id).is_multiple_of(3)).count() as u64;
+        drop(runs);
+        let mut figures = *held(&self.world.figures);
+        (figures.rounds, figures.unsafe_ran_twice) = (plan.rounds, twice);
+        figures
+    }
+}
+
+/// Plays a plan with the real program.
+///
+/// # Errors
+/// Where the program or a stand-in cannot be started, or ends by itself.
+pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
+    let testbed = Testbed::start(plan)?;
+    let mut serving = testbed.start_process(false)?;
+    serving.await_ready()?;
+    let clients = testbed.start_clients(plan);
+    let mut draws = fastrand::Rng::with_seed(plan.seed);
+    for number in 0..plan.rounds {
+        let fault = FAULTS[draws.u64(..FAULTS.len() as u64) as usize];
+        println!("round {number}: {fault:?}");
+        serving = testbed.play(serving, fault, &mut draws)?;
     }
-    world.over.store(true, Ordering::Relaxed);
-    for thread in threads {
-        thread.join().map_err(|_| RigError::Disproved("a client panicked".into()))?;
+    testbed.world.over.store(true, Ordering::Relaxed);
+    for client in clients {
+        client.join().map_err(|_| RigError::Disproved("a client panicked".into()))?;
     }
     serving.signal("TERM")?;
-    let passed = end(serving, &world)?;
-    let _ = std::fs::remove_dir_all(&notes);
-    let number = |id: &str| id[1..].parse::<u64>().unwrap_or(0);
-    let runs = held(&world.runs);
-    let twice = runs.iter().filter(|(id, runs)| **runs > 1 && !number(id).is_multiple_of(3)).count() as u64;
-    drop(runs);
-    let mut figures = *held(&world.figures);
-    figures.rounds = plan.rounds;
+    let passed = end(serving, &testbed.world)?;
+    let _ = std::fs::remove_dir_all(&testbed.notes);
+    let mut figures = testbed.figures(plan);
     figures.callbacks_other += passed;
-    figures.unsafe_ran_twice = twice;
     Ok(figures)
 }
--- a/rig/src/zones/mod.rs
+++ b/rig/src/zones/mod.rs
@@ -16,7 +16,7 @@
 use crate::http::held;
 use crate::{RigError, proved, tried};
 use check::check;
-use stage::{Stage, script, write_files};
+use stage::{Played, Stage, script, write_files};
 use world::{World, Zone, client, discovery, stand, worker};
 
 /// How long a client waits for its answer.
@@ -195,6 +195,9 @@
     }
 
     /// Whether the proof holds.
+    ///
+    /// # Errors
+    /// Where a figure disproves what the experiment is to show.
     pub fn proves(&self) -> Result<(), RigError> {
         let zeros = [
             ("epochs_back", self.epochs_back),
@@ -212,6 +215,9 @@
 }
 
 /// Plays a plan with the real program.
+///
+/// # Errors
+/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let binary = crate::program::build()?;
     let dir = std::env::temp_dir().join(format!("micabeam-zones-{}-{}", std::process::id(), plan.seed));
@@ -221,9 +227,66 @@
     result
 }
 
+fn local(listener: &TcpListener) -> Result<std::net::SocketAddr, RigError> {
+    tried("a stand-in", listener.local_addr())
+}
+
+fn listen() -> Result<TcpListener, RigError> {
+    tried("a stand-in", TcpListener::bind("127.0.0.1:0"))
+}
+
+/// Starts the workers and the discovery that the dispatchers of each zone see: through ports of their own. Gives the address
+/// of each zone's discovery, and its list.
+fn start_stand_ins(world: &Arc<World>) -> Result<Vec<(std::net::SocketAddr, String)>, RigError> {
+    let mut lists = Vec::new();
+    for from in 0..world.plan.zones {
+        let mut hosts = Vec::new();
+        for zone in 0..world.plan.zones {
+            for number in 0..WORKERS {
+                let port = listen()?;
+                let dial = local(&port)?;
+                hosts.push(format!(
+                    r#"{{"host":"s-{zone}-{number}","dial":"{dial}","site":"z{zone}","health":"up","share":1.0,"born_ms":0}}"#
+                ));
+                stand(world, port, move |world, stream| worker(world, zone, number, from, stream));
+            }
+        }
+        let list = format!(r#"{{"seq":1,"whole":true,"hosts":[{}]}}"#, hosts.join(","));
+        let port = listen()?;
+        lists.push((local(&port)?, list.clone()));
+        stand(world, port, move |world, stream| discovery(world, &list, stream));
+    }
+    Ok(lists)
+}
+
+/// Starts the clients of each process: one for each job that may be open at once, at 60 ms a job, and 2 s where it fails.
+fn start_clients(world: &Arc<World>) -> Vec<thread::JoinHandle<()>> {
+    let plan = &world.plan;
+    let each = (plan.rate / 4).clamp(1, 16);
+    let pause = Duration::from_secs_f64(each as f64 / plan.rate.max(1) as f64);
+    let mut threads = Vec::new();
+    for process in 0..plan.dispatchers {
+        for number in 0..each {
+            let (world, first) = (Arc::clone(world), pause * number as u32 / each as u32);
+            threads.push(thread::spawn(move || client(&world, process, pause, first)));
+        }
+    }
+    threads
+}
+
+/// What a process costs in calm: processor time a second, and bytes a second of all.
+fn measure_calm(world: &World, stage: &Stage) -> Result<(f64, f64), RigError> {
+    thread::sleep(Duration::from_secs(1));
+    world.calm.store(true, Ordering::Relaxed);
+    let (before, began, used) = (stage.layer.passed().1, Instant::now(), stage.used()?);
+    thread::sleep(Duration::from_secs(3));
+    let used = (stage.used()? - used) / began.elapsed().as_secs_f64();
+    world.calm.store(false, Ordering::Relaxed);
+    let bytes = (stage.layer.passed().1 - before) as f64 / began.elapsed().as_secs_f64();
+    Ok((used, bytes))
+}
+
 fn played(plan: &Plan, binary: PathBuf, dir: &Path) -> Result<Figures, RigError> {
-    let listen = || tried("a stand-in", TcpListener::bind("127.0.0.1:0"));
-    let local = |l: &TcpListener| tried("a stand-in", l.local_addr());
     let Addresses { clients, datagrams: addresses } = Addresses::free(plan.dispatchers, plan.seed)?;
     let layer = Datagrams::start(&addresses, plan.seed)?;
     layer.change(|w| w.delay_ms = 1);
@@ -242,25 +305,7 @@
         figures: Mutex::default(),
         inside: (0..plan.zones).map(|_| (0..WORKERS).map(|_| AtomicU32::new(0)).collect()).collect(),
     });
-    // Each zone's dispatchers see the workers through doors of their own.
-    let mut lists = Vec::new();
-    for from in 0..plan.zones {
-        let mut hosts = Vec::new();
-        for zone in 0..plan.zones {
-            for number in 0..WORKERS {
-                let door = listen()?;
-                let dial = local(&door)?;
-                hosts.push(format!(
-                    r#"{{"host":"s-{zone}-{number}","dial":"{dial}","site":"z{zone}","health":"up","share":1.0,"born_ms":0}}"#
-                ));
-                stand(&world, door, move |world, stream| worker(world, zone, number, from, stream));
-            }
-        }
-        let list = format!(r#"{{"seq":1,"whole":true,"hosts":[{}]}}"#, hosts.join(","));
-        let door = listen()?;
-        lists.push((local(&door)?, list.clone()));
-        stand(&world, door, move |world, stream| discovery(world, &list, stream));
-    }
+    let lists = start_stand_ins(&world)?;
     for number in 0..plan.dispatchers {
         write_files(&world, dir, &lists, &addresses, &layer, number)?;
     }
@@ -274,32 +319,9 @@
     if plan.agreed {
         stage.joined()?;
     }
-    // One client a job that may be open at once: at 60 ms a job, and 2 s where it fails.
-    let each = (plan.rate / 4).clamp(1, 16);
-    let pause = Duration::from_secs_f64(each as f64 / plan.rate.max(1) as f64);
-    let mut threads = Vec::new();
-    for process in 0..plan.dispatchers {
-        for number in 0..each {
-            let (world, first) = (Arc::clone(&world), pause * number as u32 / each as u32);
-            threads.push(thread::spawn(move || client(&world, process, pause, first)));
-        }
-    }
-    thread::sleep(Duration::from_secs(1));
-    world.calm.store(true, Ordering::Relaxed);
-    let (before, began, used) = (stage.layer.passed().1, Instant::now(), stage.used()?);
-    thread::sleep(Duration::from_secs(3));
-    let used = (stage.used()? - used) / began.elapsed().as_secs_f64();
-    world.calm.store(false, Ordering::Relaxed);
-    let bytes = (stage.layer.passed().1 - before) as f64 / began.elapsed().as_secs_f64();
-    let mut draws = fastrand::Rng::with_seed(plan.seed);
-    let start = Instant::now();
-    let mut played = Vec::new();
-    for (fault, lasts, after) in script(plan, &mut draws) {
-        println!("{:6} ms {fault:?} for {lasts:?}", start.elapsed().as_millis());
-        played.push(stage.play(fault, lasts)?);
-        println!("{:6} ms over", start.elapsed().as_millis());
-        thread::sleep(after);
-    }
+    let threads = start_clients(&world);
+    let (used, bytes) = measure_calm(&world, &stage)?;
+    let played = play_script(plan, &mut stage)?;
     world.over.store(true, Ordering::Relaxed);
     for thread in threads {
         thread.join().map_err(|_| RigError::Disproved("a client panicked".into()))?;
@@ -312,3 +334,17 @@
     check(&world, &played, &mut figures);
     Ok(figures)
 }
+
+/// Plays the faults of the plan's seed, one after the other.
+fn play_script(plan: &Plan, stage: &mut Stage) -> Result<Vec<Played>, RigError> {
+    let mut draws = fastrand::Rng::with_seed(plan.seed);
+    let start = Instant::now();
+    let mut played = Vec::new();
+    for (fault, lasts, after) in script(plan, &mut draws) {
+        println!("{:6} ms {fault:?} for {lasts:?}", start.elapsed().as_millis());
+        played.push(stage.play(fault, lasts)?);
+        println!("{:6} ms over", start.elapsed().as_millis());
+        thread::sleep(after);
+    }
+    Ok(played)
+}
--- a/rig/src/zones/stage.rs
+++ b/rig/src/zones/stage.rs
@@ -169,47 +169,26 @@
     /// Plays one fault for a time, and undoes it.
     pub(super) fn play(&mut self, fault: Fault, lasts: Duration) -> Result<Played, RigError> {
         let from = Instant::now();
-        let world = Arc::clone(&self.world);
-        let dead = |zone: usize, on| world.zones[zone].dead.store(on, Ordering::Relaxed);
-        let count = world.plan.dispatchers;
+        let count = self.world.plan.dispatchers;
         match fault {
             Fault::ZoneDead(zone) => {
-                dead(zone, true);
+                self.set_dead(zone, true);
                 thread::sleep(lasts);
-                dead(zone, false);
+                self.set_dead(zone, false);
             }
             Fault::ZoneCut(zone) => {
                 self.border(zone, true);
                 thread::sleep(lasts);
                 self.border(zone, false);
             }
-            Fault::OneWay(a, b) => {
-                self.layer.change(|w| {
-                    w.cut.insert((a, b));
-                });
-                thread::sleep(lasts);
-                self.layer.change(|w| w.cut.clear());
-            }
+            Fault::OneWay(a, b) => self.play_cut(&[(a, b)], lasts),
             Fault::Alone(a) => {
-                self.layer.change(|w| w.cut.extend((0..count).flat_map(|b| [(a, b), (b, a)])));
-                thread::sleep(lasts);
-                self.layer.change(|w| w.cut.clear());
-            }
-            Fault::Split => {
-                let few = |a: usize| a * 5 < count * 2;
-                let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b)));
-                self.layer.change(|w| w.cut.extend(pairs.filter(|(a, b)| few(*a) != few(*b))));
-                thread::sleep(lasts);
-                self.layer.change(|w| w.cut.clear());
-            }
-            Fault::SplitInThree => {
-                // Voters are spread evenly: the first two, the next two, and the last.
-                let part = |a: usize| ((a * 5 + 4) / count) / 2;
-                let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b)));
-                self.layer.change(|w| w.cut.extend(pairs.filter(|(a, b)| part(*a) != part(*b))));
-                thread::sleep(lasts);
-                self.layer.change(|w| w.cut.clear());
+                let pairs: Vec<_> = (0..count).flat_map(|b| [(a, b), (b, a)]).collect();
+                self.play_cut(&pairs, lasts);
             }
+            Fault::Split => self.play_parts(|a| usize::from(a * 5 < count * 2), lasts),
+            // Voters are spread evenly: the first two, the next two, and the last.
+            Fault::SplitInThree => self.play_parts(|a| ((a * 5 + 4) / count) / 2, lasts),
             Fault::LeaderKilled => {
                 let leader = self.leader();
                 self.gone(leader);
@@ -217,42 +196,10 @@
                 thread::sleep(lasts);
                 self.start(leader)?;
             }
-            Fault::LeaderFrozen => {
-                let leader = self.leader();
-                self.gone(leader);
-                if let Some(process) = &self.processes[leader] {
-                    process.signal("STOP")?;
-                    thread::sleep(lasts);
-                    process.signal("CONT")?;
-                }
-                let now = Instant::now();
-                held(&world.away).iter_mut().filter(|a| a.until.is_none()).for_each(|a| a.until = Some(now));
-            }
-            Fault::Flaps(zone) => {
-                let end = from + lasts;
-                let mut on = false;
-                while Instant::now() < end {
-                    on = !on;
-                    dead(zone, on);
-                    thread::sleep(Duration::from_secs(2));
-                }
-                dead(zone, false);
-            }
-            Fault::AllSlow => {
-                world.hopeless.store(true, Ordering::Relaxed);
-                world.zones.iter().for_each(|z| z.slow.store(true, Ordering::Relaxed));
-                thread::sleep(lasts);
-                world.zones.iter().for_each(|z| z.slow.store(false, Ordering::Relaxed));
-                world.hopeless.store(false, Ordering::Relaxed);
-            }
-            Fault::Crowded(zone) => {
-                world.zones.iter().for_each(|z| z.long.store(true, Ordering::Relaxed));
-                thread::sleep(lasts);
-                dead(zone, true);
-                thread::sleep(lasts);
-                dead(zone, false);
-                world.zones.iter().for_each(|z| z.long.store(false, Ordering::Relaxed));
-            }
+            Fault::LeaderFrozen => self.play_frozen_leader(lasts)?,
+            Fault::Flaps(zone) => self.play_flaps(zone, from + lasts),
+            Fault::AllSlow => self.play_slow(lasts),
+            Fault::Crowded(zone) => self.play_crowded(zone, lasts),
             Fault::Lossy => {
                 self.layer.change(|w| (w.lost, w.doubled, w.delay_ms) = (300, 50, 60));
                 thread::sleep(lasts);
@@ -272,6 +219,66 @@
         Ok(Played { fault, from, until: Instant::now() })
     }
 
+    /// Has the servers of a zone refuse all connections, or take them again.
+    fn set_dead(&self, zone: usize, on: bool) {
+        self.world.zones[zone].dead.store(on, Ordering::Relaxed);
+    }
+
+    /// Cuts these ways between processes for a time.
+    fn play_cut(&self, pairs: &[(usize, usize)], lasts: Duration) {
+        self.layer.change(|w| w.cut.extend(pairs));
+        thread::sleep(lasts);
+        self.layer.change(|w| w.cut.clear());
+    }
+
+    /// Cuts all ways between processes of unlike parts for a time.
+    fn play_parts(&self, part: impl Fn(usize) -> usize, lasts: Duration) {
+        let count = self.world.plan.dispatchers;
+        let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b)));
+        let apart: Vec<_> = pairs.filter(|(a, b)| part(*a) != part(*b)).collect();
+        self.play_cut(&apart, lasts);
+    }
+
+    fn play_frozen_leader(&mut self, lasts: Duration) -> Result<(), RigError> {
+        let leader = self.leader();
+        self.gone(leader);
+        if let Some(process) = &self.processes[leader] {
+            process.signal("STOP")?;
+            thread::sleep(lasts);
+            process.signal("CONT")?;
+        }
+        let now = Instant::now();
+        held(&self.world.away).iter_mut().filter(|a| a.until.is_none()).for_each(|a| a.until = Some(now));
+        Ok(())
+    }
+
+    fn play_flaps(&self, zone: usize, end: Instant) {
+        let mut on = false;
+        while Instant::now() < end {
+            on = !on;
+            self.set_dead(zone, on);
+            thread::sleep(Duration::from_secs(2));
+        }
+        self.set_dead(zone, false);
+    }
+
+    fn play_slow(&self, lasts: Duration) {
+        self.world.hopeless.store(true, Ordering::Relaxed);
+        self.world.zones.iter().for_each(|z| z.slow.store(true, Ordering::Relaxed));
+        thread::sleep(lasts);
+        self.world.zones.iter().for_each(|z| z.slow.store(false, Ordering::Relaxed));
+        self.world.hopeless.store(false, Ordering::Relaxed);
+    }
+
+    fn play_crowded(&self, zone: usize, lasts: Duration) {
+        self.world.zones.iter().for_each(|z| z.long.store(true, Ordering::Relaxed));
+        thread::sleep(lasts);
+        self.set_dead(zone, true);
+        thread::sleep(lasts);
+        self.set_dead(zone, false);
+        self.world.zones.iter().for_each(|z| z.long.store(false, Ordering::Relaxed));
+    }
+
     /// Waits until each process follows a leader and knows all the others.
     pub(super) fn joined(&self) -> Result<(), RigError> {
         let end = Instant::now() + JOINS * 2;
