--- a/rig/src/scale/dispatcher.rs
+++ b/rig/src/scale/dispatcher.rs
@@ -6,7 +6,7 @@
 use micabeam::control_plane::{ControlPlane, ControlPlaneConfig};
 use micabeam::fleet::{self, DocumentHash, MemberConfig, MemberId};
 use micabeam::rollout;
-use micabeam::zones::{self, AttemptResult};
+use micabeam::zones::{self, AttemptResult, ZoneLoad};
 
 use super::checker::Front;
 use super::plan::Plan;
@@ -150,7 +150,7 @@
             let end = if lost == Some(zone) { AttemptResult::Refused } else { AttemptResult::Answered };
             shared.zones_mut().outcome_counter().record_arrival(false);
             shared.zones_mut().outcome_counter().record_attempt(zone, end, 20.0);
-            shared.tick(now, OPEN, |_| (OPEN as u16, SLOTS));
+            shared.tick(now, OPEN, |_| ZoneLoad { in_flight: OPEN as u16, slots: SLOTS });
         });
     }
 
--- a/src/control_plane/mod.rs
+++ b/src/control_plane/mod.rs
@@ -8,7 +8,7 @@
 use crate::consensus::{ConsensusError, Persisted};
 use crate::fleet::{FleetNode, FrameError, MemberId, NodeEvent};
 use crate::rollout::{self, Rollout};
-use crate::zones::{self, FailoverSettings, ZoneFailover};
+use crate::zones::{self, FailoverSettings, ZoneFailover, ZoneLoad};
 
 /// What is shared.
 #[derive(Clone, Debug)]
@@ -116,13 +116,13 @@
 
     /// Does what is due; `open` requests are open with the dispatcher, and `there` tells of a zone what is out there
     /// and how many slots are listed.
-    pub fn tick(&mut self, now: f64, open: usize, there: impl Fn(usize) -> (u16, u16)) {
+    pub fn tick(&mut self, now: f64, open: usize, zone_load: impl Fn(usize) -> ZoneLoad) {
         if now < self.next_deadline() {
             return;
         }
         self.node.tick(now);
         self.tell(now);
-        self.zones.tick(now, &mut self.node, open, there);
+        self.zones.tick(now, &mut self.node, open, zone_load);
         if let Some(rollout) = &mut self.rollout {
             rollout.tick(now, &mut self.node);
         }
--- a/src/control_plane/tests.rs
+++ b/src/control_plane/tests.rs
@@ -113,7 +113,7 @@
             let clock = self.clock(member);
             self.work(member);
             let node = self.nodes.get_mut(&member).unwrap();
-            node.tick(clock, 10, |_| (0, 60));
+            node.tick(clock, 10, |_| ZoneLoad { in_flight: 0, slots: 60 });
             for effect in node.take_effects() {
                 match effect {
                     Effect::Node(fleet::Effect::Send { to, bytes }) => {
@@ -182,7 +182,7 @@
     }
 
     fn state(&self, member: MemberId, zone: usize) -> ZoneState {
-        self.nodes[&member].zones().newest().1.zones[zone].state
+        self.nodes[&member].zones().newest().table.zones[zone].state
     }
 
     fn shut(&self, zone: usize, members: &[MemberId]) -> bool {
@@ -208,7 +208,7 @@
     assert!(all(&world), "and go on knowing");
     assert_eq!(world.nodes.values().filter(|n| n.node().is_leader()).count(), 1);
     assert!(world.decided.is_empty(), "calm decides nothing");
-    assert!(world.nodes.values().all(|n| n.zones().view().unwrap().status == AgreementStatus::Common));
+    assert!(world.nodes.values().all(|n| n.zones().view().unwrap().status == AgreementStatus::Following));
     world
 }
 
@@ -238,11 +238,11 @@
     world.run(14_000.0);
     for inside in C {
         let view = world.nodes[&inside].zones().view().unwrap();
-        assert_eq!((view.status, view.shares[2]), (AgreementStatus::Alone, 1000));
+        assert_eq!((view.status, view.shares[2]), (AgreementStatus::Isolated, 1000));
     }
     world.cut.clear();
     world.until(3000.0, "heard again", |w| {
-        C.iter().all(|m| w.nodes[m].zones().view().unwrap().status == AgreementStatus::Common)
+        C.iter().all(|m| w.nodes[m].zones().view().unwrap().status == AgreementStatus::Following)
     });
     world.until(20_000.0, "open to all", |w| ALL.iter().all(|m| w.state(*m, 2) == ZoneState::Open));
 }
@@ -255,7 +255,7 @@
     world.split(&[2], &others);
     world.run(20_000.0);
     assert!(world.decided.is_empty(), "{:?}", world.decided);
-    assert_eq!(world.nodes[&2].zones().view().unwrap().status, AgreementStatus::Alone);
+    assert_eq!(world.nodes[&2].zones().view().unwrap().status, AgreementStatus::Isolated);
     assert!(!world.nodes[&0].node().alive()[2]);
     world.cut.clear();
     world.until(4000.0, "back", |w| {
@@ -312,7 +312,7 @@
     let newest = world.decided.keys().max().copied();
     world.run(15_000.0);
     assert_eq!(world.decided.keys().max().copied(), newest);
-    assert!(world.nodes.values().all(|n| n.zones().view().unwrap().status == AgreementStatus::Alone));
+    assert!(world.nodes.values().all(|n| n.zones().view().unwrap().status == AgreementStatus::Isolated));
     assert!(
         B.iter().chain(&C).all(|m| world.nodes[m].zones().view().unwrap().shares[0] == 0),
         "stays closed to them"
@@ -355,7 +355,7 @@
     world.run(100.0);
     ALL.iter().for_each(|m| world.start(*m));
     world.until(4000.0, "closed again", |w| w.shut(0, &ALL));
-    assert!(world.nodes.values().all(|n| n.zones().newest().0 >= epoch));
+    assert!(world.nodes.values().all(|n| n.zones().newest().epoch >= epoch));
 }
 
 /// A process that is killed and started under its name is known again, by its later incarnation.
@@ -416,7 +416,7 @@
     assert_eq!(node.receive(1e6, 1, &news), Ok(()), "whether it reads is the part's to say");
     assert_eq!(node.receive(1e6, 1, &news), Ok(()), "late or twice");
     assert_eq!(node.node().counters().stale, 1);
-    assert_eq!(node.zones().newest().0, 0);
+    assert_eq!(node.zones().newest().epoch, 0);
 }
 
 proptest! {
@@ -434,8 +434,8 @@
                 let _ = node.receive(1e6, 1, &frame.encode("test", 1));
             }
         }
-        node.tick(2e6, 0, |_| (0, 0));
-        prop_assert_eq!(node.zones().newest().0, 0);
+        node.tick(2e6, 0, |_| ZoneLoad::default());
+        prop_assert_eq!(node.zones().newest().epoch, 0);
     }
 
     /// Faults by seed: no epoch has two tables and none goes back (each step checks); healed, all follow and all zones
@@ -480,10 +480,10 @@
             }
         }
         world.until(90_000.0, "all open and all agree", |w| {
-            let epoch = w.nodes[&0].zones().newest().0;
+            let epoch = w.nodes[&0].zones().newest().epoch;
             w.nodes.values().all(|n| {
-                let open = n.zones().newest().1.zones.iter().all(|zone| zone.state == ZoneState::Open);
-                n.zones().newest().0 == epoch && open && n.zones().view().is_some_and(|v| v.status == AgreementStatus::Common)
+                let open = n.zones().newest().table.zones.iter().all(|zone| zone.state == ZoneState::Open);
+                n.zones().newest().epoch == epoch && open && n.zones().view().is_some_and(|v| v.status == AgreementStatus::Following)
             })
         });
     }
--- a/src/frontend/fleet/config.rs
+++ b/src/frontend/fleet/config.rs
@@ -206,7 +206,7 @@
             step_ms: within("step_ms", given.step_ms.unwrap_or(usual.step_ms), 250.0, 6e5),
             forgive_ms: within("forgive_ms", given.forgive_ms.unwrap_or(usual.forgive_ms), 1000.0, 864e5),
             margin: within("margin", given.margin.unwrap_or(usual.margin), 0.1, 1.0),
-            keep_ms: within("keep_ms", given.keep_ms.unwrap_or(usual.keep_ms), 3000.0, 36e5),
+            max_stale_ms: within("keep_ms", given.keep_ms.unwrap_or(usual.max_stale_ms), 3000.0, 36e5),
         };
         let rollout = rollout.map(|table| {
             let usual = rollout::RolloutSettings::default();
--- a/src/frontend/fleet/figures.rs
+++ b/src/frontend/fleet/figures.rs
@@ -31,8 +31,8 @@
     let NodeCounters { frames, dropped, stale, sent_bytes, received_bytes: heard_bytes, decisions, proposed } =
         *node.counters();
     let flag = |on: bool| f64::from(u8::from(on));
-    let (epoch, table) = part.newest();
-    let standing = part.view().map_or(AgreementStatus::Kept, |view| view.status) as u8;
+    let (epoch, table) = (part.newest().epoch, &part.newest().table);
+    let standing = part.view().map_or(AgreementStatus::Stale, |view| view.status) as u8;
     let up = node.alive().iter().filter(|up| **up).count();
     row("lb_fleet_epoch", "gauge", "The newest decision.", &one(epoch as f64));
     row(
--- a/src/frontend/fleet/thread.rs
+++ b/src/frontend/fleet/thread.rs
@@ -23,7 +23,7 @@
 use crate::core::Clock;
 use crate::fleet::{self, MAX_FRAME_BYTES, MemberId};
 use crate::rollout;
-use crate::zones::{self, AttemptResult};
+use crate::zones::{self, AttemptResult, ZoneLoad};
 
 /// While another process holds the address, as the one that an upgrade replaces, it is tried again so often, in
 /// milliseconds.
@@ -390,7 +390,11 @@
         }
         if let Some(open) = &mut self.open {
             let there = &self.there;
-            open.shared.tick(now, self.requests, |zone| there.get(zone).copied().unwrap_or((0, 0)));
+            let zone_load = |zone: usize| {
+                let (in_flight, slots) = there.get(zone).copied().unwrap_or((0, 0));
+                ZoneLoad { in_flight, slots }
+            };
+            open.shared.tick(now, self.requests, zone_load);
         }
         self.carry_out();
         if now >= self.tells {
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -141,7 +141,7 @@
         for at in live {
             // A front serves between any two things that its node does.
             self.serve(at);
-            self.nodes.get_mut(&at).unwrap().tick(now, 0, |_| (0, 0));
+            self.nodes.get_mut(&at).unwrap().tick(now, 0, |_| crate::zones::ZoneLoad::default());
             for effect in self.nodes.get_mut(&at).unwrap().take_effects() {
                 self.carry_out(at, effect);
             }
--- /dev/null
+++ b/src/zones/capacity.rs
@@ -0,0 +1,114 @@
+//! What the zones can carry by the fresh reports: whether one can be closed, and how the load of zones that are not open
+//! is spread over the others. Free of state: the controller builds it anew for each decision.
+
+use super::health_reports::HealthReports;
+use super::{FULL_SHARE, ZoneDecision, ZoneState, ZoneTable};
+
+/// Dispatchers of a zone whose offered load is above this part of its slots may use other zones...
+const CROSS_ABOVE_UTILIZATION: f64 = 0.85;
+/// ...until it is below this part. The gap between the two keeps the border from opening and closing by turns.
+const LOCAL_BELOW_UTILIZATION: f64 = 0.7;
+/// Weights and admission shares are rounded to this many equal steps: smaller changes are not worth a decision.
+const SHARE_STEPS: f64 = 20.0;
+/// One such step, in thousandths.
+const SHARE_STEP: f64 = 50.0;
+/// Least admission share of a zone, in thousandths: some requests are always tried.
+const MIN_ADMIT: u16 = 50;
+
+/// Load and slots of each zone.
+pub(super) struct Capacity {
+    slots: Vec<f64>,
+    /// Attempts in flight of dispatchers whose own zone is open.
+    settled_load: Vec<f64>,
+    /// Requests that would be open at the zone's dispatchers if none were rejected.
+    offered: Vec<f64>,
+}
+
+impl Capacity {
+    pub(super) fn of(now: f64, reports: &HealthReports, table: &ZoneTable) -> Capacity {
+        let zones = table.zones.len();
+        let mut capacity =
+            Capacity { slots: vec![0.0; zones], settled_load: vec![0.0; zones], offered: vec![0.0; zones] };
+        for digest in reports.fresh(now) {
+            let home = usize::from(digest.zone);
+            let is_settled = table.zones.get(home).is_some_and(|zone| zone.state == ZoneState::Open);
+            for (zone, sample) in digest.samples.iter().enumerate().take(zones) {
+                capacity.slots[zone] = capacity.slots[zone].max(f64::from(sample.slots));
+                capacity.settled_load[zone] += if is_settled { f64::from(sample.in_flight) } else { 0.0 };
+            }
+            if home < zones {
+                capacity.offered[home] += digest.offered();
+            }
+        }
+        capacity
+    }
+
+    /// Whether a zone can be closed: half of all slots must stay open. Where the zone still does part of its work
+    /// (`is_working`), the free slots of the others must also cover at least half of its offered load.
+    pub(super) fn can_fail_over(&self, table: &ZoneTable, zone: usize, is_working: bool) -> bool {
+        let stays_open = |other: &usize| *other != zone && table.zones[*other].state != ZoneState::Closed;
+        let others = || (0..self.slots.len()).filter(stays_open);
+        let all_slots: f64 = self.slots.iter().sum();
+        let other_slots: f64 = others().map(|other| self.slots[other]).sum();
+        let free_slots: f64 =
+            others().map(|other| (self.slots[other] - self.settled_load[other]).max(0.0)).sum();
+        let half_stays_open = if all_slots > 0.0 {
+            other_slots * 2.0 >= all_slots
+        } else {
+            others().count() * 2 >= self.slots.len()
+        };
+        half_stays_open && (!is_working || free_slots * 2.0 >= self.offered[zone])
+    }
+
+    /// Sets weight, admission share and `local_only` of each zone: what zones cannot take is split over the others by
+    /// their free capacity, of which the part `margin` is given out.
+    pub(super) fn spread_load(&self, table: &mut ZoneTable, margin: f64) {
+        let free = self.free_slots(table, margin);
+        let most_free = free.iter().copied().fold(0.0, f64::max);
+        let all_free: f64 = free.iter().sum();
+        let displaced = self.displaced_load(table);
+        let is_known = self.slots.iter().any(|slots| *slots > 0.0);
+        for (at, zone) in table.zones.iter_mut().enumerate() {
+            zone.local_only = self.is_local_only(at, zone);
+            zone.weight =
+                if is_known && most_free > 0.0 { rounded_share(free[at] / most_free) } else { FULL_SHARE };
+            let is_short = is_known && displaced > 0.0 && zone.state != ZoneState::Open;
+            zone.admit = if is_short {
+                let local = share_fraction(zone);
+                rounded_share(local + (1.0 - local) * (all_free / displaced).min(1.0)).max(MIN_ADMIT)
+            } else {
+                FULL_SHARE
+            };
+        }
+    }
+
+    /// Slots of each zone that can be given to dispatchers of other zones.
+    fn free_slots(&self, table: &ZoneTable, margin: f64) -> Vec<f64> {
+        let zones = table.zones.iter().enumerate();
+        zones
+            .map(|(at, zone)| {
+                (self.slots[at] * share_fraction(zone) - self.settled_load[at]).max(0.0) * margin
+            })
+            .collect()
+    }
+
+    /// Load that zones cannot take because their share is not full.
+    fn displaced_load(&self, table: &ZoneTable) -> f64 {
+        let zones = table.zones.iter().zip(&self.offered);
+        zones.map(|(zone, offered)| offered * (1.0 - share_fraction(zone))).sum()
+    }
+
+    /// Whether a zone has capacity for all that its dispatchers are offered.
+    fn is_local_only(&self, at: usize, zone: &ZoneDecision) -> bool {
+        let bound = if zone.local_only { CROSS_ABOVE_UTILIZATION } else { LOCAL_BELOW_UTILIZATION };
+        self.offered[at] <= self.slots[at] * bound
+    }
+}
+
+fn share_fraction(zone: &ZoneDecision) -> f64 {
+    f64::from(zone.share) / f64::from(FULL_SHARE)
+}
+
+fn rounded_share(fraction: f64) -> u16 {
+    ((fraction.clamp(0.0, 1.0) * SHARE_STEPS).round() * SHARE_STEP) as u16
+}
--- a/src/zones/failover_controller.rs
+++ b/src/zones/failover_controller.rs
@@ -1,258 +1,229 @@
-//! What the leader makes of the evidence: the next table, if it is to change.
+//! The leader's state machine: it closes zones that fail and opens them step by step.
+//!
+//! It owns the times since which each zone is in its state and since which it fails; what zones can carry is
+//! `capacity`'s, the health of a zone `health_reports`'. The caller proposes each table that it returns and hands in the
+//! newest decided table each time; nothing changes here until that has changed. Times are milliseconds of the caller's
+//! clock.
+//!
+//! | state | event | next state |
+//! | --- | --- | --- |
+//! | open, degraded | may be closed (below) | closed, one more closing |
+//! | open | health is mixed | degraded, at [`DEGRADED_SHARE`] |
+//! | open | `forgive_ms` since it opened | open, its closings forgotten |
+//! | degraded | `step_ms` passed, health is healthy or unknown | open |
+//! | closed | its time passed, and the zone is not unreachable | recovering, at the first of [`RECOVERY_SHARES`] |
+//! | recovering | down or unreachable | closed, one more closing |
+//! | recovering | `step_ms` passed, health is not mixed | the next share; at the full share open |
+//!
+//! A zone may be closed when it has been down or unreachable for `close_after_ms` without a break, the others can carry
+//! on (`Capacity::can_fail_over`), and, where it may only be slow, at most half of the zones that are not closed are
+//! slow.
 
-use super::health_reports::{HealthReports, ZoneHealth};
+use super::capacity::Capacity;
+use super::health_reports::{FailureMode, HealthReports, ZoneHealth};
 use super::{FULL_SHARE, ZoneDecision, ZoneState, ZoneTable};
 
-/// How it is decided. Times are in milliseconds.
+/// How zones are failed over. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailoverSettings {
     /// How long a zone must be found failing before it is closed.
     pub close_after_ms: f64,
     /// How long it stays closed the first time; twice as long each time that follows soon.
     pub closed_for_ms: f64,
-    /// How long each share of a returning zone is held.
+    /// How long each share of a recovering zone lasts.
     pub step_ms: f64,
-    /// After so long open, an earlier closing counts no more.
+    /// After so long open, earlier closings count no more.
     pub forgive_ms: f64,
-    /// What of the free capacity is given out.
+    /// The part of the free capacity that is given out.
     pub margin: f64,
-    /// How long a dispatcher that has no news keeps the last epoch.
-    pub keep_ms: f64,
+    /// How long a dispatcher without news follows the last epoch.
+    pub max_stale_ms: f64,
 }
 
 impl Default for FailoverSettings {
     fn default() -> FailoverSettings {
-        let (close_after, closed_for, step) = (600.0, 5000.0, 1000.0);
         FailoverSettings {
-            close_after_ms: close_after,
-            closed_for_ms: closed_for,
-            step_ms: step,
+            close_after_ms: 600.0,
+            closed_for_ms: 5000.0,
+            step_ms: 1000.0,
             forgive_ms: 60_000.0,
             margin: 0.9,
-            keep_ms: 10_000.0,
+            max_stale_ms: 10_000.0,
         }
     }
 }
 
-/// Shares of a zone that returns, one after the other.
-const RETURN: [u16; 4] = [50, 200, 500, FULL_SHARE];
-/// Share of a zone that some find failing.
-const CAREFUL: u16 = 500;
-/// A zone stays closed so many times as long as the first time at most.
-const LONGEST: f64 = 12.0;
-/// Dispatchers of a zone that is asked for more than this part of its slots may cross its border, until it is asked for
-/// less than the other.
-const FULL: f64 = 0.85;
-const ROOMY: f64 = 0.7;
-/// Weights are decided anew where one has moved by this much.
-const MOVED: u16 = 150;
+/// Shares of a recovering zone, one after the other.
+const RECOVERY_SHARES: [u16; 4] = [50, 200, 500, FULL_SHARE];
+/// Share of a degraded zone.
+const DEGRADED_SHARE: u16 = 500;
+/// A zone stays closed at most this many times as long as the first time: a minute by default.
+const MAX_BACKOFF_FACTOR: f64 = 12.0;
+/// Most times that the time closed is doubled: 2^8 is past [`MAX_BACKOFF_FACTOR`], and the power stays small.
+const MAX_BACKOFF_DOUBLINGS: u8 = 8;
+/// Weights and admission shares are decided anew where one has changed by this many thousandths.
+const MIN_WEIGHT_CHANGE: u16 = 150;
 
-/// What the leader remembers between two decisions. A new leader begins with all times at its start, so that a change
-/// of leaders makes nothing sooner.
+/// What the leader remembers between two decisions. A new leader starts with all times at its own start, so that a
+/// change of leaders makes nothing sooner.
 #[derive(Clone, Debug)]
 pub struct FailoverController {
-    rules: FailoverSettings,
-    /// Since when each zone is in its state and share.
-    since: Vec<f64>,
-    /// Since when each zone is found failing without a break.
-    failing: Vec<Option<f64>>,
-    known: ZoneTable,
-    balanced: f64,
+    settings: FailoverSettings,
+    /// Since when each zone is in its state and share, in milliseconds.
+    unchanged_since_ms: Vec<f64>,
+    /// Since when each zone is down or unreachable without a break, in milliseconds.
+    failing_since_ms: Vec<Option<f64>>,
+    /// The table at the last call.
+    last_table: ZoneTable,
+    /// When a table was last returned, in milliseconds.
+    last_change_ms: f64,
 }
 
 impl FailoverController {
-    /// A leader that begins now.
-    pub fn new(rules: FailoverSettings, now: f64, table: &ZoneTable) -> FailoverController {
+    /// The controller of a leader that starts now.
+    pub fn new(settings: FailoverSettings, now: f64, table: &ZoneTable) -> FailoverController {
         let zones = table.zones.len();
         FailoverController {
-            rules,
-            since: vec![now; zones],
-            failing: vec![None; zones],
-            known: table.clone(),
-            balanced: now,
+            settings,
+            unchanged_since_ms: vec![now; zones],
+            failing_since_ms: vec![None; zones],
+            last_table: table.clone(),
+            last_change_ms: now,
         }
     }
 
-    /// The next table, where it is to change. `peopled` tells which zones have dispatchers in the operator's file.
+    /// The next table, where it is to change. `zones_half_down` has the zones with members of which the membership has
+    /// at least half down; a zone without an entry counts as up.
     pub fn next_table(
         &mut self,
         now: f64,
         table: &ZoneTable,
-        evidence: &HealthReports,
-        peopled: &[bool],
+        reports: &HealthReports,
+        zones_half_down: &[bool],
     ) -> Option<ZoneTable> {
-        if self.known.zones.len() != table.zones.len() {
-            *self = FailoverController::new(self.rules, now, table);
+        self.observe_table(now, table);
+        let half_down = |zone: usize| zones_half_down.get(zone).copied().unwrap_or(false);
+        let health: Vec<ZoneHealth> =
+            (0..table.zones.len()).map(|zone| reports.health(now, zone, half_down(zone))).collect();
+        let capacity = Capacity::of(now, reports, table);
+        let mut next = table.clone();
+        self.advance_states(now, &mut next, &health, &capacity);
+        capacity.spread_load(&mut next, self.settings.margin);
+        let is_due = now >= self.last_change_ms + self.settings.step_ms;
+        if changes_routes(table, &next) || changes_weights(table, &next) && is_due {
+            self.last_change_ms = now;
+            return Some(next);
         }
-        for (at, (zone, known)) in table.zones.iter().zip(&self.known.zones).enumerate() {
-            if (zone.state, zone.share) != (known.state, known.share) {
-                self.since[at] = now;
+        None
+    }
+
+    /// Notes which zones have changed in the decided table since the last call.
+    fn observe_table(&mut self, now: f64, table: &ZoneTable) {
+        if self.last_table.zones.len() != table.zones.len() {
+            *self = FailoverController::new(self.settings, now, table);
+        }
+        for (at, (zone, last)) in table.zones.iter().zip(&self.last_table.zones).enumerate() {
+            if (zone.state, zone.share) != (last.state, last.share) {
+                self.unchanged_since_ms[at] = now;
             }
         }
-        self.known = table.clone();
-        let home = |at: usize| peopled.get(at).copied().unwrap_or(false);
-        let verdicts: Vec<ZoneHealth> =
-            (0..table.zones.len()).map(|at| evidence.health(now, at, home(at))).collect();
-        let room = Capacity::of(now, evidence, table);
-        let open = table.zones.iter().filter(|zone| zone.state != ZoneState::Closed).count();
-        let silent = |verdict: &&ZoneHealth| matches!(verdict, ZoneHealth::Down { dead: false });
+        self.last_table = table.clone();
+    }
+
+    /// Brings each zone to its next state. Zones are taken in order: one that is closed here counts as closed for the
+    /// capacity of those after it.
+    fn advance_states(&mut self, now: f64, next: &mut ZoneTable, health: &[ZoneHealth], capacity: &Capacity) {
+        let not_closed = next.zones.iter().filter(|zone| zone.state != ZoneState::Closed).count();
+        let slow = health.iter().filter(|health| is_slow(**health)).count();
         // What is slow everywhere is not the zones' fault, and closing one makes the others slower.
-        let common = verdicts.iter().filter(silent).count() * 2 > open;
-        let mut next = table.clone();
-        for (at, &verdict) in verdicts.iter().enumerate() {
-            let fails = matches!(verdict, ZoneHealth::Down { .. } | ZoneHealth::Cut);
-            let since = fails.then(|| *self.failing[at].get_or_insert(now));
-            self.failing[at] = since;
-            let ripe = since.is_some_and(|since| now - since >= self.rules.close_after_ms);
-            let slow = silent(&&verdict);
-            let may = ripe && !(slow && common) && room.can_fail_over(&next, at, slow);
-            next.zones[at] = self.turn(now, at, next.zones[at], verdict, may);
-        }
-        let states = |t: &ZoneTable| t.zones.iter().map(|z| (z.state, z.share)).collect::<Vec<_>>();
-        let turned = states(&next) != states(table);
-        room.spread_load(&mut next, self.rules.margin);
-        let moved = next.zones.iter().zip(&table.zones);
-        let moved = moved.into_iter().any(|(new, old)| {
-            new.weight.abs_diff(old.weight) >= MOVED || new.admit.abs_diff(old.admit) >= MOVED
-        });
-        let nears = |t: &ZoneTable| t.zones.iter().map(|z| z.local_only).collect::<Vec<_>>();
-        let turned = turned || nears(&next) != nears(table);
-        if turned || moved && now >= self.balanced + self.rules.step_ms {
-            self.balanced = now;
-            return Some(next);
+        let most_are_slow = slow * 2 > not_closed;
+        for (zone, &health) in health.iter().enumerate() {
+            let failing_since = is_failing(health).then(|| *self.failing_since_ms[zone].get_or_insert(now));
+            self.failing_since_ms[zone] = failing_since;
+            let fails_long_enough =
+                failing_since.is_some_and(|since| now - since >= self.settings.close_after_ms);
+            let may_close = fails_long_enough
+                && !(is_slow(health) && most_are_slow)
+                && capacity.can_fail_over(next, zone, is_slow(health));
+            next.zones[zone] = self.next_decision(now, zone, next.zones[zone], health, may_close);
         }
-        None
     }
 
-    /// The next state of a zone.
-    fn turn(
+    /// The transitions of one zone, as the head of this file lists them.
+    fn next_decision(
         &self,
         now: f64,
         at: usize,
         zone: ZoneDecision,
-        verdict: ZoneHealth,
+        health: ZoneHealth,
         may_close: bool,
     ) -> ZoneDecision {
-        let held = now - self.since[at];
-        let closed = ZoneDecision {
-            state: ZoneState::Closed,
-            share: 0,
-            closings: zone.closings.saturating_add(1),
-            ..zone
-        };
+        let unchanged_ms = now - self.unchanged_since_ms[at];
+        let step_is_over = unchanged_ms >= self.settings.step_ms;
         let open = ZoneDecision { state: ZoneState::Open, share: FULL_SHARE, ..zone };
         match zone.state {
-            ZoneState::Open | ZoneState::Degraded if may_close => closed,
-            ZoneState::Open if verdict == ZoneHealth::Mixed => {
-                ZoneDecision { state: ZoneState::Degraded, share: CAREFUL, ..zone }
+            ZoneState::Open | ZoneState::Degraded if may_close => closed(zone),
+            ZoneState::Open if health == ZoneHealth::Mixed => {
+                ZoneDecision { state: ZoneState::Degraded, share: DEGRADED_SHARE, ..zone }
             }
-            ZoneState::Open if zone.closings > 0 && held >= self.rules.forgive_ms => {
+            ZoneState::Open if zone.closings > 0 && unchanged_ms >= self.settings.forgive_ms => {
                 ZoneDecision { closings: 0, ..open }
             }
             ZoneState::Degraded
-                if held >= self.rules.step_ms
-                    && matches!(verdict, ZoneHealth::Good | ZoneHealth::Unknown) =>
+                if step_is_over && matches!(health, ZoneHealth::Healthy | ZoneHealth::Unknown) =>
             {
                 open
             }
-            ZoneState::Closed => {
-                let times = f64::from(zone.closings.saturating_sub(1).min(8)).exp2().min(LONGEST);
-                let over = held >= self.rules.closed_for_ms * times && verdict != ZoneHealth::Cut;
-                if over {
-                    ZoneDecision { state: ZoneState::Recovering, share: RETURN[0], ..zone }
-                } else {
-                    zone
-                }
+            ZoneState::Closed
+                if unchanged_ms >= self.closed_for_ms(zone) && health != ZoneHealth::Unreachable =>
+            {
+                ZoneDecision { state: ZoneState::Recovering, share: RECOVERY_SHARES[0], ..zone }
             }
-            ZoneState::Recovering if matches!(verdict, ZoneHealth::Down { .. } | ZoneHealth::Cut) => closed,
-            // A share is raised on good news, or where nobody has tried it.
-            ZoneState::Recovering if held >= self.rules.step_ms && verdict != ZoneHealth::Mixed => {
-                match RETURN.iter().find(|share| **share > zone.share) {
+            ZoneState::Recovering if is_failing(health) => closed(zone),
+            // A share is also raised where nobody has tried the zone.
+            ZoneState::Recovering if step_is_over && health != ZoneHealth::Mixed => {
+                match RECOVERY_SHARES.iter().find(|share| **share > zone.share) {
                     Some(&FULL_SHARE) | None => open,
                     Some(&share) => ZoneDecision { share, ..zone },
                 }
             }
-            _ => zone,
+            ZoneState::Open | ZoneState::Degraded | ZoneState::Closed | ZoneState::Recovering => zone,
         }
     }
+
+    /// How long a zone stays closed, in milliseconds: twice as long each time.
+    fn closed_for_ms(&self, zone: ZoneDecision) -> f64 {
+        let doublings = zone.closings.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+        let factor = f64::from(doublings).exp2().min(MAX_BACKOFF_FACTOR);
+        self.settings.closed_for_ms * factor
+    }
 }
 
-/// What the zones can carry, as the fleet knows it.
-struct Capacity {
-    slots: Vec<f64>,
-    /// What is out there for dispatchers whose own zone is open.
-    settled: Vec<f64>,
-    /// What dispatchers of the zone are asked for.
-    offered: Vec<f64>,
+fn closed(zone: ZoneDecision) -> ZoneDecision {
+    let closings = zone.closings.saturating_add(1);
+    ZoneDecision { state: ZoneState::Closed, share: 0, closings, ..zone }
 }
 
-impl Capacity {
-    fn of(now: f64, evidence: &HealthReports, table: &ZoneTable) -> Capacity {
-        let zones = table.zones.len();
-        let mut room =
-            Capacity { slots: vec![0.0; zones], settled: vec![0.0; zones], offered: vec![0.0; zones] };
-        for digest in evidence.fresh(now) {
-            let home = usize::from(digest.zone);
-            let settled = table.zones.get(home).is_some_and(|zone| zone.state == ZoneState::Open);
-            for (at, seen) in digest.samples.iter().enumerate().take(zones) {
-                room.slots[at] = room.slots[at].max(f64::from(seen.slots));
-                room.settled[at] += if settled { f64::from(seen.out) } else { 0.0 };
-            }
-            if home < zones {
-                room.offered[home] += digest.offered();
-            }
-        }
-        room
-    }
+fn is_failing(health: ZoneHealth) -> bool {
+    matches!(health, ZoneHealth::Down(_) | ZoneHealth::Unreachable)
+}
 
-    /// Whether a zone can be closed: half of all slots must stay open, and where it still does some of its work, what
-    /// is left must have room for more than it does.
-    fn can_fail_over(&self, table: &ZoneTable, zone: usize, working: bool) -> bool {
-        let all: f64 = self.slots.iter().sum();
-        let others =
-            || (0..self.slots.len()).filter(|&at| at != zone && table.zones[at].state != ZoneState::Closed);
-        let left: f64 = others().map(|at| self.slots[at]).sum();
-        let free: f64 = others().map(|at| (self.slots[at] - self.settled[at]).max(0.0)).sum();
-        let half = if all > 0.0 { left * 2.0 >= all } else { others().count() * 2 >= self.slots.len() };
-        half && (!working || free * 2.0 >= self.offered[zone])
-    }
+fn is_slow(health: ZoneHealth) -> bool {
+    health == ZoneHealth::Down(FailureMode::Slow)
+}
 
-    /// Splits what zones cannot take over the others by their free capacity, and tells how much of it there is room
-    /// for.
-    fn spread_load(&self, table: &mut ZoneTable, margin: f64) {
-        let free: Vec<f64> = table
-            .zones
-            .iter()
-            .enumerate()
-            .map(|(at, zone)| {
-                let share = f64::from(zone.share) / f64::from(FULL_SHARE);
-                (self.slots[at] * share - self.settled[at]).max(0.0) * margin
-            })
-            .collect();
-        let (most, all) = (free.iter().copied().fold(0.0, f64::max), free.iter().sum::<f64>());
-        let need: f64 = table
-            .zones
-            .iter()
-            .zip(&self.offered)
-            .map(|(zone, offered)| offered * (1.0 - f64::from(zone.share) / f64::from(FULL_SHARE)))
-            .sum();
-        // In steps of a twentieth: small moves are not worth a decision.
-        let part = |part: f64| ((part.clamp(0.0, 1.0) * 20.0).round() * 50.0) as u16;
-        let known = self.slots.iter().any(|slots| *slots > 0.0);
-        for ((zone, free), (slots, offered)) in
-            table.zones.iter_mut().zip(&free).zip(self.slots.iter().zip(&self.offered))
-        {
-            // With a gap between, lest it go to and fro.
-            let bound = if zone.local_only { FULL } else { ROOMY };
-            zone.local_only = *offered <= slots * bound;
-            zone.weight = if known && most > 0.0 { part(free / most) } else { FULL_SHARE };
-            let short = known && need > 0.0 && zone.state != ZoneState::Open;
-            zone.admit = if short {
-                let kept = f64::from(zone.share) / f64::from(FULL_SHARE);
-                part(kept + (1.0 - kept) * (all / need).min(1.0)).max(50)
-            } else {
-                FULL_SHARE
-            };
-        }
-    }
+/// Whether a state, a share or `local_only` of a zone differs: such a change is decided at once.
+fn changes_routes(table: &ZoneTable, next: &ZoneTable) -> bool {
+    let routes = |zone: &ZoneDecision| (zone.state, zone.share, zone.local_only);
+    let mut pairs = table.zones.iter().zip(&next.zones);
+    pairs.any(|(old, new)| routes(old) != routes(new))
+}
+
+/// Whether a weight or an admission share of a zone differs by enough.
+fn changes_weights(table: &ZoneTable, next: &ZoneTable) -> bool {
+    let mut pairs = table.zones.iter().zip(&next.zones);
+    pairs.any(|(old, new)| {
+        new.weight.abs_diff(old.weight) >= MIN_WEIGHT_CHANGE
+            || new.admit.abs_diff(old.admit) >= MIN_WEIGHT_CHANGE
+    })
 }
--- a/src/zones/wire_tests.rs
+++ b/src/zones/wire_tests.rs
@@ -1,4 +1,4 @@
-//! Guards the form of what dispatchers send one another about zones.
+//! Guards the wire form of zone digests and tables.
 
 use super::zone_failover::DigestMessage;
 use super::{Digest, ZoneDecision, ZoneSample, ZoneState, ZoneTable};
@@ -6,28 +6,29 @@
 
 #[test]
 fn a_digest_keeps_its_form() {
-    let seen = ZoneSample { answered: 1, refused: 2, silent: 3, took_ms: 400, out: 5, slots: 6 };
+    let sample =
+        ZoneSample { answered: 1, refused: 2, silent: 3, mean_latency_ms: 400, in_flight: 5, slots: 6 };
     let digest = Digest {
         incarnation: 1000,
         number: 7,
         zone: 2,
-        open: 9,
+        open_requests: 9,
         arrived: 300,
         rejected: 11,
-        samples: vec![seen],
+        samples: vec![sample],
     };
     assert_bytes("zones.digest", &postcard::to_stdvec(&DigestMessage(digest)).unwrap());
 }
 
 #[test]
 fn a_table_keeps_its_form() {
-    let zone = |state, share, near| ZoneDecision {
+    let zone = |state, share, local_only| ZoneDecision {
         state,
         share,
         weight: 950,
         admit: 850,
         closings: 3,
-        local_only: near,
+        local_only,
     };
     let zones = vec![
         zone(ZoneState::Open, 1000, true),
--- a/src/zones/zone_failover.rs
+++ b/src/zones/zone_failover.rs
@@ -1,85 +1,91 @@
-//! The part of zones: what a dispatcher tells the voters of its own work, what the leader proposes, and what the
-//! dispatcher does with what is decided. It stands on the fleet's node.
+//! Zone failover of one member, on top of the fleet's node: it sends the dispatcher's digests to the voters, proposes
+//! tables while this node leads, follows what is decided, and gives out the dispatcher's view.
+//!
+//! The caller records the dispatcher's attempts in [`ZoneFailover::outcome_counter`], calls [`ZoneFailover::tick`]
+//! regularly and [`ZoneFailover::follow`] after each decision, hands in messages of [`TOPIC`], and carries out the
+//! effects. Times are milliseconds of the caller's clock.
 
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Digest, FailoverController, FailoverSettings, HealthReports, OutcomeCounter, TOPIC, ZoneSample,
-    ZoneSummary, ZoneTable, ZoneView, ZoneViewTracker,
+    DecidedTable, Digest, FailoverController, FailoverSettings, HealthReports, OutcomeCounter, TOPIC,
+    ZoneLoad, ZoneSample, ZoneSummary, ZoneTable, ZoneView, ZoneViewTracker,
 };
 use crate::fleet::{FleetNode, MemberId};
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// What the zones may get has changed.
+    /// Apply the new view.
     View(ZoneView),
-    /// A decision was read that is newer than any before.
+    /// Log a decision that is newer than any before.
     Decided(TableChange),
 }
 
-/// A decision that was read, and how it came about as far as is known here.
+/// A decision that was read, and how it came about as far as this member knows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableChange {
     /// Its epoch.
     pub epoch: u64,
-    /// What it says.
+    /// The table.
     pub table: ZoneTable,
     /// The voter that leads, as a member.
     pub leader: Option<MemberId>,
     /// Whether this node proposed it.
     pub is_own: bool,
-    /// The members whose votes are known to have carried its leader; at the leader alone.
+    /// The members that are known to follow the leader; at the leader alone.
     pub voters: Vec<MemberId>,
-    /// What the fleet's dispatchers saw of each zone, at a voter.
+    /// The reports of each zone; at voters alone.
     pub summaries: Vec<ZoneSummary>,
 }
 
-/// Voters that do not lead get one digest in so many: within the time for which one counts.
-const FOLLOWERS_EVERY: u64 = 2;
+/// A voter that does not lead gets one digest in this many: often enough for [`super::DIGEST_LIFETIME_MS`].
+const FOLLOWER_DIGEST_INTERVAL: u64 = 2;
 
-/// What members say to voters.
+/// The message that members send to voters.
 #[derive(Serialize, Deserialize)]
 pub(super) struct DigestMessage(pub(super) Digest);
 
-/// The part.
+/// Zone failover of one member.
 pub struct ZoneFailover {
-    count: usize,
-    rules: FailoverSettings,
-    tally: OutcomeCounter,
-    evidence: HealthReports,
-    follower: ZoneViewTracker,
-    decider: Option<FailoverController>,
-    last_proposed: u64,
+    zone_count: usize,
+    settings: FailoverSettings,
+    counter: OutcomeCounter,
+    reports: HealthReports,
+    tracker: ZoneViewTracker,
+    /// Present while this node leads.
+    controller: Option<FailoverController>,
+    /// The epoch that this node's last proposal has if it is decided.
+    last_proposed_epoch: u64,
     view: Option<ZoneView>,
     effects: Vec<Effect>,
 }
 
 impl ZoneFailover {
-    /// The part of a member of this zone, among so many.
+    /// Zone failover of a member in the zone `own_zone` of `zone_count`.
     pub fn new(
-        home: usize,
-        count: usize,
-        rules: FailoverSettings,
+        own_zone: usize,
+        zone_count: usize,
+        settings: FailoverSettings,
         incarnation: u64,
         now: f64,
     ) -> ZoneFailover {
         ZoneFailover {
-            count,
-            rules,
-            tally: OutcomeCounter::new(home as u16, count, incarnation, now),
-            evidence: HealthReports::default(),
-            follower: ZoneViewTracker::new(home, count, rules, now),
-            decider: None,
-            last_proposed: 0,
+            zone_count,
+            settings,
+            counter: OutcomeCounter::new(own_zone as u16, zone_count, incarnation, now),
+            reports: HealthReports::default(),
+            tracker: ZoneViewTracker::new(own_zone, zone_count, settings, now),
+            controller: None,
+            last_proposed_epoch: 0,
             view: None,
             effects: Vec::new(),
         }
     }
 
-    /// What the dispatcher's own work adds to the evidence.
+    /// The counter of the dispatcher's own attempts and arrivals.
     pub fn outcome_counter(&mut self) -> &mut OutcomeCounter {
-        &mut self.tally
+        &mut self.counter
     }
 
     /// What is to be done since the last call, in order.
@@ -87,115 +93,124 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Does what is due; `open` requests are open with the dispatcher, and `there` tells of a zone what is out there
-    /// and how many slots are listed.
-    pub fn tick(&mut self, now: f64, node: &mut FleetNode, open: usize, there: impl Fn(usize) -> (u16, u16)) {
+    /// Does what is due. `open_requests` are open at the dispatcher, and `zone_load` gives its present load of a zone.
+    pub fn tick(
+        &mut self,
+        now: f64,
+        node: &mut FleetNode,
+        open_requests: usize,
+        zone_load: impl Fn(usize) -> ZoneLoad,
+    ) {
         self.follow(now, node);
-        if !self.tally.advance(now) {
+        if !self.counter.advance(now) {
             return;
         }
-        let digest = self.tally.next_digest(open, &there);
+        let digest = self.counter.next_digest(open_requests, &zone_load);
         self.send_digest(now, node, digest);
-        self.decide(now, node);
-        let seen = self.tally.samples(&there);
-        self.look(now, &seen);
+        self.propose_table(now, node);
+        let samples = self.counter.samples(&zone_load);
+        self.update_view(now, &samples);
     }
 
-    /// A message of another member. False where it is none that this part can take.
+    /// Takes a message of another member. Returns false where it is not a valid digest for this member.
     pub fn receive(&mut self, now: f64, node: &FleetNode, from: MemberId, bytes: &[u8]) -> bool {
         let Ok((DigestMessage(digest), [])) = postcard::take_from_bytes(bytes) else { return false };
-        let home = node.members().get(usize::from(from)).map(|place| place.zone);
-        let fits = node.is_voting().is_some() && home == Some(usize::from(digest.zone));
-        fits && self.evidence.record(now, from, digest, self.count)
+        let home = node.members().get(usize::from(from)).map(|member| member.zone);
+        let is_valid = node.is_voting().is_some() && home == Some(usize::from(digest.zone));
+        is_valid && self.reports.record(now, from, digest, self.zone_count)
     }
 
     /// Follows the newest decision that the node knows.
     pub fn follow(&mut self, now: f64, node: &FleetNode) {
         let (epoch, body) = node.newest_decision(TOPIC);
-        let known = self.follower.newest().0;
-        let table = if epoch > known { ZoneTable::decode(body, self.count) } else { None };
+        let is_newer = epoch > self.tracker.newest().epoch;
+        let table = if is_newer { ZoneTable::decode(body, self.zone_count) } else { None };
         let (term, _) = node.term();
-        if !self.follower.on_update(now, epoch, table, term) {
+        if !self.tracker.on_update(now, epoch, table, term) {
             return;
         }
-        let (epoch, table) = self.follower.newest();
+        let newest = self.tracker.newest();
         self.effects.push(Effect::Decided(TableChange {
-            epoch,
-            table: table.clone(),
+            epoch: newest.epoch,
+            table: newest.table.clone(),
             leader: node.leader(),
-            is_own: self.last_proposed == epoch,
+            is_own: self.last_proposed_epoch == newest.epoch,
             voters: node.followers(),
             summaries: self.summaries(now, node),
         }));
     }
 
-    /// What the fleet's dispatchers saw of each zone; nothing where it is no voter.
+    /// The reports of each zone; empty where this member is no voter.
     pub fn summaries(&self, now: f64, node: &FleetNode) -> Vec<ZoneSummary> {
-        let zones = if node.is_voting().is_some() { self.count } else { 0 };
-        (0..zones).map(|zone| self.evidence.summary(now, zone)).collect()
+        let zones = if node.is_voting().is_some() { self.zone_count } else { 0 };
+        (0..zones).map(|zone| self.reports.summary(now, zone)).collect()
     }
 
-    /// Sends its sums to the voters, itself among them: to the leader each time, and to the others now and then, so that
-    /// one of them that begins to lead knows what was seen lately.
+    /// Sends a digest to the voters, itself among them: to the leader each time, and to the others now and then, so that
+    /// one of them that begins to lead has recent reports.
     fn send_digest(&mut self, now: f64, node: &mut FleetNode, digest: Digest) {
         let number = digest.number;
         if node.is_voting().is_some() {
-            self.evidence.record(now, node.own(), digest.clone(), self.count);
+            self.reports.record(now, node.own(), digest.clone(), self.zone_count);
         }
-        // Into a vector nothing can fail to fit.
+        // Serializing into a vector cannot fail.
         let bytes = postcard::to_stdvec(&DigestMessage(digest)).unwrap_or_default();
         let (own, leader, voters) = (node.own(), node.leader(), node.voters().to_vec());
-        let due = |(at, voter): &(usize, MemberId)| {
-            let turn = (number + *at as u64).is_multiple_of(FOLLOWERS_EVERY);
-            *voter != own && (turn || leader.is_none_or(|leader| leader == *voter))
-        };
-        for (_, voter) in voters.into_iter().enumerate().filter(due) {
-            node.send_message(voter, TOPIC, bytes.clone());
+        for (position, voter) in voters.into_iter().enumerate() {
+            let leads = leader.is_none_or(|leader| leader == voter);
+            let is_turn = (number + position as u64).is_multiple_of(FOLLOWER_DIGEST_INTERVAL);
+            if voter != own && (leads || is_turn) {
+                node.send_message(voter, TOPIC, bytes.clone());
+            }
         }
     }
 
-    /// As the leader, proposes what the evidence asks for.
-    fn decide(&mut self, now: f64, node: &mut FleetNode) {
+    /// As the leader, proposes the table that the reports ask for.
+    fn propose_table(&mut self, now: f64, node: &mut FleetNode) {
         if !node.is_leader() {
-            self.decider = None;
+            self.controller = None;
             return;
         }
-        let (epoch, table) = self.follower.newest();
-        let decider = self.decider.get_or_insert_with(|| FailoverController::new(self.rules, now, table));
-        // A zone is cut off for the others only where half of its dispatchers are not there either.
-        let gone: Vec<bool> = (0..self.count)
-            .map(|zone| {
-                let here = || node.members().iter().zip(node.alive()).filter(|(place, _)| place.zone == zone);
-                let down = here().filter(|(_, up)| !**up).count();
-                here().count() > 0 && down * 2 >= here().count()
-            })
-            .collect();
-        // What the node knows may be newer than what is followed here; then it is looked at first.
-        if let Some(next) = decider.next_table(now, table, &self.evidence, &gone)
-            && node.newest_decision(TOPIC).0 == epoch
+        let DecidedTable { epoch, table } = self.tracker.newest();
+        let controller =
+            self.controller.get_or_insert_with(|| FailoverController::new(self.settings, now, table));
+        let half_down = zones_half_down(node, self.zone_count);
+        // The node may know a newer decision than the tracker; that is to be followed first.
+        if let Some(next) = controller.next_table(now, table, &self.reports, &half_down)
+            && node.newest_decision(TOPIC).0 == *epoch
             && node.propose(now, TOPIC, next.encode())
         {
-            self.last_proposed = epoch + 1;
+            self.last_proposed_epoch = epoch + 1;
         }
         self.follow(now, node);
     }
 
-    /// What the dispatcher is to do by now.
-    fn look(&mut self, now: f64, seen: &[ZoneSample]) {
-        let view = self.follower.update(now, seen);
+    fn update_view(&mut self, now: f64, samples: &[ZoneSample]) {
+        let view = self.tracker.update(now, samples);
         if self.view.as_ref() != Some(view) {
             self.view = Some(view.clone());
             self.effects.push(Effect::View(view.clone()));
         }
     }
 
-    /// The newest epoch and its table.
-    pub fn newest(&self) -> (u64, &ZoneTable) {
-        self.follower.newest()
+    /// The newest decision.
+    pub fn newest(&self) -> &DecidedTable {
+        self.tracker.newest()
     }
 
-    /// What the dispatcher is to do; none before the first look.
+    /// What the dispatcher is to do; none before the first digest.
     pub fn view(&self) -> Option<&ZoneView> {
         self.view.as_ref()
     }
 }
+
+/// The zones with members of which at least half are down by the membership. A zone whose digests are missing is only
+/// closed as unreachable if it is one of these.
+fn zones_half_down(node: &FleetNode, zone_count: usize) -> Vec<bool> {
+    let is_half_down = |zone: usize| {
+        let members = || node.members().iter().zip(node.alive()).filter(|(member, _)| member.zone == zone);
+        let down = members().filter(|(_, is_alive)| !**is_alive).count();
+        members().count() > 0 && down * 2 >= members().count()
+    };
+    (0..zone_count).map(is_half_down).collect()
+}
--- a/src/zones/zone_view.rs
+++ b/src/zones/zone_view.rs
@@ -1,81 +1,106 @@
-//! What a dispatcher does with the newest epoch that it has seen, and without news.
+//! What a dispatcher does with the newest decision that it knows, and how it goes on without news.
+//!
+//! The tracker owns the newest table and when the leader's term last rose. The caller hands in what arrives
+//! ([`ZoneViewTracker::on_update`]) and asks for the view at a steady pace ([`ZoneViewTracker::update`]); it carries the
+//! view out. Times are milliseconds of the caller's clock.
+//!
+//! | status | while | what the dispatcher does |
+//! | --- | --- | --- |
+//! | following | the term rose within [`FOLLOWING_TIMEOUT_MS`] | follows the table |
+//! | stale | the term rose within `max_stale_ms` | follows the last table |
+//! | isolated | otherwise | as before, but it also closes zones that fail itself and uses foreign zones less |
 
 use super::failover_controller::FailoverSettings;
-use super::health_reports::ZoneSample;
+use super::outcome_counter::ZoneSample;
 use super::{FULL_SHARE, ZoneState, ZoneTable};
 use crate::consensus::LeaderTerm;
 
-/// News are taken for current for so long, in milliseconds.
-const CURRENT: f64 = 3000.0;
-/// What of its use a foreign zone keeps with a dispatcher that is alone.
-const ALONE: u16 = 500;
-/// Shares rise by so much in a view at most; they fall at once.
-const RISE: u16 = 250;
+/// How long a dispatcher counts as following after the leader's term rose, in milliseconds.
+const FOLLOWING_TIMEOUT_MS: f64 = 3000.0;
+/// Highest share that a foreign zone gets from an isolated dispatcher, in thousandths.
+const ISOLATED_FOREIGN_SHARE: u16 = 500;
+/// A share rises by this much in one update at most, in thousandths; it falls at once.
+const MAX_SHARE_RISE: u16 = 250;
 
-/// How a dispatcher stands to the others.
+/// Whether a dispatcher acts in agreement with the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgreementStatus {
     /// It follows a leader that has a majority.
-    Common,
-    /// It has no news, and keeps the last epoch.
-    Kept,
-    /// It has had none for long, and decides by its own evidence, more carefully.
-    Alone,
+    Following,
+    /// It has no news, and follows the last epoch.
+    Stale,
+    /// It has had no news for long, and acts on its own samples as well, more carefully.
+    Isolated,
 }
 
-/// What is to be done.
+/// What a dispatcher is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneView {
     /// The newest epoch.
     pub epoch: u64,
-    /// How the dispatcher stands.
+    /// Whether the dispatcher acts in agreement with the others.
     pub status: AgreementStatus,
-    /// What each zone may get of its usual work.
+    /// The share of its usual work that each zone may get, in thousandths.
     pub shares: Vec<u16>,
-    /// What of its requests the dispatcher takes.
+    /// The share of its requests that the dispatcher admits, in thousandths.
     pub admit: u16,
 }
 
-/// A dispatcher among the others.
+/// A decided table and its epoch.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DecidedTable {
+    /// The epoch; 0: nothing was decided yet.
+    pub epoch: u64,
+    /// The table.
+    pub table: ZoneTable,
+}
+
+/// A dispatcher's view of the zones.
 #[derive(Clone, Debug)]
 pub struct ZoneViewTracker {
-    own: usize,
-    rules: FailoverSettings,
-    epoch: u64,
-    table: ZoneTable,
+    own_zone: usize,
+    settings: FailoverSettings,
+    newest: DecidedTable,
     term: LeaderTerm,
-    /// When the term last rose.
-    heard: f64,
+    /// When the term last rose, in milliseconds.
+    term_raised_ms: f64,
     view: ZoneView,
 }
 
 impl ZoneViewTracker {
-    /// One that has heard nothing yet: all zones are open to it.
-    pub fn new(own: usize, zones: usize, rules: FailoverSettings, now: f64) -> ZoneViewTracker {
+    /// A tracker without any news: all zones are open.
+    pub fn new(own_zone: usize, zones: usize, settings: FailoverSettings, now: f64) -> ZoneViewTracker {
         let shares = vec![FULL_SHARE; zones];
-        let view = ZoneView { epoch: 0, status: AgreementStatus::Kept, shares, admit: FULL_SHARE };
-        let table = ZoneTable::open(zones);
-        ZoneViewTracker { own, rules, epoch: 0, table, term: LeaderTerm::default(), heard: now, view }
+        ZoneViewTracker {
+            own_zone,
+            settings,
+            newest: DecidedTable { epoch: 0, table: ZoneTable::open(zones) },
+            term: LeaderTerm::default(),
+            term_raised_ms: now,
+            view: ZoneView { epoch: 0, status: AgreementStatus::Stale, shares, admit: FULL_SHARE },
+        }
     }
 
-    /// News of a voter: the newest epoch that it knows, and how far that is confirmed. An older epoch changes nothing.
-    /// True where the epoch is new.
+    /// Takes a voter's news: the newest epoch that it knows with its table, and the leader's term. An older epoch
+    /// changes nothing. Returns whether the epoch is new.
     pub fn on_update(&mut self, now: f64, epoch: u64, table: Option<ZoneTable>, term: LeaderTerm) -> bool {
         if term > self.term {
-            (self.term, self.heard) = (term, now);
+            (self.term, self.term_raised_ms) = (term, now);
         }
         match table {
-            Some(table) if epoch > self.epoch && table.zones.len() == self.table.zones.len() => {
-                (self.epoch, self.table) = (epoch, table);
+            Some(table)
+                if epoch > self.newest.epoch && table.zones.len() == self.newest.table.zones.len() =>
+            {
+                self.newest = DecidedTable { epoch, table };
                 true
             }
             _ => false,
         }
     }
 
-    /// The newest epoch and its table.
-    pub fn newest(&self) -> (u64, &ZoneTable) {
-        (self.epoch, &self.table)
+    /// The newest decision.
+    pub fn newest(&self) -> &DecidedTable {
+        &self.newest
     }
 
     /// The newest term.
@@ -83,76 +108,87 @@
         self.term
     }
 
-    /// How it stands.
+    /// Whether the dispatcher acts in agreement with the others.
     pub fn status(&self, now: f64) -> AgreementStatus {
-        match now - self.heard {
-            silent if silent <= CURRENT => AgreementStatus::Common,
-            silent if silent <= self.rules.keep_ms => AgreementStatus::Kept,
-            _ => AgreementStatus::Alone,
+        match now - self.term_raised_ms {
+            age_ms if age_ms <= FOLLOWING_TIMEOUT_MS => AgreementStatus::Following,
+            age_ms if age_ms <= self.settings.max_stale_ms => AgreementStatus::Stale,
+            _ => AgreementStatus::Isolated,
         }
     }
 
-    /// What is to be done by now, with what it has seen itself. Called at a steady pace.
-    pub fn update(&mut self, now: f64, seen: &[ZoneSample]) -> &ZoneView {
-        let standing = self.status(now);
-        let admit = self.table.zones.get(self.own).map_or(FULL_SHARE, |zone| zone.admit);
-        let listed = seen.iter().any(|seen| seen.slots > 0);
-        let fails_at_home = seen.get(self.own).is_some_and(|seen| seen.fails() || listed && seen.slots == 0);
-        for at in 0..self.table.zones.len() {
-            let target = self.target(at, standing, seen.get(at), fails_at_home);
-            let share = &mut self.view.shares[at];
-            *share = target.min(share.saturating_add(RISE));
+    /// The next view, from the newest decision and the dispatcher's own samples. To be called at a steady pace: each call
+    /// may raise shares by [`MAX_SHARE_RISE`].
+    pub fn update(&mut self, now: f64, samples: &[ZoneSample]) -> &ZoneView {
+        let status = self.status(now);
+        let has_endpoints = samples.iter().any(|sample| sample.slots > 0);
+        let home_fails = samples
+            .get(self.own_zone)
+            .is_some_and(|home| home.is_failing() || has_endpoints && home.slots == 0);
+        for zone in 0..self.newest.table.zones.len() {
+            let target = self.target_share(zone, status, samples.get(zone), home_fails);
+            let share = &mut self.view.shares[zone];
+            *share = target.min(share.saturating_add(MAX_SHARE_RISE));
         }
-        (self.view.epoch, self.view.status) = (self.epoch, standing);
-        self.view.admit = if standing == AgreementStatus::Alone { FULL_SHARE } else { admit };
+        let admit = self.newest.table.zones.get(self.own_zone).map_or(FULL_SHARE, |zone| zone.admit);
+        self.view.epoch = self.newest.epoch;
+        self.view.status = status;
+        self.view.admit = if status == AgreementStatus::Isolated { FULL_SHARE } else { admit };
         &self.view
     }
 
-    /// What a zone may get from this dispatcher in the end.
-    fn target(
+    /// The share that a zone is to get from this dispatcher in the end.
+    fn target_share(
         &self,
-        at: usize,
-        standing: AgreementStatus,
-        seen: Option<&ZoneSample>,
-        fails_at_home: bool,
+        zone: usize,
+        status: AgreementStatus,
+        sample: Option<&ZoneSample>,
+        home_fails: bool,
     ) -> u16 {
-        let zone = &self.table.zones[at];
-        let own = self.table.zones.get(self.own);
-        let own_open = own.is_none_or(|own| own.state == ZoneState::Open);
-        // Near while that is safe: what fails it at home goes over the border before the fleet has decided.
-        let near = own_open && own.is_none_or(|own| own.local_only) && !fails_at_home;
-        let common = match zone.state {
-            ZoneState::Closed => 0,
-            _ if at != self.own && near => 0,
-            _ if at == self.own || own_open => zone.share,
-            // What its own zone cannot take is split over the others by their free capacity.
-            _ => zone.share.min(zone.weight),
-        };
-        if standing != AgreementStatus::Alone {
-            return common;
+        let agreed = self.agreed_share(zone, home_fails);
+        if status != AgreementStatus::Isolated {
+            return agreed;
+        }
+        match sample {
+            Some(sample) if sample.is_failing() => 0,
+            _ if zone == self.own_zone => agreed,
+            _ => agreed.min(ISOLATED_FOREIGN_SHARE),
         }
-        match seen {
-            Some(seen) if seen.fails() => 0,
-            _ if at == self.own => common,
-            _ => common.min(ALONE),
+    }
+
+    /// The share that the table gives a zone.
+    fn agreed_share(&self, zone: usize, home_fails: bool) -> u16 {
+        let zones = &self.newest.table.zones;
+        let home = zones.get(self.own_zone);
+        let home_is_open = home.is_none_or(|home| home.state == ZoneState::Open);
+        // A home zone that fails this dispatcher is left before the fleet has decided on it.
+        let stays_local = home_is_open && home.is_none_or(|home| home.local_only) && !home_fails;
+        let decision = &zones[zone];
+        match decision.state {
+            ZoneState::Closed => 0,
+            _ if zone != self.own_zone && stays_local => 0,
+            _ if zone == self.own_zone || home_is_open => decision.share,
+            // What the home zone cannot take is split over the others by their free capacity.
+            _ => decision.share.min(decision.weight),
         }
     }
 }
 
-/// Takes a share of the requests, evenly: of a thousand in a row exactly the share.
+/// Admits a share of the requests, evenly spread: of a thousand in a row exactly the share.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdmissionShare {
-    owed: u32,
+    /// Thousandths of a request that were not admitted yet.
+    credit: u32,
 }
 
 impl AdmissionShare {
-    /// Whether the next request is taken.
+    /// Whether the next request is admitted, at a share in thousandths.
     pub fn admits(&mut self, share: u16) -> bool {
-        self.owed += u32::from(share.min(FULL_SHARE));
-        let takes = self.owed >= u32::from(FULL_SHARE);
-        if takes {
-            self.owed -= u32::from(FULL_SHARE);
+        self.credit += u32::from(share.min(FULL_SHARE));
+        let is_admitted = self.credit >= u32::from(FULL_SHARE);
+        if is_admitted {
+            self.credit -= u32::from(FULL_SHARE);
         }
-        takes
+        is_admitted
     }
 }
