--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -329,7 +329,7 @@
                 dispatcher.front.held_since = Some(now);
                 dispatcher.work(|shared| shared.with_participant(now, |part, _| part.on_paused(now, hold)));
             }
-            rollout::Effect::Release => {
+            rollout::Effect::Resume => {
                 let since = dispatcher.front.held_since.take();
                 self.pause_worst = self.pause_worst.max(now - since.unwrap_or(now));
             }
--- a/src/frontend/fleet/log_lines.rs
+++ b/src/frontend/fleet/log_lines.rs
@@ -7,7 +7,14 @@
 
 /// Where the policy stands, in a line.
 pub(super) fn standing_line(standing: &rollout::ParticipantStatus, now: f64) -> String {
-    let rollout::ParticipantStatus { version, decision, epoch, holds, until, wants } = standing;
+    let rollout::ParticipantStatus {
+        version,
+        decision,
+        epoch,
+        is_paused: holds,
+        lease_until_ms: until,
+        wanted: wants,
+    } = standing;
     let number = |version: Option<u64>| version.map_or("none".to_string(), |version| version.to_string());
     let last = decision.last.as_ref().map_or("none".to_string(), |last| match last.in_force {
         true => format!("{} in force", last.version),
--- a/src/frontend/fleet/thread.rs
+++ b/src/frontend/fleet/thread.rs
@@ -483,7 +483,7 @@
                 self.orders.push_back(PolicyCommand::Check { version: policy.version, text: text(bytes) });
             }
             Effect::Pause(hold) => self.orders.push_back(PolicyCommand::Pause(hold)),
-            Effect::Release => self.orders.push_back(PolicyCommand::Release),
+            Effect::Resume => self.orders.push_back(PolicyCommand::Release),
             // Before any policy there is nothing to take over.
             Effect::Apply(policy, _) if policy.version == 0 => {}
             Effect::Apply(_, bytes) => self.orders.push_back(PolicyCommand::Apply { text: text(bytes) }),
--- a/src/rollout/coordinator.rs
+++ b/src/rollout/coordinator.rs
@@ -1,257 +1,347 @@
-//! The leader's part: who holds a lease, who has said yes, who holds what comes in, and when a change is decided.
+//! The leader's part: which members may hold a lease, which have accepted what is staged, which have paused, and when a
+//! change is decided.
+//!
+//! A coordinator lives from when its node begins to lead until it leads no more. `Rollout` calls it at each tick and with
+//! each message of a member; it keeps nothing on disk, and a new leader asks all members anew.
+//!
+//! | phase | event | message or proposal | next phase |
+//! | --- | --- | --- | --- |
+//! | any | nothing is staged in the log | stages the lowest version that a member wants | checking |
+//! | any | another version is staged than before | | checking |
+//! | checking | a member rejects the version | proposes to give it up | deciding |
+//! | checking | all that may serve have accepted it lately | `Pause` to all | pausing |
+//! | checking | a lease and [`VALIDATION_TIMEOUT_MS`] passed | proposes to give it up | deciding |
+//! | pausing | all that may serve have paused | proposes to put it in force | deciding |
+//! | pausing | `pause_ms` passed | `Resume` to all, no new pause for [`PAUSE_BACKOFF_MS`] | checking |
+//! | deciding | the log has the decision | | checking |
+//!
+//! A proposal that the node does not take leaves the phase as it is, and is tried again at the next tick. The
+//! transitions stand in [`Coordinator::tick`] and the methods `while_…` that it calls.
 
-use super::{
-    ChangeOutcome, LeaseRequest, Message, Pause, PolicyDecision, PolicyVersion, RolloutSettings, TOPIC, cut,
-};
-use crate::fleet::{self, FleetNode};
+use super::message::{LeaseRequest, Message, Pause};
+use super::{PolicyDecision, PolicyVersion, RolloutSettings, TOPIC};
+use crate::fleet::{FleetNode, MemberId};
 
-/// Beyond what leases may take, all have so long to fetch and check a document, in milliseconds.
-const CHECKS: f64 = 3000.0;
-/// Members that a reason names at most.
-const MOST_NAMED: usize = 32;
-/// After a hold that not all kept, the next one comes so much later, in milliseconds.
-const RESTS: f64 = 200.0;
-/// A member that was not heard of for so long is waited for before a hold, not during it, in milliseconds.
-const HEARD: f64 = 200.0;
+/// How long members have to fetch and check a document, on top of what leases may take, in milliseconds.
+const VALIDATION_TIMEOUT_MS: f64 = 3000.0;
+/// How long after a pause that not all members confirmed the next one may start, in milliseconds.
+const PAUSE_BACKOFF_MS: f64 = 200.0;
+/// A member without a heartbeat for this long is waited for before a pause, not during it, in milliseconds.
+const MAX_READY_AGE_MS: f64 = 200.0;
+/// How long after a member's heartbeat the version that it wants counts, in milliseconds.
+const WANTED_LIFETIME_MS: f64 = 2000.0;
+/// Most members that a reason names: it is bounded by [`super::MAX_REASON_BYTES`].
+const MAX_NAMED_MEMBERS: usize = 32;
+/// A lease that has less than this left is not granted, in milliseconds: the wire form has whole ones.
+const MIN_LEASE_MS: f64 = 1.0;
 
-/// What is known of a member.
+/// What the leader knows of a member. Times are milliseconds of the leader's clock.
 #[derive(Clone, Debug)]
-struct MemberSlot {
+struct MemberState {
+    /// The incarnation of its present process.
     incarnation: u64,
-    /// When the lease of its present process that this leader granted is over for sure, by the leader's clock.
-    leased: f64,
-    /// The same of processes before it.
-    before: f64,
-    heard: f64,
-    told: LeaseRequest,
-    /// Its present process has left the fleet's address, and may serve until its lease is over.
-    leaving: bool,
+    /// When the lease that this leader granted to the present process is over for sure.
+    lease_until_ms: f64,
+    /// The same for processes before it.
+    earlier_lease_until_ms: f64,
+    last_request_at_ms: f64,
+    last_request: LeaseRequest,
+    /// The present process has left the fleet's address and may serve until its lease is over.
+    serves_after_leaving: bool,
 }
 
-impl MemberSlot {
-    /// What is heard from now on is of this process. It speaks from the member's address, which one before it leaves only
-    /// as it ends, or after it has told that it leaves.
-    fn begin(&mut self, now: f64, incarnation: u64) {
+impl MemberState {
+    /// Notes which process a message is from. It sends from the member's address, which an earlier process gives up only
+    /// when it ends, or after it has announced that it leaves.
+    fn observe_incarnation(&mut self, now: f64, incarnation: u64) {
         if incarnation <= self.incarnation {
             return;
         }
-        if self.leaving {
-            self.before = self.before.max(self.leased);
+        if self.serves_after_leaving {
+            self.earlier_lease_until_ms = self.earlier_lease_until_ms.max(self.lease_until_ms);
         }
-        (self.incarnation, self.leased, self.leaving) = (incarnation, now, false);
+        (self.incarnation, self.lease_until_ms, self.serves_after_leaving) = (incarnation, now, false);
+    }
+
+    /// Whether the member has accepted a version, and was heard of recently enough to be paused.
+    fn is_ready(&self, now: f64, version: u64) -> bool {
+        self.last_request.accepts(version) && now - self.last_request_at_ms <= MAX_READY_AGE_MS
+    }
+
+    /// Whether the member has paused.
+    fn has_paused(&self, pause: Pause) -> bool {
+        self.last_request.paused == Some(pause)
     }
 }
 
+/// What the coordinator waits for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// All are to say yes.
+    /// All that may serve are to accept what is staged.
     Checking,
-    /// All are to hold.
-    Holding { hold: Pause, since: f64 },
-    /// What was held for was proposed to the log, or that it is given up.
-    Deciding { hold: Option<Pause> },
+    /// All that may serve are to pause.
+    Pausing { pause: Pause, since_ms: f64 },
+    /// The log is to decide what was proposed: the change under a pause, or that it is given up.
+    Deciding { pause: Option<Pause> },
+}
+
+impl Phase {
+    /// The pause that members are to keep.
+    fn pause(self) -> Option<Pause> {
+        match self {
+            Phase::Pausing { pause, .. } => Some(pause),
+            Phase::Deciding { pause } => pause,
+            Phase::Checking => None,
+        }
+    }
 }
 
-/// The leader's part, from when it began to lead until it does no more.
+/// A staged version, and since when this leader coordinates it, in milliseconds.
+#[derive(Clone, Copy, Debug, Default)]
+struct StagedVersion {
+    policy: PolicyVersion,
+    since_ms: f64,
+}
+
+/// The leader's part, from when it begins to lead until it leads no more.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
-    rules: RolloutSettings,
-    slots: Vec<MemberSlot>,
-    /// What is staged, and since when it leads that.
-    staged: Option<(PolicyVersion, f64)>,
+    settings: RolloutSettings,
+    members: Vec<MemberState>,
+    /// What is staged, or was proposed to be.
+    staged: Option<StagedVersion>,
     phase: Phase,
+    /// Pauses that were asked for.
     attempts: u64,
-    next_hold: f64,
-    /// All that the log had when it began to lead is decided, and known here.
-    settled: bool,
-    /// When the leases that leaders before this one granted are over for sure.
-    inherited: f64,
+    next_pause_ms: f64,
+    /// All that the log had when this leader began is decided, and known here.
+    log_is_committed: bool,
+    /// When the leases that earlier leaders granted are over for sure, in milliseconds.
+    inherited_lease_until_ms: f64,
 }
 
 impl Coordinator {
-    /// One that begins to lead now. It knows of no lease, and takes every member for one that has one in full: a lease
-    /// counts from a round that a majority followed, and no round of an earlier leader began after this one led.
-    pub fn new(rules: RolloutSettings, members: usize, now: f64) -> Coordinator {
-        let (incarnation, heard) = (0, f64::NEG_INFINITY);
-        let told = LeaseRequest::default();
-        let slot = MemberSlot { incarnation, leased: now, before: now, heard, told, leaving: false };
+    /// A coordinator that begins to lead now. It knows of no lease, and takes every member for one that has a full one:
+    /// a lease counts from a round that a majority followed, and no round of an earlier leader began after this one led.
+    pub fn new(settings: RolloutSettings, members: usize, now: f64) -> Coordinator {
+        let member = MemberState {
+            incarnation: 0,
+            lease_until_ms: now,
+            earlier_lease_until_ms: now,
+            last_request_at_ms: f64::NEG_INFINITY,
+            last_request: LeaseRequest::default(),
+            serves_after_leaving: false,
+        };
         Coordinator {
-            inherited: now + rules.over(rules.lease_ms),
-            rules,
-            slots: vec![slot; members],
+            inherited_lease_until_ms: now + settings.full_lease_bound_ms(),
+            settings,
+            members: vec![member; members],
             staged: None,
             phase: Phase::Checking,
             attempts: 0,
-            next_hold: now,
-            settled: false,
+            next_pause_ms: now,
+            log_is_committed: false,
         }
     }
 
-    /// A member has told how it stands. It gets a lease, as far as this leader is sure to lead.
-    pub(super) fn lease_requested(
+    /// Takes a member's heartbeat. It gets a lease for as long as this leader is sure to lead.
+    pub(super) fn on_lease_request(
         &mut self,
         now: f64,
         node: &mut FleetNode,
-        from: u16,
+        from: MemberId,
         incarnation: u64,
-        told: LeaseRequest,
+        request: LeaseRequest,
     ) {
-        let Some(slot) = self.slots.get_mut(usize::from(from)) else { return };
-        if incarnation < slot.incarnation {
+        let Some(member) = self.members.get_mut(usize::from(from)) else { return };
+        if incarnation < member.incarnation {
             return;
         }
-        slot.begin(now, incarnation);
-        let nonce = told.nonce;
-        (slot.told, slot.heard) = (told, now);
-        let held = match self.phase {
-            Phase::Holding { hold, .. } | Phase::Deciding { hold: Some(hold) } => Some(hold),
-            Phase::Checking | Phase::Deciding { hold: None } => None,
-        };
-        let holds = held.is_some() && slot.told.holds == held;
-        if let Some(hold) = held.filter(|_| !holds) {
-            node.send_message(from, TOPIC, Message::Pause(hold).encode());
+        member.observe_incarnation(now, incarnation);
+        let nonce = request.nonce;
+        (member.last_request, member.last_request_at_ms) = (request, now);
+        let unconfirmed_pause = self.phase.pause().filter(|pause| !member.has_paused(*pause));
+        if let Some(pause) = unconfirmed_pause {
+            node.send_message(from, TOPIC, Message::Pause(pause).encode());
         }
-        // What is proposed may be decided much later, as when a majority was away: until then no lease is given but to
-        // those that hold. The same for what a leader before this one may have proposed and the log still has.
-        self.settled |= node.log_is_committed();
-        let undecided = matches!(self.phase, Phase::Deciding { hold: Some(_) }) && !holds;
-        // A leader that another has followed, and that hears of it, must not give leases on the other's strength.
-        let Some(confirmed) = node.last_confirmed_round() else { return };
-        let left = self.rules.lease_ms - (now - confirmed);
-        if left < 1.0 || undecided || !self.settled {
+        // A proposal may be decided much later, as when a majority was away: until then only members that have paused get
+        // leases. The same for what an earlier leader may have proposed and the log still has.
+        self.log_is_committed |= node.log_is_committed();
+        let may_miss_change = matches!(self.phase, Phase::Deciding { .. }) && unconfirmed_pause.is_some();
+        // Without a confirmed round, another leader may be followed: it must not be granted a lease on the strength of.
+        let Some(confirmed_round_ms) = node.last_confirmed_round() else { return };
+        let duration_ms = self.settings.lease_ms - (now - confirmed_round_ms);
+        if duration_ms < MIN_LEASE_MS || may_miss_change || !self.log_is_committed {
             return;
         }
-        slot.leased = slot.leased.max(now + self.rules.over(left));
+        member.lease_until_ms = member.lease_until_ms.max(now + self.settings.lease_bound_ms(duration_ms));
         let (epoch, _) = node.newest_decision(TOPIC);
-        node.send_message(from, TOPIC, Message::LeaseGrant { nonce, lasts: left as u32, epoch }.encode());
+        let grant = Message::LeaseGrant { nonce, duration_ms: duration_ms as u32, epoch };
+        node.send_message(from, TOPIC, grant.encode());
     }
 
-    /// A member's process leaves, and serves on until its lease is over, or not.
-    pub(super) fn leave(
+    /// A member's process leaves; it `serves` on until its lease is over, or gives the lease back.
+    pub(super) fn on_leave(
         &mut self,
         now: f64,
         node: &mut FleetNode,
-        from: u16,
+        from: MemberId,
         incarnation: u64,
         serves: bool,
     ) {
-        let Some(slot) = self.slots.get_mut(usize::from(from)).filter(|slot| incarnation >= slot.incarnation)
-        else {
+        let Some(member) = self.members.get_mut(usize::from(from)) else { return };
+        if incarnation < member.incarnation {
             return;
-        };
-        slot.begin(now, incarnation);
-        (slot.told, slot.leaving) = (LeaseRequest::default(), serves);
+        }
+        member.observe_incarnation(now, incarnation);
+        (member.last_request, member.serves_after_leaving) = (LeaseRequest::default(), serves);
         if !serves {
-            slot.leased = slot.leased.min(now);
+            member.lease_until_ms = member.lease_until_ms.min(now);
         }
         node.send_message(from, TOPIC, Message::Left.encode());
     }
 
-    /// Learns when earlier leaders can have granted their last lease, once enough voters have told.
-    fn inherit(&mut self, node: &FleetNode) {
-        if let Some(last_round) = node.predecessors_last_round() {
-            self.inherited = self.inherited.min(last_round + self.rules.over(self.rules.lease_ms));
-        }
-    }
-
-    /// Members that may serve and of which something does not hold.
-    fn missing<'a>(
-        &'a self,
-        now: f64,
-        holds: impl Fn(&MemberSlot) -> bool + 'a,
-    ) -> impl Iterator<Item = usize> + 'a {
-        let open = move |slot: &MemberSlot| slot.before > now || slot.leased > now && !holds(slot);
-        (0..self.slots.len()).filter(move |at| self.inherited > now || open(&self.slots[*at]))
-    }
-
-    /// Does what is due.
+    /// Does what is due: the transitions that the head of this file lists.
     pub(super) fn tick(&mut self, now: f64, node: &mut FleetNode) {
-        self.inherit(node);
+        self.bound_inherited_leases(node);
         let decision = PolicyDecision::decode(node.newest_decision(TOPIC).1);
-        let Some(staged) = decision.staged else {
-            // What was proposed to be staged may not be decided yet.
-            self.staged = self.staged.filter(|(own, _)| own.version > decision.highest);
-            self.phase = Phase::Checking;
-            return self.stage(now, node, decision);
+        let Some(policy) = decision.staged else {
+            return self.while_nothing_is_staged(now, node, decision);
         };
-        // What another leader staged is taken over: all that it was told is asked anew, and holds for it do not count.
-        let (own, mut since) = self.staged.unwrap_or_default();
-        if own != staged {
-            (self.staged, self.phase, since) = (Some((staged, now)), Phase::Checking, now);
+        // What another leader staged is taken over: all members are asked anew, and pauses for it do not count.
+        if self.staged.unwrap_or_default().policy != policy {
+            self.staged = Some(StagedVersion { policy, since_ms: now });
+            self.phase = Phase::Checking;
         }
         match self.phase {
-            Phase::Deciding { .. } => {}
-            Phase::Checking => {
-                let no = self.slots.iter().position(|slot| {
-                    let checked = slot.told.checked.as_ref();
-                    checked.is_some_and(|(version, no)| *version == staged.version && no.is_some())
-                });
-                if let Some(at) = no {
-                    let why = self.slots[at].told.checked.clone().and_then(|checked| checked.1);
-                    let why = format!("member {at}: {}", why.unwrap_or_default());
-                    return self.give_up(now, node, decision, &why);
-                }
-                let yes = |slot: &MemberSlot| {
-                    slot.told.checked == Some((staged.version, None)) && now - slot.heard <= HEARD
-                };
-                let ready = self.missing(now, yes).next().is_none();
-                let own = yes(&self.slots[usize::from(node.own())]);
-                if ready && own && now >= self.next_hold {
-                    self.attempts += 1;
-                    let hold = Pause { term: node.term().0, attempt: self.attempts, version: staged.version };
-                    self.phase = Phase::Holding { hold, since: now };
-                    self.to_all(node, &Message::Pause(hold));
-                } else if now - since > self.rules.over(self.rules.lease_ms) + CHECKS {
-                    let missing: Vec<usize> = self.missing(now, yes).take(MOST_NAMED).collect();
-                    let why = format!("no yes in time of members {missing:?}");
-                    self.give_up(now, node, decision, &why);
-                }
-            }
-            Phase::Holding { hold, since } => {
-                if self.missing(now, |slot| slot.told.holds == Some(hold)).next().is_none() {
-                    let last =
-                        ChangeOutcome { version: staged.version, in_force: true, reason: String::new() };
-                    let next = PolicyDecision { policy: staged, staged: None, last: Some(last), ..decision };
-                    // Where it is not proposed nobody can decide it, and it is tried again.
-                    if node.propose(now, TOPIC, next.encode()) {
-                        self.phase = Phase::Deciding { hold: Some(hold) };
-                    }
-                } else if now - since > self.rules.pause_ms {
-                    // Only this leader could have had it decided on this hold, and it did not propose it.
-                    self.to_all(node, &Message::Resume(hold));
-                    (self.phase, self.next_hold) = (Phase::Checking, now + RESTS);
-                }
+            Phase::Checking => self.while_checking(now, node, decision, policy),
+            Phase::Pausing { pause, since_ms } => {
+                self.while_pausing(now, node, decision, policy, pause, since_ms);
             }
+            Phase::Deciding { .. } => {}
         }
     }
 
-    /// Stages what members want: the lowest version first, so that two that are wanted come one after the other.
-    fn stage(&mut self, now: f64, node: &mut FleetNode, decision: PolicyDecision) {
-        let fresh = |slot: &MemberSlot| now - slot.heard < 2000.0;
-        let slots = self.slots.iter().enumerate().filter(|(_, slot)| fresh(slot));
-        let wanted = slots.filter_map(|(at, slot)| Some((at, slot.told.wants?)));
-        let newer = wanted.filter(|(_, p)| p.version > decision.highest);
-        let Some((at, policy)) = newer.min_by_key(|(_, p)| p.version) else { return };
+    /// Stages what members want: the lowest version first, so that of two that are wanted both come in force.
+    fn while_nothing_is_staged(&mut self, now: f64, node: &mut FleetNode, decision: PolicyDecision) {
+        // What was proposed to be staged may not be decided yet.
+        self.staged = self.staged.filter(|staged| staged.policy.version > decision.highest);
+        self.phase = Phase::Checking;
+        let Some((member, policy)) = self.lowest_wanted(now, decision.highest) else { return };
         if node.document(&policy.hash).is_none() {
-            return node.request_document(now, policy.hash, Some(at as fleet::MemberId));
+            return node.request_document(now, policy.hash, Some(member));
+        }
+        if node.propose(now, TOPIC, decision.stage(policy).encode()) {
+            self.staged = Some(StagedVersion { policy, since_ms: now });
+        }
+    }
+
+    /// Waits until all that may serve have accepted what is staged, and asks for a pause.
+    fn while_checking(
+        &mut self,
+        now: f64,
+        node: &mut FleetNode,
+        decision: PolicyDecision,
+        policy: PolicyVersion,
+    ) {
+        if let Some(reason) = self.first_rejection(policy.version) {
+            return self.give_up(now, node, decision, policy, &reason);
+        }
+        let is_ready = |member: &MemberState| member.is_ready(now, policy.version);
+        let all_are_ready = self.awaited_members(now, is_ready).next().is_none();
+        let own_is_ready = is_ready(&self.members[usize::from(node.own())]);
+        let since_ms = self.staged.unwrap_or_default().since_ms;
+        if all_are_ready && own_is_ready && now >= self.next_pause_ms {
+            self.attempts += 1;
+            let pause = Pause { term: node.term().0, attempt: self.attempts, version: policy.version };
+            self.phase = Phase::Pausing { pause, since_ms: now };
+            self.send_to_all(node, &Message::Pause(pause));
+        } else if now - since_ms > self.settings.full_lease_bound_ms() + VALIDATION_TIMEOUT_MS {
+            let missing: Vec<usize> = self.awaited_members(now, is_ready).take(MAX_NAMED_MEMBERS).collect();
+            let reason = format!("no yes in time of members {missing:?}");
+            self.give_up(now, node, decision, policy, &reason);
         }
-        let next = PolicyDecision { staged: Some(policy), highest: policy.version, ..decision };
-        if node.propose(now, TOPIC, next.encode()) {
-            (self.staged, self.phase) = (Some((policy, now)), Phase::Checking);
+    }
+
+    /// Waits until all that may serve have paused, and proposes the change; not for longer than `pause_ms`.
+    fn while_pausing(
+        &mut self,
+        now: f64,
+        node: &mut FleetNode,
+        decision: PolicyDecision,
+        policy: PolicyVersion,
+        pause: Pause,
+        since_ms: f64,
+    ) {
+        let all_have_paused = self.awaited_members(now, |member| member.has_paused(pause)).next().is_none();
+        if all_have_paused {
+            // Where it is not proposed nobody can decide it, and it is tried again.
+            if node.propose(now, TOPIC, decision.put_in_force(policy).encode()) {
+                self.phase = Phase::Deciding { pause: Some(pause) };
+            }
+        } else if now - since_ms > self.settings.pause_ms {
+            // Only this leader could have had the change decided under this pause, and it did not propose it.
+            self.send_to_all(node, &Message::Resume(pause));
+            (self.phase, self.next_pause_ms) = (Phase::Checking, now + PAUSE_BACKOFF_MS);
+        }
+    }
+
+    fn give_up(
+        &mut self,
+        now: f64,
+        node: &mut FleetNode,
+        decision: PolicyDecision,
+        policy: PolicyVersion,
+        reason: &str,
+    ) {
+        if node.propose(now, TOPIC, decision.give_up(policy, reason).encode()) {
+            self.phase = Phase::Deciding { pause: None };
         }
     }
 
-    fn give_up(&mut self, now: f64, node: &mut FleetNode, decision: PolicyDecision, reason: &str) {
-        let Some(staged) = decision.staged else { return };
-        let last = ChangeOutcome { version: staged.version, in_force: false, reason: cut(reason) };
-        let next = PolicyDecision { staged: None, last: Some(last), ..decision };
-        if node.propose(now, TOPIC, next.encode()) {
-            self.phase = Phase::Deciding { hold: None };
+    /// Learns when earlier leaders can have granted their last lease, once enough voters have answered.
+    fn bound_inherited_leases(&mut self, node: &FleetNode) {
+        if let Some(last_round_ms) = node.predecessors_last_round() {
+            let bound_ms = last_round_ms + self.settings.full_lease_bound_ms();
+            self.inherited_lease_until_ms = self.inherited_lease_until_ms.min(bound_ms);
         }
     }
 
-    fn to_all(&self, node: &mut FleetNode, message: &Message) {
-        for member in 0..self.slots.len() as fleet::MemberId {
+    /// Members that may serve and are not done, in order.
+    fn awaited_members<'a>(
+        &'a self,
+        now: f64,
+        is_done: impl Fn(&MemberState) -> bool + 'a,
+    ) -> impl Iterator<Item = usize> + 'a {
+        let inherited = self.inherited_lease_until_ms > now;
+        let is_awaited = move |member: &MemberState| {
+            inherited
+                || member.earlier_lease_until_ms > now
+                || member.lease_until_ms > now && !is_done(member)
+        };
+        (0..self.members.len()).filter(move |at| is_awaited(&self.members[*at]))
+    }
+
+    /// The first member that has rejected a version, and why.
+    fn first_rejection(&self, version: u64) -> Option<String> {
+        let mut members = self.members.iter().enumerate();
+        members.find_map(|(at, member)| {
+            let error = member.last_request.rejection(version)?;
+            Some(format!("member {at}: {error}"))
+        })
+    }
+
+    /// The lowest version above `highest` that a member wants, and the member.
+    fn lowest_wanted(&self, now: f64, highest: u64) -> Option<(MemberId, PolicyVersion)> {
+        let members = self.members.iter().enumerate();
+        let recent = members.filter(|(_, member)| now - member.last_request_at_ms < WANTED_LIFETIME_MS);
+        let wanted = recent.filter_map(|(at, member)| Some((at as MemberId, member.last_request.wanted?)));
+        let newer = wanted.filter(|(_, policy)| policy.version > highest);
+        newer.min_by_key(|(_, policy)| policy.version)
+    }
+
+    fn send_to_all(&self, node: &mut FleetNode, message: &Message) {
+        for member in 0..self.members.len() as MemberId {
             node.send_message(member, TOPIC, message.encode());
         }
     }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,42 +1,62 @@
-//! A change of policy that takes hold everywhere or nowhere, free of I/O. The policy itself is a document that this part
-//! does not read: it has a version and a hash.
+//! A change of policy that takes effect on all members or on none, free of I/O.
 //!
-//! The log of the consensus has what is in force and what is staged. A version that is staged is fetched and checked by
-//! every dispatcher that may serve; when all have said yes, all hold what comes in; when all hold, the change is decided
-//! in the log, and each lets what it held go on under the new version as it learns of that. A dispatcher serves only
-//! while it holds a lease by its own clock, which counts suspended time: one that does not answer is waited for until
-//! its lease is over, so that the dead, the frozen and the cut off cannot go on under the old version.
-//! `docs/design/rollout.md` has the ways weighed.
+//! | file | what it owns |
+//! | --- | --- |
+//! | `coordinator` | the leader's part: leases, checks, pauses, and when a change is decided |
+//! | `participant` | every member's part: its lease, its check, its pause, and what it runs |
+//! | `participant_state` | the states of that part |
+//! | `message` | what the two send to each other |
 //!
-//! `Participant` is every dispatcher's part; `Coordinator` is the part of the consensus's leader.
+//! The policy is a document that this module does not read: it has a version and a hash. The consensus's log has, under
+//! [`TOPIC`], what is in force and what is staged.
+//!
+//! 1. A version that is staged is fetched and checked by every member that may serve.
+//! 2. When all have accepted it, all pause incoming requests.
+//! 3. When all have paused, the change is decided in the log.
+//! 4. Each member resumes its paused requests under the new version as it learns of the decision.
+//!
+//! A member serves only while it has a lease by its own clock, which counts suspended time. One that does not answer is
+//! waited for until its lease is over, so that a dead, frozen or partitioned member cannot go on under the old version.
+//! `docs/design/rollout.md` has the alternatives weighed.
+//!
+//! The caller calls [`Rollout::tick`] and [`Rollout::follow`], hands in messages of [`TOPIC`], and carries out the
+//! effects of [`Rollout::participant`]. Times are milliseconds of the caller's clock.
 
 mod coordinator;
+mod message;
 mod participant;
+mod participant_state;
 #[cfg(test)]
 mod tests;
 #[cfg(test)]
 mod wire_tests;
 
 pub use coordinator::Coordinator;
-pub use participant::{Effect, Participant, ParticipantStatus};
+pub use message::Pause;
+pub use participant::{Effect, Participant};
+pub use participant_state::{ParticipantStatus, ProposeError};
 
 use serde::{Deserialize, Serialize};
 
-use crate::consensus::LeaderTerm;
-use crate::fleet::{self, DocumentHash, FleetNode};
+use crate::fleet::{DocumentHash, FleetNode, MemberId};
+use message::Message;
 
 /// The consensus's topic of policies.
 pub const TOPIC: u8 = 2;
-/// Longest reason that is told, in bytes.
-const REASON: usize = 240;
+/// Longest reason in a decision or a check result, in bytes: both must fit a datagram and a decision.
+const MAX_REASON_BYTES: usize = 240;
+/// How fast another clock may run against this one.
+const MAX_CLOCK_RATE: f64 = 1.01;
+/// Allowance for reading two clocks and for rounding, in milliseconds.
+const CLOCK_SLACK_MS: f64 = 50.0;
 
 /// How changes are made. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// How long a dispatcher serves without news: also how long a change may have to wait for one that does not answer. It
-    /// is to be longer than a leader takes to be replaced, and short enough for a change to be in force in time.
+    /// How long a member serves without news, and so how long a change may have to wait for one that does not answer. It
+    /// is to be longer than a leader takes to be replaced.
     pub lease_ms: f64,
-    /// How long what comes in may be held for a change before the leader lets it go on.
+    /// How long requests may be paused for a change before the leader resumes them.
     pub pause_ms: f64,
 }
 
@@ -47,33 +67,38 @@
 }
 
 impl RolloutSettings {
-    /// By when a lease of so long is over by another clock: clocks may run apart by a hundredth.
-    fn over(&self, left: f64) -> f64 {
-        left * 1.01 + 50.0
+    /// After how long a lease of `duration_ms` by another clock is over for sure by this one, in milliseconds.
+    fn lease_bound_ms(&self, duration_ms: f64) -> f64 {
+        duration_ms * MAX_CLOCK_RATE + CLOCK_SLACK_MS
+    }
+
+    /// After how long any lease is over for sure, in milliseconds.
+    fn full_lease_bound_ms(&self) -> f64 {
+        self.lease_bound_ms(self.lease_ms)
     }
 }
 
-/// A version and the document that it is.
+/// A version and its document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyVersion {
     /// The version, as its document has it; 0: none was ever in force.
     pub version: u64,
-    /// The document.
+    /// The hash of the document.
     pub hash: DocumentHash,
 }
 
-/// What became of a version that was staged last.
+/// What became of the version that was staged last.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeOutcome {
     /// The version.
     pub version: u64,
-    /// Whether it came in force; if not it was given up, for good.
+    /// Whether it is in force; if not it was given up, for good.
     pub in_force: bool,
     /// Why it was given up.
     pub reason: String,
 }
 
-/// A decision of the log.
+/// A decision of the log. The order of the fields is the stored form.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyDecision {
     /// What is in force.
@@ -88,167 +113,126 @@
 
 impl PolicyDecision {
     fn encode(&self) -> Vec<u8> {
-        // Into a vector nothing can fail to fit.
+        // Serializing into a vector cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads one; the first where it does not read, as where nothing was decided.
+    /// Reads a decision; bytes that cannot be read count as if nothing was decided.
     pub fn decode(bytes: &[u8]) -> PolicyDecision {
         match postcard::take_from_bytes(bytes) {
             Ok((decision, [])) => decision,
             _ => PolicyDecision::default(),
         }
     }
-}
 
-/// A hold of what comes in: of two the greater is the later.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Pause {
-    term: LeaderTerm,
-    attempt: u64,
-    /// The version that it is for.
-    pub version: u64,
-}
-
-/// How a member stands, as it tells the leader each time.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct LeaseRequest {
-    /// Of this message; a lease counts from when it was sent.
-    nonce: u64,
-    /// The newest decision that the member has carried out.
-    epoch: u64,
-    /// The version that it has checked, and why not, where it said no.
-    checked: Option<(u64, Option<String>)>,
-    /// The hold that it keeps.
-    holds: Option<Pause>,
-    /// A newer version that its operator wants.
-    wants: Option<PolicyVersion>,
-}
-
-/// What members say to one another.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-enum Message {
-    /// To the leader.
-    LeaseRequest(LeaseRequest),
-    /// From the leader: what was told is answered with a lease.
-    LeaseGrant {
-        /// The message that it answers.
-        nonce: u64,
-        /// So many milliseconds from when that was sent.
-        lasts: u32,
-        /// It counts at a member that has carried this decision out.
-        epoch: u64,
-    },
-    /// From the leader: hold what comes in, until the version is decided on or the leader lets it go on.
-    Pause(Pause),
-    /// From the leader: a hold is over, and nothing has changed.
-    Resume(Pause),
-    /// To the leader: this process asks for no lease any more. Until the leader has answered it keeps the fleet's address,
-    /// so that a later process that speaks from there without such a message before proves this one gone.
-    Leave {
-        /// Whether it goes on serving until its lease is over; if not, the lease is given back.
-        serves: bool,
-    },
-    /// From the leader: it knows.
-    Left,
-}
+    /// The decision that puts the staged version in force.
+    fn put_in_force(self, staged: PolicyVersion) -> PolicyDecision {
+        let last = ChangeOutcome { version: staged.version, in_force: true, reason: String::new() };
+        PolicyDecision { policy: staged, staged: None, highest: self.highest, last: Some(last) }
+    }
 
-impl Message {
-    fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).unwrap_or_default()
+    /// The decision that gives the staged version up.
+    fn give_up(self, staged: PolicyVersion, reason: &str) -> PolicyDecision {
+        let reason = truncate_reason(reason);
+        let last = ChangeOutcome { version: staged.version, in_force: false, reason };
+        PolicyDecision { staged: None, last: Some(last), ..self }
     }
 
-    fn decode(bytes: &[u8]) -> Option<Message> {
-        match postcard::take_from_bytes(bytes) {
-            Ok((message, [])) => Some(message),
-            _ => None,
-        }
+    /// The decision that stages a version.
+    fn stage(self, policy: PolicyVersion) -> PolicyDecision {
+        PolicyDecision { staged: Some(policy), highest: policy.version, ..self }
     }
 }
 
-/// A reason that fits a decision.
-fn cut(reason: &str) -> String {
-    let mut end = reason.len().min(REASON);
+/// The longest start of a reason that has at most [`MAX_REASON_BYTES`].
+fn truncate_reason(reason: &str) -> String {
+    let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
         end -= 1;
     }
     reason[..end].to_string()
 }
 
-/// The part: a member's, and the leader's while this node leads.
+/// Rollouts at one member: the participant, and the coordinator while this node leads.
 pub struct Rollout {
-    rules: RolloutSettings,
-    member: Participant,
-    lead: Option<Coordinator>,
+    settings: RolloutSettings,
+    participant: Participant,
+    coordinator: Option<Coordinator>,
 }
 
 impl Rollout {
-    /// The part of a node that has just started.
-    pub fn new(rules: RolloutSettings) -> Rollout {
-        Rollout { rules, member: Participant::new(rules), lead: None }
+    /// The state of a node that has just started.
+    pub fn new(settings: RolloutSettings) -> Rollout {
+        Rollout { settings, participant: Participant::new(settings), coordinator: None }
     }
 
     /// The member's part.
     pub fn participant(&mut self) -> &mut Participant {
-        &mut self.member
+        &mut self.participant
     }
 
-    /// How the member stands.
+    /// The state of the member's part.
     pub fn status(&self) -> ParticipantStatus {
-        self.member.status()
+        self.participant.status()
     }
 
-    /// Whether the leader knows that this process leaves, or nothing is left for it to know.
+    /// Whether the leader knows that this process leaves, or its lease is over so that nobody needs to.
     pub fn has_left(&self, now: f64) -> bool {
-        self.member.has_left(now)
+        self.participant.has_left(now)
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: f64, node: &mut FleetNode) {
         if !node.is_leader() {
-            self.lead = None;
-        } else if self.lead.is_none() {
-            self.lead = Some(Coordinator::new(self.rules, node.members().len(), now));
+            self.coordinator = None;
+        } else if self.coordinator.is_none() {
+            self.coordinator = Some(Coordinator::new(self.settings, node.members().len(), now));
         }
-        self.member.tick(now, node);
-        if let Some(lead) = &mut self.lead {
-            lead.tick(now, node);
+        self.participant.tick(now, node);
+        if let Some(coordinator) = &mut self.coordinator {
+            coordinator.tick(now, node);
         }
     }
 
     /// Follows the newest decision that the node knows.
     pub fn follow(&mut self, now: f64, node: &mut FleetNode) {
-        self.member.follow(now, node);
+        self.participant.follow(now, node);
     }
 
-    /// A message of another member, or of this one to itself. False where it is none that this part can take.
+    /// Takes a message of another member, or of this one to itself. Returns false where it cannot be read, or is of a
+    /// member that may not send it.
     pub fn receive(
         &mut self,
         now: f64,
         node: &mut FleetNode,
-        from: fleet::MemberId,
+        from: MemberId,
         incarnation: u64,
         bytes: &[u8],
     ) -> bool {
-        match Message::decode(bytes) {
-            None => return false,
-            Some(Message::LeaseRequest(told)) => {
-                if let Some(lead) = self.lead.as_mut().filter(|_| node.is_leader()) {
-                    lead.lease_requested(now, node, from, incarnation, told);
-                    lead.tick(now, node);
+        let Some(message) = Message::decode(bytes) else { return false };
+        let coordinator = self.coordinator.as_mut().filter(|_| node.is_leader());
+        match message {
+            Message::LeaseRequest(request) => {
+                if let Some(coordinator) = coordinator {
+                    coordinator.on_lease_request(now, node, from, incarnation, request);
+                    coordinator.tick(now, node);
+                }
+            }
+            Message::Leave { serves } => {
+                if let Some(coordinator) = coordinator {
+                    coordinator.on_leave(now, node, from, incarnation, serves);
                 }
             }
-            Some(Message::Leave { serves }) => {
-                if let Some(lead) = self.lead.as_mut().filter(|_| node.is_leader()) {
-                    lead.leave(now, node, from, incarnation, serves);
+            // Only voters lead. An older message of another leader does no harm.
+            Message::LeaseGrant { .. } | Message::Pause(_) | Message::Resume(_) | Message::Left => {
+                if !node.voters().contains(&from) {
+                    return false;
                 }
+                self.participant.receive(now, &message);
             }
-            // Leases and holds are a leader's to give: an older one of another leader does no harm.
-            Some(message) if node.voters().contains(&from) => self.member.receive(now, message),
-            Some(_) => return false,
         }
-        // What has changed here is told at once.
-        self.member.tick(now, node);
+        // What has changed here is sent at once.
+        self.participant.tick(now, node);
         true
     }
 }
--- a/src/rollout/participant.rs
+++ b/src/rollout/participant.rs
@@ -1,28 +1,55 @@
-//! A dispatcher's part in a change: its lease, its check of what is staged, its hold, and what it runs.
+//! A member's part in a change: its lease, its check of what is staged, its pause, and what it runs.
+//!
+//! The participant owns what the member knows and may do; the caller owns the disk, the frontends and the clock. It
+//! carries out all [`Effect`]s in order and answers those that ask for it (`on_…`). Times are milliseconds of the
+//! caller's clock.
+//!
+//! Three state machines run beside each other:
+//!
+//! | document of the staged version | event | next state |
+//! | --- | --- | --- |
+//! | missing | the node has it | saving: [`Effect::Save`], [`Effect::Check`] |
+//! | saving | `on_saved` without an error | saved |
+//! | any | another version is staged, or none | missing |
+//!
+//! | pause | event | next state |
+//! | --- | --- | --- |
+//! | running, requested, confirmed | a newer `Pause` for the staged version, which was accepted | requested: [`Effect::Pause`] |
+//! | requested | `on_paused` | confirmed |
+//! | requested, confirmed | `Resume`, or the version is decided on and carried out | running: [`Effect::Resume`] |
+//!
+//! | membership | event | next state |
+//! | --- | --- | --- |
+//! | active | `leave` | leaving: `Leave` to the leader until it answers |
+//! | leaving | `Left` | left |
 
 use std::collections::VecDeque;
 
-use super::{LeaseRequest, Message, Pause, PolicyDecision, PolicyVersion, RolloutSettings, TOPIC, cut};
-use crate::fleet::{self, DocumentHash, FleetNode};
+use super::message::{CheckResult, LeaseRequest, Message, Pause};
+use super::participant_state::{
+    Membership, ParticipantStatus, PauseState, PendingRequest, ProposeError, StagedDocument,
+};
+use super::{PolicyDecision, PolicyVersion, RolloutSettings, TOPIC, truncate_reason};
+use crate::fleet::{self, DocumentHash, FleetNode, MemberId};
 
-/// A member tells the leader how it stands so often while nothing changes, in milliseconds.
-const TELLS: f64 = 250.0;
-/// The same while something is staged: what was lost is to be made up for soon.
-const HURRIES: f64 = 50.0;
-/// Messages whose leases may still come.
-const ASKED: usize = 64;
+/// Time between two heartbeats to the leader while nothing changes, in milliseconds: eight in a lease of 2 s.
+const HEARTBEAT_MS: f64 = 250.0;
+/// The same while a change is made or the lease is over, in milliseconds: a lost message is soon made up for.
+const STAGED_HEARTBEAT_MS: f64 = 50.0;
+/// Heartbeats whose answer may still arrive: 3.2 s of the most frequent ones.
+const MAX_PENDING_REQUESTS: usize = 64;
 
 /// What is to be done. The caller carries out all of it, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Keep the document on disk, and tell by `saved`.
+    /// Write the document to disk, and answer with [`Participant::on_saved`].
     Save(DocumentHash, Vec<u8>),
-    /// Check a document against what is known here, and tell by `checked`.
+    /// Check whether this process can run the document, and answer with [`Participant::on_checked`].
     Check(PolicyVersion, Vec<u8>),
-    /// Pause what comes in from now on, and tell by `holding`.
+    /// Pause incoming requests from now on, and answer with [`Participant::on_paused`].
     Pause(Pause),
-    /// The hold is over: what was held goes on under what is in force.
-    Release,
+    /// The pause is over: paused requests go on under what is in force.
+    Resume,
     /// From now on this is in force.
     Apply(PolicyVersion, Vec<u8>),
     /// Requests may be started until then, by the caller's clock.
@@ -31,73 +58,52 @@
     Decided(PolicyDecision),
 }
 
-/// How a member stands, for its operators.
-#[derive(Clone, Debug, PartialEq)]
-pub struct ParticipantStatus {
-    /// What it runs.
-    pub version: u64,
-    /// What is decided, as far as is known here.
-    pub decision: PolicyDecision,
-    /// Its epoch.
-    pub epoch: u64,
-    /// Whether it holds what comes in.
-    pub holds: bool,
-    /// When its lease ends.
-    pub until: f64,
-    /// What its operator wants and is not decided on.
-    pub wants: Option<u64>,
-}
-
-/// The part.
+/// A member's part.
 pub struct Participant {
-    rules: RolloutSettings,
-    /// The newest decision, and its epoch.
+    settings: RolloutSettings,
+    /// The newest decision that is known here, and its epoch.
     decision: PolicyDecision,
     epoch: u64,
-    /// What it runs; none before it knows.
-    runs: Option<PolicyVersion>,
-    /// The staged version that was handed to the disk, and to the check.
-    saved: Option<(DocumentHash, bool)>,
-    checked: Option<(u64, Option<String>)>,
-    hold: Option<Pause>,
-    /// The fronts have said that they hold.
-    holds: bool,
-    until: f64,
+    /// What it runs; none before it knows what is in force.
+    running: Option<PolicyVersion>,
+    staged_document: StagedDocument,
+    /// Its answer about the staged version.
+    checked: Option<CheckResult>,
+    pause: PauseState,
+    /// The newest pause that a leader asked for or ended: older ones change nothing.
+    latest_pause: Option<Pause>,
+    lease_until_ms: f64,
+    /// Number of the newest heartbeat.
     nonce: u64,
-    asked: VecDeque<(u64, f64)>,
-    /// The leader that it knew last.
-    leader: Option<fleet::MemberId>,
-    tells: f64,
-    wants: Option<PolicyVersion>,
-    /// It leaves: whether it goes on serving, and whether the leader knows.
-    leaves: Option<bool>,
-    left: bool,
-    /// The newest hold or release of a leader: older ones change nothing.
-    latest: Option<Pause>,
+    pending_requests: VecDeque<PendingRequest>,
+    /// The leader at the last tick.
+    leader: Option<MemberId>,
+    next_heartbeat_ms: f64,
+    /// The newer version that its operator wants.
+    wanted: Option<PolicyVersion>,
+    membership: Membership,
     effects: Vec<Effect>,
 }
 
 impl Participant {
     /// A member that knows nothing yet, and serves nothing.
-    pub fn new(rules: RolloutSettings) -> Participant {
+    pub fn new(settings: RolloutSettings) -> Participant {
         Participant {
-            rules,
+            settings,
             decision: PolicyDecision::default(),
             epoch: 0,
-            runs: None,
-            saved: None,
+            running: None,
+            staged_document: StagedDocument::Missing,
             checked: None,
-            hold: None,
-            holds: false,
-            until: f64::NEG_INFINITY,
+            pause: PauseState::Running,
+            latest_pause: None,
+            lease_until_ms: f64::NEG_INFINITY,
             nonce: 0,
-            asked: VecDeque::new(),
+            pending_requests: VecDeque::new(),
             leader: None,
-            tells: f64::NEG_INFINITY,
-            wants: None,
-            leaves: None,
-            left: false,
-            latest: None,
+            next_heartbeat_ms: f64::NEG_INFINITY,
+            wanted: None,
+            membership: Membership::Active,
             effects: Vec::new(),
         }
     }
@@ -107,192 +113,246 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The operator's file has this version, in this document.
+    /// The operator's file has this version, in this document. The file that is in force is accepted and changes
+    /// nothing.
+    ///
+    /// # Errors
+    ///
+    /// Where a version as high was staged before, or the document is too long.
     pub fn propose(
         &mut self,
         now: f64,
         node: &mut FleetNode,
         version: u64,
         bytes: &[u8],
-    ) -> Result<(), String> {
+    ) -> Result<(), ProposeError> {
         if version <= self.decision.highest {
-            // Its own newest file, read again, is no news.
-            let known = self.decision.policy.hash == fleet::hash(bytes);
-            let what = if known { "is in force" } else { "was decided on before" };
-            self.wants = None;
-            return if known {
-                Ok(())
-            } else {
-                Err(format!("version {version} {what}: a higher one is needed"))
-            };
+            self.wanted = None;
+            let is_in_force = self.decision.policy.hash == fleet::hash(bytes);
+            return if is_in_force { Ok(()) } else { Err(ProposeError::NotNewer { version }) };
         }
-        let hash = node.store_document(bytes).ok_or("the policy is too long: 256 KiB at most")?;
-        self.wants = Some(PolicyVersion { version, hash });
-        self.tells = now;
+        let hash = node.store_document(bytes).ok_or(ProposeError::TooLong)?;
+        self.wanted = Some(PolicyVersion { version, hash });
+        self.next_heartbeat_ms = now;
         Ok(())
     }
 
-    /// Asks for no lease any more, and tells the leader, which `has_left` waits for.
+    /// Asks for no lease any more, and announces it to the leader, which [`Participant::has_left`] waits for. The process
+    /// `serves` on until its lease is over, or gives the lease back.
     pub fn leave(&mut self, now: f64, serves: bool) {
-        (self.leaves, self.tells) = (Some(serves), now);
+        if self.membership != Membership::Left {
+            self.membership = Membership::Leaving { serves };
+        }
+        self.next_heartbeat_ms = now;
     }
 
-    /// Whether the leader knows that this process leaves, or nothing is left for it to know.
+    /// Whether the leader knows that this process leaves, or its lease is over so that nobody needs to.
     pub fn has_left(&self, now: f64) -> bool {
-        self.left || now >= self.until
+        self.membership == Membership::Left || now >= self.lease_until_ms
     }
 
-    /// Does what is due. Gives what is for the leader, where that is this node itself.
+    /// Does what is due.
     pub(super) fn tick(&mut self, now: f64, node: &mut FleetNode) {
         self.follow(now, node);
-        // A new leader is asked for a lease at once: it does not know of the one that is held.
-        let replaced = self.leader != node.leader();
+        // A new leader is asked for a lease at once: it does not know of the one that this member has.
+        let leader_changed = self.leader != node.leader();
         self.leader = node.leader();
-        if now < self.tells && !replaced {
+        if now < self.next_heartbeat_ms && !leader_changed {
             return;
         }
-        if let Some(serves) = self.leaves {
-            self.tells = now + HURRIES;
-            if let Some(leader) = node.leader().filter(|_| !self.left) {
-                node.send_message(leader, TOPIC, Message::Leave { serves }.encode());
+        match self.membership {
+            Membership::Active => self.send_heartbeat(now, node),
+            Membership::Leaving { serves } => {
+                self.next_heartbeat_ms = now + STAGED_HEARTBEAT_MS;
+                if let Some(leader) = node.leader() {
+                    node.send_message(leader, TOPIC, Message::Leave { serves }.encode());
+                }
             }
-            return;
+            Membership::Left => self.next_heartbeat_ms = now + STAGED_HEARTBEAT_MS,
         }
-        let hurries = self.decision.staged.is_some() || self.wants.is_some() || now >= self.until;
-        self.tells = now + if hurries { HURRIES } else { TELLS };
+    }
+
+    fn send_heartbeat(&mut self, now: f64, node: &mut FleetNode) {
+        let is_urgent = self.decision.staged.is_some() || self.wanted.is_some() || now >= self.lease_until_ms;
+        self.next_heartbeat_ms = now + if is_urgent { STAGED_HEARTBEAT_MS } else { HEARTBEAT_MS };
         let Some(leader) = node.leader() else { return };
         self.nonce += 1;
-        if self.asked.len() >= ASKED {
-            self.asked.pop_front();
+        if self.pending_requests.len() >= MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_front();
         }
-        self.asked.push_back((self.nonce, now));
-        let told = LeaseRequest {
+        self.pending_requests.push_back(PendingRequest { nonce: self.nonce, sent_at_ms: now });
+        let request = LeaseRequest {
             nonce: self.nonce,
-            epoch: if self.runs == Some(self.decision.policy) { self.epoch } else { 0 },
+            epoch: if self.runs_decided_policy() { self.epoch } else { 0 },
             checked: self.checked.clone(),
-            holds: self.hold.filter(|_| self.holds),
-            wants: self.wants,
+            paused: self.pause.confirmed(),
+            wanted: self.wanted,
         };
-        node.send_message(leader, TOPIC, Message::LeaseRequest(told).encode());
+        node.send_message(leader, TOPIC, Message::LeaseRequest(request).encode());
     }
 
     /// Follows the newest decision that the node knows.
     pub(super) fn follow(&mut self, now: f64, node: &mut FleetNode) {
+        self.read_decision(now, node);
+        self.apply_decided_policy(now, node);
+        self.fetch_staged_document(now, node);
+        if let Some(pause) = self.pause.pause()
+            && self.has_carried_out(pause.version)
+        {
+            self.resume();
+        }
+    }
+
+    fn read_decision(&mut self, now: f64, node: &mut FleetNode) {
         let (epoch, body) = node.newest_decision(TOPIC);
-        if epoch > self.epoch {
-            let decision = PolicyDecision::decode(body);
-            if decision.staged != self.decision.staged {
-                (self.saved, self.checked) = (None, None);
-                if let Some(old) = self.decision.staged.filter(|old| old.hash != decision.policy.hash) {
-                    node.cancel_document_request(&old.hash);
-                }
+        if epoch <= self.epoch {
+            return;
+        }
+        let decision = PolicyDecision::decode(body);
+        if decision.staged != self.decision.staged {
+            (self.staged_document, self.checked) = (StagedDocument::Missing, None);
+            if let Some(old) = self.decision.staged.filter(|old| old.hash != decision.policy.hash) {
+                node.cancel_document_request(&old.hash);
             }
-            (self.epoch, self.decision, self.tells) = (epoch, decision, now);
-            self.wants = self.wants.filter(|wants| wants.version > self.decision.highest);
-            self.effects.push(Effect::Decided(self.decision.clone()));
         }
+        (self.epoch, self.decision, self.next_heartbeat_ms) = (epoch, decision, now);
+        self.wanted = self.wanted.filter(|wanted| wanted.version > self.decision.highest);
+        self.effects.push(Effect::Decided(self.decision.clone()));
+    }
+
+    /// Runs what is in force, once its document is here. Version 0 has none.
+    fn apply_decided_policy(&mut self, now: f64, node: &mut FleetNode) {
         let policy = self.decision.policy;
-        if self.runs != Some(policy) {
-            let bytes =
-                if policy.version == 0 { Some(Vec::new()) } else { document(now, node, &policy.hash) };
-            if let Some(bytes) = bytes {
-                self.runs = Some(policy);
-                self.tells = now;
-                self.effects.push(Effect::Save(policy.hash, bytes.clone()));
-                self.effects.push(Effect::Apply(policy, bytes));
-            }
+        if self.runs_decided_policy() {
+            return;
+        }
+        let bytes = if policy.version == 0 { Some(Vec::new()) } else { document(now, node, &policy.hash) };
+        if let Some(bytes) = bytes {
+            self.running = Some(policy);
+            self.next_heartbeat_ms = now;
+            self.effects.push(Effect::Save(policy.hash, bytes.clone()));
+            self.effects.push(Effect::Apply(policy, bytes));
         }
+    }
+
+    fn fetch_staged_document(&mut self, now: f64, node: &mut FleetNode) {
         if let Some(staged) = self.decision.staged
-            && self.saved.is_none()
+            && self.staged_document == StagedDocument::Missing
             && let Some(bytes) = document(now, node, &staged.hash)
         {
-            self.saved = Some((staged.hash, false));
+            self.staged_document = StagedDocument::Saving;
             self.effects.push(Effect::Save(staged.hash, bytes.clone()));
             self.effects.push(Effect::Check(staged, bytes));
         }
-        // What a hold was for has been decided on, and is carried out here.
-        if let Some(hold) = self.hold
-            && self.runs == Some(policy)
-            && self.decision.staged.is_none_or(|staged| staged.version != hold.version)
-            && self.decision.highest >= hold.version
-        {
-            self.release();
-        }
     }
 
-    fn release(&mut self) {
-        (self.hold, self.holds) = (None, false);
-        self.effects.push(Effect::Release);
+    /// Whether it runs what is in force as far as is known here.
+    fn runs_decided_policy(&self) -> bool {
+        self.running == Some(self.decision.policy)
+    }
+
+    /// Whether a version was decided on, and this member runs what followed from that.
+    fn has_carried_out(&self, version: u64) -> bool {
+        self.runs_decided_policy() && !self.is_staged(version) && self.decision.highest >= version
+    }
+
+    fn is_staged(&self, version: u64) -> bool {
+        self.decision.staged.is_some_and(|staged| staged.version == version)
     }
 
-    /// A document is on disk, or could not be written: without it nothing is said yes to.
+    fn accepts(&self, version: u64) -> bool {
+        self.checked == Some(CheckResult { version, error: None })
+    }
+
+    fn resume(&mut self) {
+        self.pause = PauseState::Running;
+        self.effects.push(Effect::Resume);
+    }
+
+    /// A document is on disk, or could not be written: what is staged is accepted only with its document on disk.
     pub fn on_saved(&mut self, hash: DocumentHash, error: Option<String>) {
-        if let Some(staged) = self.decision.staged.filter(|staged| staged.hash == hash) {
-            match error {
-                None => self.saved = Some((hash, true)),
-                Some(error) => self.checked = Some((staged.version, Some(cut(&error)))),
+        let Some(staged) = self.decision.staged.filter(|staged| staged.hash == hash) else { return };
+        match error {
+            None => self.staged_document = StagedDocument::Saved,
+            Some(error) => {
+                let error = Some(truncate_reason(&error));
+                self.checked = Some(CheckResult { version: staged.version, error });
             }
         }
     }
 
-    /// What is staged was checked: nothing, or why it cannot be.
+    /// A version was checked; `error` is why this process cannot run it.
     pub fn on_checked(&mut self, now: f64, version: u64, error: Option<String>) {
-        let ours = self.decision.staged.is_some_and(|staged| staged.version == version);
-        let written = self.saved.is_some_and(|(_, written)| written);
-        if ours && (written || error.is_some()) && self.checked.is_none() {
-            self.checked = Some((version, error.map(|error| cut(&error))));
-            self.tells = now;
+        let is_answer = self.staged_document == StagedDocument::Saved || error.is_some();
+        if self.is_staged(version) && is_answer && self.checked.is_none() {
+            let error = error.map(|error| truncate_reason(&error));
+            self.checked = Some(CheckResult { version, error });
+            self.next_heartbeat_ms = now;
         }
     }
 
-    /// The fronts hold what comes in.
-    pub fn on_paused(&mut self, now: f64, hold: Pause) {
-        if self.hold == Some(hold) {
-            self.holds = true;
-            self.tells = now;
+    /// The frontends have paused incoming requests.
+    pub fn on_paused(&mut self, now: f64, pause: Pause) {
+        if self.pause.pause() == Some(pause) {
+            self.pause = PauseState::Confirmed(pause);
+            self.next_heartbeat_ms = now;
         }
     }
 
-    /// A message of the leader.
-    pub(super) fn receive(&mut self, now: f64, message: Message) {
-        match message {
-            Message::LeaseGrant { nonce, lasts, epoch } => {
-                let Some(&(_, sent)) = self.asked.iter().find(|asked| asked.0 == nonce) else { return };
-                // What was granted for a newer decision than the one that runs here does not count.
-                let carried_out = self.epoch >= epoch && self.runs == Some(self.decision.policy);
-                let until = sent + f64::from(lasts).min(self.rules.lease_ms);
-                if carried_out && until > self.until && until > now {
-                    self.until = until;
-                    self.effects.push(Effect::Serve(until));
-                }
+    /// Takes a message of a leader.
+    pub(super) fn receive(&mut self, now: f64, message: &Message) {
+        match *message {
+            Message::LeaseGrant { nonce, duration_ms, epoch } => {
+                self.on_lease_grant(now, nonce, f64::from(duration_ms), epoch);
             }
-            Message::Pause(hold) if self.latest.is_none_or(|latest| hold > latest) => {
-                self.latest = Some(hold);
-                let ours = self.decision.staged.is_some_and(|staged| staged.version == hold.version);
-                // One that comes before the news of what is staged is sent again.
-                if ours && self.checked == Some((hold.version, None)) {
-                    (self.hold, self.holds) = (Some(hold), false);
-                    self.effects.push(Effect::Pause(hold));
-                } else {
-                    self.latest = None;
+            Message::Pause(pause) => self.on_pause(pause),
+            Message::Resume(pause) if self.pause.pause() == Some(pause) => self.resume(),
+            Message::Resume(pause) => self.latest_pause = self.latest_pause.max(Some(pause)),
+            Message::Left => {
+                if self.membership != Membership::Active {
+                    self.membership = Membership::Left;
                 }
             }
-            Message::Resume(hold) if self.hold == Some(hold) => self.release(),
-            Message::Resume(hold) => self.latest = self.latest.max(Some(hold)),
-            Message::Left => self.left = self.leaves.is_some(),
-            Message::Pause(_) | Message::LeaseRequest(_) | Message::Leave { .. } => {}
+            Message::LeaseRequest(_) | Message::Leave { .. } => {}
+        }
+    }
+
+    fn on_lease_grant(&mut self, now: f64, nonce: u64, duration_ms: f64, epoch: u64) {
+        let Some(request) = self.pending_requests.iter().find(|request| request.nonce == nonce) else {
+            return;
+        };
+        let until_ms = request.sent_at_ms + duration_ms.min(self.settings.lease_ms);
+        // A lease under a newer decision than the one that this member runs does not count.
+        let is_current = self.epoch >= epoch && self.runs_decided_policy();
+        if is_current && until_ms > self.lease_until_ms && until_ms > now {
+            self.lease_until_ms = until_ms;
+            self.effects.push(Effect::Serve(until_ms));
+        }
+    }
+
+    fn on_pause(&mut self, pause: Pause) {
+        if self.latest_pause.is_some_and(|latest| pause <= latest) {
+            return;
+        }
+        if self.is_staged(pause.version) && self.accepts(pause.version) {
+            self.latest_pause = Some(pause);
+            self.pause = PauseState::Requested(pause);
+            self.effects.push(Effect::Pause(pause));
+        } else {
+            // It arrived before the decision that staged its version, and is sent again.
+            self.latest_pause = None;
         }
     }
 
-    /// How it stands.
+    /// The state of the member's part.
     pub fn status(&self) -> ParticipantStatus {
         ParticipantStatus {
-            version: self.runs.map_or(0, |policy| policy.version),
+            version: self.running.map_or(0, |policy| policy.version),
             decision: self.decision.clone(),
             epoch: self.epoch,
-            holds: self.hold.is_some(),
-            until: self.until,
-            wants: self.wants.map(|wants| wants.version),
+            is_paused: self.pause.pause().is_some(),
+            lease_until_ms: self.lease_until_ms,
+            wanted: self.wanted.map(|wanted| wanted.version),
         }
     }
 }
@@ -301,7 +361,7 @@
 fn document(now: f64, node: &mut FleetNode, hash: &DocumentHash) -> Option<Vec<u8>> {
     let document = node.document(hash);
     if document.is_none() {
-        // The leader had it before it staged it.
+        // The leader had it before it staged the version.
         node.request_document(now, *hash, node.leader());
     }
     document.map(|bytes| bytes.to_vec())
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -8,7 +8,7 @@
 use super::*;
 use crate::consensus::{Write, file};
 use crate::control_plane::{self, ControlPlane};
-use crate::fleet::{MemberConfig, MemberId as At};
+use crate::fleet::{self, MemberConfig, MemberId as At};
 
 const MEMBERS: usize = 5;
 const LEASE: f64 = 2000.0;
@@ -122,7 +122,7 @@
         }
     }
 
-    fn want(&mut self, at: At, version: u64) -> Result<(), String> {
+    fn want(&mut self, at: At, version: u64) -> Result<(), ProposeError> {
         let now = self.now;
         let node = self.nodes.get_mut(&at).unwrap();
         node.with_participant(now, |member, node| member.propose(now, node, version, &policy(version)))
@@ -209,7 +209,7 @@
                 (front.holds, front.since) = (true, now);
                 node.with_participant(now, |member, _| member.on_paused(now, hold));
             }
-            Effect::Release => {
+            Effect::Resume => {
                 self.pauses.push(now - front.since);
                 front.holds = false;
             }
--- a/src/rollout/wire_tests.rs
+++ b/src/rollout/wire_tests.rs
@@ -1,6 +1,7 @@
-//! Guards the form of what dispatchers send one another about changes of policy, and of what is decided of them.
+//! Guards the wire form of the messages and decisions about changes of policy.
 
-use super::{ChangeOutcome, LeaseRequest, Message, Pause, PolicyDecision, PolicyVersion};
+use super::message::{CheckResult, LeaseRequest, Message, Pause};
+use super::{ChangeOutcome, PolicyDecision, PolicyVersion};
 use crate::consensus::LeaderTerm;
 use crate::wire_fixture::assert_bytes;
 
@@ -8,7 +9,7 @@
     PolicyVersion { version, hash: [version as u8; 32] }
 }
 
-fn hold() -> Pause {
+fn pause() -> Pause {
     let term: LeaderTerm = postcard::from_bytes(&[3, 2, 200, 1]).unwrap();
     Pause { term, attempt: 4, version: 9 }
 }
@@ -19,16 +20,16 @@
     let request = LeaseRequest {
         nonce: 300,
         epoch: 5,
-        checked: Some((9, Some("no".into()))),
-        holds: Some(hold()),
-        wants: Some(policy(10)),
+        checked: Some(CheckResult { version: 9, error: Some("no".into()) }),
+        paused: Some(pause()),
+        wanted: Some(policy(10)),
     };
     for (name, message) in [
         ("rollout.lease_request", Message::LeaseRequest(request)),
         ("rollout.lease_request_bare", Message::LeaseRequest(bare)),
-        ("rollout.lease_grant", Message::LeaseGrant { nonce: 300, lasts: 1900, epoch: 5 }),
-        ("rollout.hold", Message::Pause(hold())),
-        ("rollout.resume", Message::Resume(hold())),
+        ("rollout.lease_grant", Message::LeaseGrant { nonce: 300, duration_ms: 1900, epoch: 5 }),
+        ("rollout.hold", Message::Pause(pause())),
+        ("rollout.resume", Message::Resume(pause())),
         ("rollout.leave", Message::Leave { serves: true }),
         ("rollout.left", Message::Left),
     ] {
