--- a/src/control_plane/mod.rs
+++ b/src/control_plane/mod.rs
@@ -1,40 +1,46 @@
-//! What a dispatcher shares with the others of its fleet, free of I/O: the node (`crate::fleet`) and the parts that
-//! stand on it. The node does not know what the parts decide, and the parts do not know each other: what comes for a
-//! part is told to it here.
+//! What a dispatcher shares with the others of its fleet, free of I/O: the node (`crate::fleet`) and the modules on top
+//! of it, zone failover (`crate::zones`) and rollouts (`crate::rollout`).
+//!
+//! The node does not know what the modules decide, and the modules do not know each other: events of the node reach the
+//! module of their topic here. After each call the caller carries out all of [`ControlPlane::take_effects`], in order,
+//! and it calls [`ControlPlane::tick`] at [`ControlPlane::next_deadline`]. Times are milliseconds of the caller's clock.
 
 #[cfg(test)]
 mod tests;
 
 use crate::consensus::{ConsensusError, Persisted};
-use crate::fleet::{FleetNode, FrameError, MemberId, NodeEvent};
+use crate::fleet::{FleetNode, FrameError, MemberId, NodeConfig, NodeEvent};
 use crate::rollout::{self, Rollout};
 use crate::zones::{self, FailoverSettings, ZoneFailover, ZoneLoad};
 
-/// What is shared.
+/// How long after the leader's term rose what is known here to be decided counts as current, in milliseconds.
+const CURRENT_TERM_MS: f64 = 1000.0;
+
+/// What a control plane is built from.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneConfig {
     /// The node.
-    pub fleet: crate::fleet::NodeConfig,
-    /// How many zones there are.
+    pub fleet: NodeConfig,
+    /// Number of zones.
     pub zones: usize,
-    /// How zones are decided on.
+    /// How zones are failed over.
     pub failover: FailoverSettings,
-    /// How changes of policy are made, where they are set up.
+    /// How changes of policy are made, where a policy is shared.
     pub rollout: Option<rollout::RolloutSettings>,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// The node's.
+    /// For the node.
     Node(crate::fleet::Effect),
-    /// The zones'.
+    /// For zone failover.
     Zones(zones::Effect),
-    /// The policy's.
+    /// For rollouts.
     Rollout(rollout::Effect),
 }
 
-/// The node and its parts.
+/// The node and the modules on top of it.
 pub struct ControlPlane {
     node: FleetNode,
     zones: ZoneFailover,
@@ -42,16 +48,23 @@
 }
 
 impl ControlPlane {
-    /// All of it, with what the voter's file says.
+    /// A control plane, with what a voter's file has.
+    ///
+    /// # Errors
+    ///
+    /// Where this member votes and the number of voters is not 3, 5 or 7, or the consensus's library refuses its settings.
     pub fn new(
-        setup: ControlPlaneConfig,
-        kept: Option<Persisted>,
+        config: ControlPlaneConfig,
+        persisted: Option<Persisted>,
         now: f64,
     ) -> Result<ControlPlane, ConsensusError> {
-        let home = setup.fleet.members.get(usize::from(setup.fleet.own)).map_or(0, |place| place.zone);
-        let zones = ZoneFailover::new(home, setup.zones, setup.failover, setup.fleet.incarnation, now);
-        let rollout = setup.rollout.map(Rollout::new);
-        Ok(ControlPlane { node: FleetNode::new(setup.fleet, kept, now)?, zones, rollout })
+        let own = config.fleet.members.get(usize::from(config.fleet.own));
+        let own_zone = own.map_or(0, |member| member.zone);
+        let incarnation = config.fleet.incarnation;
+        let zones = ZoneFailover::new(own_zone, config.zones, config.failover, incarnation, now);
+        let rollout = config.rollout.map(Rollout::new);
+        let node = FleetNode::new(config.fleet, persisted, now)?;
+        Ok(ControlPlane { node, zones, rollout })
     }
 
     /// The node.
@@ -59,42 +72,43 @@
         &self.node
     }
 
-    /// The zones.
+    /// Zone failover.
     pub fn zones(&self) -> &ZoneFailover {
         &self.zones
     }
 
-    /// The zones, to be told of the dispatcher's own work.
+    /// Zone failover, to record the dispatcher's own attempts.
     pub fn zones_mut(&mut self) -> &mut ZoneFailover {
         &mut self.zones
     }
 
-    /// Whether what is known here to be decided is new: a leader was heard of lately, and it has answered.
+    /// Whether what is known here to be decided is current: a leader has confirmed its majority lately.
     pub fn follows_leader(&self, now: f64) -> bool {
-        let (term, term_raised) = self.node.term();
-        term.leader().is_some() && now - term_raised < 1000.0
+        let (term, term_raised_ms) = self.node.term();
+        term.leader().is_some() && now - term_raised_ms < CURRENT_TERM_MS
     }
 
-    /// How this member stands in changes of policy, where they are set up.
+    /// The state of this member in changes of policy, where a policy is shared.
     pub fn rollout_status(&self) -> Option<rollout::ParticipantStatus> {
         self.rollout.as_ref().map(Rollout::status)
     }
 
-    /// Has the member's part of changes of policy do something, with the node that carries its messages.
+    /// Calls `action` with this member's part of changes of policy and the node that carries its messages; none where no
+    /// policy is shared.
     pub fn with_participant<T>(
         &mut self,
         now: f64,
-        with: impl FnOnce(&mut rollout::Participant, &mut FleetNode) -> T,
+        action: impl FnOnce(&mut rollout::Participant, &mut FleetNode) -> T,
     ) -> Option<T> {
         let rollout = self.rollout.as_mut()?;
-        let result = with(rollout.participant(), &mut self.node);
+        let result = action(rollout.participant(), &mut self.node);
         rollout.tick(now, &mut self.node);
-        self.tell(now);
+        self.dispatch_events(now);
         Some(result)
     }
 
-    /// Whether the leader knows that this process leaves, after `rollout::Participant::leave`; nobody needs to where no policy is
-    /// shared.
+    /// Whether the leader knows that this process leaves, after [`rollout::Participant::leave`]; nobody needs to where no
+    /// policy is shared.
     pub fn has_left(&self, now: f64) -> bool {
         self.rollout.as_ref().is_none_or(|rollout| rollout.has_left(now))
     }
@@ -114,56 +128,63 @@
         self.node.next_deadline()
     }
 
-    /// Does what is due; `open` requests are open with the dispatcher, and `there` tells of a zone what is out there
-    /// and how many slots are listed.
-    pub fn tick(&mut self, now: f64, open: usize, zone_load: impl Fn(usize) -> ZoneLoad) {
+    /// Does what is due. `open_requests` are open at the dispatcher, and `zone_load` gives its present load of a zone.
+    pub fn tick(&mut self, now: f64, open_requests: usize, zone_load: impl Fn(usize) -> ZoneLoad) {
         if now < self.next_deadline() {
             return;
         }
         self.node.tick(now);
-        self.tell(now);
-        self.zones.tick(now, &mut self.node, open, zone_load);
+        self.dispatch_events(now);
+        self.zones.tick(now, &mut self.node, open_requests, zone_load);
         if let Some(rollout) = &mut self.rollout {
             rollout.tick(now, &mut self.node);
         }
-        self.tell(now);
+        self.dispatch_events(now);
     }
 
-    /// A datagram from a member's address. What cannot be taken is counted and dropped.
+    /// Takes a datagram from a member's address.
+    ///
+    /// # Errors
+    ///
+    /// Where the datagram is no valid frame of that member. It is counted and dropped; the caller need not act on it.
     pub fn receive(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> Result<(), FrameError> {
-        let taken = self.node.receive(now, from, bytes);
-        self.tell(now);
-        taken
+        let result = self.node.receive(now, from, bytes);
+        self.dispatch_events(now);
+        result
     }
 
-    /// A write has been done, and synced, or has failed.
-    pub fn on_written(&mut self, now: f64, done: bool) {
-        self.node.on_written(done);
-        self.tell(now);
+    /// A write has been done and synced, or (`succeeded` is false) has failed.
+    pub fn on_written(&mut self, now: f64, succeeded: bool) {
+        self.node.on_written(succeeded);
+        self.dispatch_events(now);
     }
 
-    /// Tells the parts what has come for them.
-    fn tell(&mut self, now: f64) {
-        while let Some(news) = self.node.next_event() {
-            match news {
-                NodeEvent::Message { topic: zones::TOPIC, from, bytes, .. } => {
-                    self.zones.receive(now, &self.node, from, &bytes);
-                }
-                NodeEvent::Decided { topic: zones::TOPIC } => self.zones.follow(now, &self.node),
-                NodeEvent::Message { topic: rollout::TOPIC, from, incarnation, bytes } => {
-                    if let Some(rollout) = &mut self.rollout {
-                        rollout.receive(now, &mut self.node, from, incarnation, &bytes);
-                    }
+    /// Hands the node's events to the modules of their topics.
+    fn dispatch_events(&mut self, now: f64) {
+        while let Some(event) = self.node.next_event() {
+            self.dispatch(now, event);
+        }
+        self.zones.follow(now, &self.node);
+    }
+
+    fn dispatch(&mut self, now: f64, event: NodeEvent) {
+        match event {
+            NodeEvent::Message { topic: zones::TOPIC, from, bytes, .. } => {
+                self.zones.receive(now, &self.node, from, &bytes);
+            }
+            NodeEvent::Decided { topic: zones::TOPIC } => self.zones.follow(now, &self.node),
+            NodeEvent::Message { topic: rollout::TOPIC, from, incarnation, bytes } => {
+                if let Some(rollout) = &mut self.rollout {
+                    rollout.receive(now, &mut self.node, from, incarnation, &bytes);
                 }
-                NodeEvent::Decided { topic: rollout::TOPIC } | NodeEvent::Document(_) => {
-                    if let Some(rollout) = &mut self.rollout {
-                        rollout.follow(now, &mut self.node);
-                    }
+            }
+            NodeEvent::Decided { topic: rollout::TOPIC } | NodeEvent::Document(_) => {
+                if let Some(rollout) = &mut self.rollout {
+                    rollout.follow(now, &mut self.node);
                 }
-                // Of a part that is not set up here.
-                NodeEvent::Message { .. } | NodeEvent::Decided { .. } => {}
             }
+            // Of a module that is not set up here.
+            NodeEvent::Message { .. } | NodeEvent::Decided { .. } => {}
         }
-        self.zones.follow(now, &self.node);
     }
 }
--- a/src/rollout/coordinator.rs
+++ b/src/rollout/coordinator.rs
@@ -168,7 +168,8 @@
         // leases. The same for what an earlier leader may have proposed and the log still has.
         self.log_is_committed |= node.log_is_committed();
         let may_miss_change = matches!(self.phase, Phase::Deciding { .. }) && unconfirmed_pause.is_some();
-        // Without a confirmed round, another leader may be followed: it must not be granted a lease on the strength of.
+        // A leader that was replaced, and knows of it, has no confirmed round: it must grant no lease on the strength of its
+        // successor's majority.
         let Some(confirmed_round_ms) = node.last_confirmed_round() else { return };
         let duration_ms = self.settings.lease_ms - (now - confirmed_round_ms);
         if duration_ms < MIN_LEASE_MS || may_miss_change || !self.log_is_committed {
