--- a/src/rollout/coordinator.rs
+++ b/src/rollout/coordinator.rs
@@ -258,8 +258,8 @@
             self.phase = Phase::Pausing { pause, since_ms: now };
             self.send_to_all(node, &Message::Pause(pause));
         } else if now - since_ms > self.settings.full_lease_bound_ms() + VALIDATION_TIMEOUT_MS {
-            let missing: Vec<usize> = self.awaited_members(now, is_ready).take(MAX_NAMED_MEMBERS).collect();
-            let reason = format!("no yes in time of members {missing:?}");
+            let unready: Vec<usize> = self.awaited_members(now, is_ready).take(MAX_NAMED_MEMBERS).collect();
+            let reason = format!("no yes in time of members {unready:?}");
             self.give_up(now, node, decision, policy, &reason);
         }
     }
--- a/src/zones/capacity.rs
+++ b/src/zones/capacity.rs
@@ -19,7 +19,7 @@
 pub(super) struct Capacity {
     slots: Vec<f64>,
     /// Attempts in flight of dispatchers whose own zone is open.
-    settled_load: Vec<f64>,
+    base_load: Vec<f64>,
     /// Requests that would be open at the zone's dispatchers if none were rejected.
     offered: Vec<f64>,
 }
@@ -28,13 +28,13 @@
     pub(super) fn of(now: f64, reports: &HealthReports, table: &ZoneTable) -> Capacity {
         let zones = table.zones.len();
         let mut capacity =
-            Capacity { slots: vec![0.0; zones], settled_load: vec![0.0; zones], offered: vec![0.0; zones] };
+            Capacity { slots: vec![0.0; zones], base_load: vec![0.0; zones], offered: vec![0.0; zones] };
         for digest in reports.fresh(now) {
             let home = usize::from(digest.zone);
-            let is_settled = table.zones.get(home).is_some_and(|zone| zone.state == ZoneState::Open);
+            let home_is_open = table.zones.get(home).is_some_and(|zone| zone.state == ZoneState::Open);
             for (zone, sample) in digest.samples.iter().enumerate().take(zones) {
                 capacity.slots[zone] = capacity.slots[zone].max(f64::from(sample.slots));
-                capacity.settled_load[zone] += if is_settled { f64::from(sample.in_flight) } else { 0.0 };
+                capacity.base_load[zone] += if home_is_open { f64::from(sample.in_flight) } else { 0.0 };
             }
             if home < zones {
                 capacity.offered[home] += digest.offered();
@@ -51,7 +51,7 @@
         let all_slots: f64 = self.slots.iter().sum();
         let other_slots: f64 = others().map(|other| self.slots[other]).sum();
         let free_slots: f64 =
-            others().map(|other| (self.slots[other] - self.settled_load[other]).max(0.0)).sum();
+            others().map(|other| (self.slots[other] - self.base_load[other]).max(0.0)).sum();
         let half_stays_open = if all_slots > 0.0 {
             other_slots * 2.0 >= all_slots
         } else {
@@ -68,10 +68,10 @@
         let all_free: f64 = free.iter().sum();
         let displaced = self.displaced_load(table);
         let is_known = self.slots.iter().any(|slots| *slots > 0.0);
-        for (at, zone) in table.zones.iter_mut().enumerate() {
-            zone.local_only = self.is_local_only(at, zone);
+        for (index, zone) in table.zones.iter_mut().enumerate() {
+            zone.local_only = self.is_local_only(index, zone);
             zone.weight =
-                if is_known && most_free > 0.0 { rounded_share(free[at] / most_free) } else { FULL_SHARE };
+                if is_known && most_free > 0.0 { rounded_share(free[index] / most_free) } else { FULL_SHARE };
             let is_short = is_known && displaced > 0.0 && zone.state != ZoneState::Open;
             zone.admit = if is_short {
                 let local = share_fraction(zone);
@@ -86,8 +86,8 @@
     fn free_slots(&self, table: &ZoneTable, margin: f64) -> Vec<f64> {
         let zones = table.zones.iter().enumerate();
         zones
-            .map(|(at, zone)| {
-                (self.slots[at] * share_fraction(zone) - self.settled_load[at]).max(0.0) * margin
+            .map(|(index, zone)| {
+                (self.slots[index] * share_fraction(zone) - self.base_load[index]).max(0.0) * margin
             })
             .collect()
     }
@@ -99,9 +99,9 @@
     }
 
     /// Whether a zone has capacity for all that its dispatchers are offered.
-    fn is_local_only(&self, at: usize, zone: &ZoneDecision) -> bool {
+    fn is_local_only(&self, index: usize, zone: &ZoneDecision) -> bool {
         let bound = if zone.local_only { CROSS_ABOVE_UTILIZATION } else { LOCAL_BELOW_UTILIZATION };
-        self.offered[at] <= self.slots[at] * bound
+        self.offered[index] <= self.slots[index] * bound
     }
 }
 
--- a/src/zones/health_reports.rs
+++ b/src/zones/health_reports.rs
@@ -8,9 +8,7 @@
 use std::collections::BTreeMap;
 
 use super::outcome_counter::{Digest, ZoneSample};
-
-/// A dispatcher's position among the members of the operator's file.
-pub type MemberId = u16;
+use crate::fleet::MemberId;
 
 /// How long a digest counts after its arrival, in milliseconds: six digests in a row have to be lost before a dispatcher
 /// drops out.
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -27,7 +27,7 @@
 mod zone_view;
 
 pub use failover_controller::{FailoverController, FailoverSettings};
-pub use health_reports::{DIGEST_LIFETIME_MS, FailureMode, HealthReports, MemberId, ZoneHealth, ZoneSummary};
+pub use health_reports::{DIGEST_LIFETIME_MS, FailureMode, HealthReports, ZoneHealth, ZoneSummary};
 pub use outcome_counter::{AttemptResult, Digest, OutcomeCounter, WINDOW_STEP_MS, ZoneLoad, ZoneSample};
 pub use zone_failover::{Effect, TableChange, ZoneFailover};
 pub use zone_view::{AdmissionShare, AgreementStatus, DecidedTable, ZoneView, ZoneViewTracker};
--- a/src/zones/tests/mod.rs
+++ b/src/zones/tests/mod.rs
@@ -9,6 +9,7 @@
 use proptest::prelude::*;
 
 use super::*;
+use crate::fleet::MemberId;
 
 const ZONES: usize = 3;
 /// Dispatchers of each zone.
--- a/src/zones/zone_view.rs
+++ b/src/zones/zone_view.rs
@@ -118,7 +118,7 @@
     }
 
     /// The next view, from the newest decision and the dispatcher's own samples. To be called at a steady pace: each call
-    /// may raise shares by [`MAX_SHARE_RISE`].
+    /// may raise shares by a quarter.
     pub fn update(&mut self, now: f64, samples: &[ZoneSample]) -> &ZoneView {
         let status = self.status(now);
         let has_endpoints = samples.iter().any(|sample| sample.slots > 0);
