--- a/src/frontend/fleet/config.rs
+++ b/src/frontend/fleet/config.rs
@@ -296,14 +296,14 @@
         let step_ms = self.step_ms.unwrap_or(default.step_ms);
         let forgive_ms = self.forgive_ms.unwrap_or(default.forgive_ms);
         let margin = self.margin.unwrap_or(default.margin);
-        let keep_ms = self.keep_ms.unwrap_or(default.keep_ms);
+        let max_stale_ms = self.keep_ms.unwrap_or(default.max_stale_ms);
         FailoverSettings {
             close_after_ms: checks.within("close_after_ms", close_after_ms, 100.0, 6e4),
             closed_for_ms: checks.within("closed_for_ms", closed_for_ms, 500.0, 6e5),
             step_ms: checks.within("step_ms", step_ms, 250.0, 6e5),
             forgive_ms: checks.within("forgive_ms", forgive_ms, 1000.0, 864e5),
             margin: checks.within("margin", margin, 0.1, 1.0),
-            keep_ms: checks.within("keep_ms", keep_ms, 3000.0, 36e5),
+            max_stale_ms: checks.within("keep_ms", max_stale_ms, 3000.0, 36e5),
         }
     }
 }
--- a/src/frontend/fleet/fleet_loop.rs
+++ b/src/frontend/fleet/fleet_loop.rs
@@ -14,7 +14,7 @@
 
 use super::config::Config;
 use super::messages::{
-    Departure, FleetCommand, FleetEvent, PolicyCommand, TrafficReport, WantedPolicy, ZoneShares, ZoneUsage,
+    Departure, FleetCommand, FleetEvent, PolicyCommand, TrafficReport, WantedPolicy, ZoneShares,
 };
 use super::open_node::{self, DatagramDrops, NodeOutput, OpenNode};
 use super::policy_changes::FollowUp;
@@ -23,6 +23,7 @@
 use crate::core::Clock;
 use crate::fleet::{self, MemberId};
 use crate::rollout;
+use crate::zones::ZoneLoad;
 
 /// While another process holds the address, as the one that an upgrade replaces, it is tried again after this time, in
 /// milliseconds.
@@ -59,7 +60,7 @@
     departure: Departure,
     /// What the frontends reported last.
     open_jobs: usize,
-    zone_usage: Vec<ZoneUsage>,
+    zone_loads: Vec<ZoneLoad>,
     /// The policy that the operator wants, until it is proposed.
     pub(super) wanted: Option<WantedPolicy>,
     /// When to render the figures next, in milliseconds.
@@ -136,7 +137,7 @@
             is_over: false,
             departure: Departure::ServesOn,
             open_jobs: 0,
-            zone_usage: Vec::new(),
+            zone_loads: Vec::new(),
             wanted,
             next_figures_ms: clock.now(),
             pending_shares: None,
@@ -182,7 +183,7 @@
 
     fn on_report(&mut self, report: TrafficReport) {
         self.open_jobs = report.open_jobs;
-        self.zone_usage = report.zones;
+        self.zone_loads = report.zones;
         let Some(node) = self.node_mut() else { return };
         let counter = node.control_plane.zones_mut().outcome_counter();
         for _ in 0..report.admitted {
@@ -274,11 +275,8 @@
             self.try_open(now_ms);
         }
         if let Membership::Open(node) = &mut self.membership {
-            let usage = |zone: usize| self.zone_usage.get(zone).copied().unwrap_or_default();
-            node.control_plane.tick(now_ms, self.open_jobs, |zone| {
-                let ZoneUsage { open_attempts, slots } = usage(zone);
-                (open_attempts, slots)
-            });
+            let zone_load = |zone: usize| self.zone_loads.get(zone).copied().unwrap_or_default();
+            node.control_plane.tick(now_ms, self.open_jobs, zone_load);
         }
         self.carry_out();
         self.notify_frontends(now_ms);
--- a/src/frontend/fleet/log_lines.rs
+++ b/src/frontend/fleet/log_lines.rs
@@ -8,16 +8,16 @@
 
 /// Where the policy stands, in a line.
 pub(super) fn policy_status(status: &ParticipantStatus, now_ms: f64) -> String {
-    let ParticipantStatus { version, decision, epoch, holds, until, wants } = status;
+    let ParticipantStatus { version, decision, epoch, is_paused, lease_until_ms, wanted } = status;
     let number = |version: Option<u64>| version.map_or("none".to_string(), |version| version.to_string());
     let yes_or_no = |on: bool| if on { "yes" } else { "no" };
     format!(
         "runs {version} decided {} staged {} wanted {} epoch {epoch} serves {} holds {} last {}",
         decision.policy.version,
         number(decision.staged.map(|staged| staged.version)),
-        number(*wants),
-        yes_or_no(*until > now_ms),
-        yes_or_no(*holds),
+        number(*wanted),
+        yes_or_no(*lease_until_ms > now_ms),
+        yes_or_no(*is_paused),
         last_change(decision.last.as_ref()),
     )
 }
--- a/src/frontend/fleet/messages.rs
+++ b/src/frontend/fleet/messages.rs
@@ -1,7 +1,7 @@
 //! What the frontends and the fleet's thread send each other, over two bounded channels. Neither waits for the other.
 
 use crate::rollout;
-use crate::zones::AttemptResult;
+use crate::zones::{AttemptResult, ZoneLoad};
 
 /// A policy as an operator's file has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,15 +23,6 @@
     pub latency_ms: f64,
 }
 
-/// What is open at a zone, and what it could run.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct ZoneUsage {
-    /// Attempts that are open there.
-    pub open_attempts: u16,
-    /// Slots of its listed endpoints.
-    pub slots: u16,
-}
-
 /// What happened at the frontends since the last report.
 #[derive(Debug, Default)]
 pub(super) struct TrafficReport {
@@ -44,7 +35,7 @@
     /// Jobs that are open now.
     pub open_jobs: usize,
     /// Each zone as it is now, by the fleet's order.
-    pub zones: Vec<ZoneUsage>,
+    pub zones: Vec<ZoneLoad>,
 }
 
 /// Whether the frontends go on serving as the process leaves the fleet.
--- a/src/frontend/fleet/mod.rs
+++ b/src/frontend/fleet/mod.rs
@@ -32,8 +32,8 @@
 use super::{Gateway, Sockets};
 use crate::core::{Admission, Clock, Core, TrafficEvent};
 use crate::fleet::TICK_MS;
-use crate::zones::FULL_SHARE;
-use messages::{EndedAttempt, FleetCommand, FleetEvent, TrafficReport, ZoneShares, ZoneUsage};
+use crate::zones::{FULL_SHARE, ZoneLoad};
+use messages::{EndedAttempt, FleetCommand, FleetEvent, TrafficReport, ZoneShares};
 
 /// Messages that may wait on their way, each way: a few seconds of them.
 const MAX_WAITING_MESSAGES: usize = 256;
@@ -223,7 +223,7 @@
 
     fn traffic_report(&self, core: Option<&mut Core>) -> TrafficReport {
         let mut report = TrafficReport {
-            zones: vec![ZoneUsage::default(); self.zone_names.len()],
+            zones: vec![ZoneLoad::default(); self.zone_names.len()],
             ..TrafficReport::default()
         };
         let Some(core) = core else { return report };
@@ -238,7 +238,7 @@
         });
         for (zone, load) in core.zone_loads(self.core_zones.len()).into_iter().enumerate() {
             if let Some(usage) = fleet_zone(zone).and_then(|zone| report.zones.get_mut(zone)) {
-                usage.open_attempts += load.open_attempts.min(usize::from(MAX_TOLD_USAGE)) as u16;
+                usage.in_flight += load.open_attempts.min(usize::from(MAX_TOLD_USAGE)) as u16;
                 usage.slots += (load.ready_size * self.slots_per_size).min(f64::from(MAX_TOLD_USAGE)) as u16;
             }
         }
--- a/src/frontend/fleet/policy_changes.rs
+++ b/src/frontend/fleet/policy_changes.rs
@@ -61,7 +61,7 @@
                 self.pending_policy_commands.push_back(PolicyCommand::Check(wanted));
             }
             Effect::Pause(pause) => self.pending_policy_commands.push_back(PolicyCommand::Pause(pause)),
-            Effect::Release => self.pending_policy_commands.push_back(PolicyCommand::Resume),
+            Effect::Resume => self.pending_policy_commands.push_back(PolicyCommand::Resume),
             // Before any policy there is nothing to take over.
             Effect::Apply(policy, _) if policy.version == 0 => {}
             Effect::Apply(_, bytes) => {
