--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -193,19 +193,18 @@
             (true, false) => CALL_TIMEOUT_MS,
         };
         let fresh = |id: &ConnId| net.conn(*id).is_some_and(|conn| conn.is_fresh());
-        let is_reused = self.conn.filter(fresh);
+        let reusable = self.conn.filter(fresh);
         self.watch = Watch::Calling {
             started_at_ms: now_ms,
             deadline_ms: now_ms + wait_ms + timeout_ms,
             is_long_poll,
-            is_reused: is_reused.is_some(),
+            is_reused: reusable.is_some(),
         };
-        let conn = match is_reused {
-            Some(conn) => Ok(conn),
-            None => {
-                self.close(net);
-                net.open(self.address)
-            }
+        let conn = if let Some(conn) = reusable {
+            Ok(conn)
+        } else {
+            self.close(net);
+            net.open(self.address)
         };
         let Ok(conn) = conn else { return self.on_failed(net, now_ms, settings) };
         self.conn = Some(conn);
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -88,7 +88,7 @@
     let input = [
         frame(1_000, &[]),
         frame(2_000, &[up(3, FACTS), list(0, 5001), view(3, 2, 0)]),
-        frame(3_000, &[job(3, 0xcd7b95d3a91c4, 5_003_000)]),
+        frame(3_000, &[job(3, 0x000c_d7b9_5d3a_91c4, 5_003_000)]),
     ]
     .concat();
     let whole = run(&[&input]);
@@ -98,7 +98,7 @@
         [0; 8],
         "empty replies to the empty batch and to news that ask for nothing"
     );
-    assert!(holds(&whole.stdout, &transmit(3, 0xcd7b95d3a91c4, 5001)));
+    assert!(holds(&whole.stdout, &transmit(3, 0x000c_d7b9_5d3a_91c4, 5001)));
     let cut: Vec<&[u8]> = input.chunks(7).collect();
     assert_eq!(run(&cut).stdout, whole.stdout);
 }
--- a/tests/blind.rs
+++ b/tests/blind.rs
@@ -89,7 +89,7 @@
             .collect();
         let speeds = [1.0, 0.8, 1.1, 0.7];
         let nodes = (0..workers as usize).map(|n| Node { speed: speeds[n % 4], ..Node::default() }).collect();
-        let (rng, jobs) = (fastrand::Rng::with_seed(7), Default::default());
+        let (rng, jobs) = (fastrand::Rng::with_seed(7), std::collections::BTreeMap::default());
         Fleet { worlds, nodes, rng, jobs, sums: Sums::default(), hint, next: 0 }
     }
 
--- a/tests/common/crossing.rs
+++ b/tests/common/crossing.rs
@@ -78,7 +78,7 @@
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        Full { listener, address, fillers: Default::default() }
+        Full { listener, address, fillers: std::cell::RefCell::default() }
     }
 
     /// One that is filled.
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -303,6 +303,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of configurations and their messages")]
 fn a_bad_configuration_is_refused_with_the_same_messages() {
     let deep = "[".repeat(40);
     let variable = |name, value| Start {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -214,7 +214,7 @@
 #[test]
 fn the_next_attempt_waits_until_the_one_before_it_is_given_up() {
     let (full, (two, dial_two)) = (Full::closed(), listener());
-    let text = hurried(&patient(nobody(), &[("s-1", full.address), ("s-2", dial_two)]), 2000000);
+    let text = hurried(&patient(nobody(), &[("s-1", full.address), ("s-2", dial_two)]), 2_000_000);
     let (_program, address) = start(&text);
     let mut client = Http::connect(address);
     let mut job = read_at(&full, &two, address, &mut client, "x");
@@ -243,7 +243,7 @@
 #[test]
 fn what_cannot_be_given_up_is_not_sent_a_second_time() {
     let (full, (two, dial_two)) = (Full::closed(), listener());
-    let text = hurried(&config(256, nobody(), &[("s-1", full.address), ("s-2", dial_two)]), 600000);
+    let text = hurried(&config(256, nobody(), &[("s-1", full.address), ("s-2", dial_two)]), 600_000);
     let (_program, address) = start(&text);
     let mut client = Http::connect(address);
     let mut job = read_at(&full, &two, address, &mut client, "n");
@@ -261,7 +261,7 @@
 #[test]
 fn a_close_alone_does_not_give_up_what_may_have_been_taken() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let text = hurried(&config(256, nobody(), &[("s-1", dial_one), ("s-2", dial_two)]), 600000);
+    let text = hurried(&config(256, nobody(), &[("s-1", dial_one), ("s-2", dial_two)]), 600_000);
     let (_program, address) = start(&text);
     let mut client = Http::connect(address);
     client.submit("avail-search", "l1");
@@ -285,7 +285,7 @@
 #[test]
 fn the_end_of_an_attempt_that_was_given_up_is_not_the_next_one_s() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let text = hurried(&config(256, nobody(), &[("s-1", dial_one), ("s-2", dial_two)]), 300000);
+    let text = hurried(&config(256, nobody(), &[("s-1", dial_one), ("s-2", dial_two)]), 300_000);
     let (_program, address) = start(&text);
     let mut client = Http::connect(address);
     client.submit("avail-search", "o1");
--- a/tests/gearman.rs
+++ b/tests/gearman.rs
@@ -224,7 +224,7 @@
 }
 
 /// Takes jobs, counts each in `runs` as its work begins, and dies now and then before or after.
-fn mortal_worker(address: SocketAddr, seed: u64, runs: Arc<Mutex<HashMap<String, u32>>>) {
+fn mortal_worker(address: SocketAddr, seed: u64, runs: &Mutex<HashMap<String, u32>>) {
     let mut rng = fastrand::Rng::with_seed(seed);
     loop {
         let mut worker = Gear::worker(address, &["confirm"]);
@@ -248,6 +248,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one story: three processes, their faults, and the count at the end"
+)]
 fn whoever_dies_each_confirmation_runs_at_most_once_and_has_one_answer() {
     // MICABEAM_SEED plays a seed again.
     let given = std::env::var("MICABEAM_SEED").ok().and_then(|seed| seed.parse().ok());
@@ -260,7 +264,7 @@
     let workers: Vec<_> = (0..4)
         .map(|at| {
             let runs = Arc::clone(&runs);
-            std::thread::spawn(move || mortal_worker(address, seed ^ (at + 1), runs))
+            std::thread::spawn(move || mortal_worker(address, seed ^ (at + 1), &runs))
         })
         .collect();
     for at in 0..120 {
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -58,6 +58,7 @@
     }
 
     /// When each cold server was called, and the part of the jobs that was served.
+    #[expect(clippy::too_many_lines, reason = "one loop over the events of a simulated day")]
     fn play(&self) -> (BTreeMap<EndpointId, Vec<Micros>>, f64) {
         let (members, mut rng) = (self.members(), fastrand::Rng::with_seed(self.seed));
         let born: BTreeMap<EndpointId, Micros> = members.iter().map(|m| (m.id, m.started_at)).collect();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -355,6 +355,10 @@
 
 /// Plays a random script of jobs, outcomes, list changes and time against one dispatcher and checks every action
 /// against the rules. Returns the actions, so that two runs can be compared.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one loop over the steps of a random script, with the checks of each"
+)]
 fn script(number: u32, steps: usize, probe: bool) -> Vec<Action> {
     let mut rng = fastrand::Rng::with_seed(u64::from(number) + 17);
     let mut settings = Settings { number, dispatchers: 4, ..settings() };
