--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -2,12 +2,10 @@
 
 use rustc_hash::FxHashMap;
 
+/// Most backend servers that are remembered: a line beyond it is told by a line in the log and counted.
+pub use crate::routing::MAX_ENDPOINTS;
 use crate::routing::{Endpoint, EndpointId, EndpointStatus};
 
-/// Most backend servers that are remembered: twice the largest fleet that is planned for. A line beyond it is told by a
-/// line in the log and counted.
-pub const MAX_ENDPOINTS: usize = 32_768;
-
 /// A line of the list, as a front reads it.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
--- /dev/null
+++ b/src/routing/retries.rs
@@ -0,0 +1,163 @@
+//! Retries and hedging: whether a job may run again, where, when an attempt that has not started is cancelled
+//! for another, and the final answer of a job that is not served.
+
+use super::endpoint_state::{EndpointIndex, EndpointState};
+use super::job_state::PendingJob;
+use super::router::Router;
+use super::timers::Timer;
+use super::types::{Action, DeduplicationScope, Idempotency, JobId, Micros, Outcome};
+
+/// Advice to the client of a rejected job when to come back: by then the jobs that wait now are over. Guards
+/// against retries that come at once and take the place of jobs still in time.
+const RETRY_AFTER: Micros = 2_000_000;
+/// Attempts of an idempotent job in a large fleet that have a short start timeout, as endpoints that serve so
+/// many dispatchers are often full.
+const QUICK_ATTEMPTS: usize = 3;
+/// Part of the latency objective that a short start timeout is.
+const QUICK_START_DIVISOR: Micros = 10;
+
+impl Router {
+    /// Whether a job may be sent to an endpoint now.
+    pub(super) fn may_send(&self, now: Micros, id: JobId, index: EndpointIndex) -> bool {
+        let endpoint = &self.endpoints[index];
+        if !self.is_eligible(now, endpoint) {
+            return false;
+        }
+        let Some(pending) = self.jobs.get(&id) else { return false };
+        let abandoned = pending.attempts.iter().any(|attempt| attempt.abandoned && attempt.endpoint == index);
+        !abandoned
+            && self.cycles[pending.cycle].admits(endpoint.listed.kind)
+            && self.retry_allowed(now, pending, pending.attempts.len(), endpoint)
+    }
+
+    /// Whether an attempt may be written now that its connection is up: until its first byte is written it
+    /// can be taken back, and then it never ran.
+    pub fn attempt_is_valid(&self, now: Micros, id: JobId, attempt: usize) -> bool {
+        let Some(pending) = self.jobs.get(&id) else { return false };
+        if now + self.settings.quantum >= pending.job.deadline {
+            return false;
+        }
+        let Some(sent) = pending.attempts.get(attempt).filter(|sent| sent.in_flight) else { return false };
+        let endpoint = &self.endpoints[sent.endpoint];
+        endpoint.is_ready
+            && endpoint.listed.started_at == sent.endpoint_started_at
+            && self.retry_allowed(now, pending, attempt, endpoint)
+    }
+
+    /// Whether a job may run at an endpoint after so many of its attempts.
+    fn retry_allowed(
+        &self,
+        now: Micros,
+        pending: &PendingJob,
+        attempts: usize,
+        endpoint: &EndpointState,
+    ) -> bool {
+        let possible_run = pending.attempts[..attempts].iter().find(|attempt| !attempt.never_ran);
+        let Some(first_run) = possible_run else { return true };
+        match self.settings.classes[pending.job.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::Keyed { scope, window } => {
+                let first = &self.endpoints[first_run.endpoint].listed;
+                let shares_keys = match scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => first.zone == endpoint.listed.zone,
+                    DeduplicationScope::Cell => first.cell == endpoint.listed.cell,
+                };
+                shares_keys && now < first_run.sent_at + window
+            }
+        }
+    }
+
+    /// Sets the time by which an attempt that was sent now has to start, where cancelling it does no harm.
+    pub(super) fn set_start_timeout(&mut self, now: Micros, id: JobId, class: usize, attempt: usize) {
+        let class = &self.settings.classes[class];
+        let capabilities = &self.settings.capabilities;
+        let cancel_frees = capabilities.may_cancel && capabilities.cancel_frees_slot;
+        let is_idempotent = class.idempotency == Idempotency::Idempotent;
+        if !self.settings.reports_start || !cancel_frees || !is_idempotent {
+            return;
+        }
+        let is_quick = self.settings.is_large_fleet() && attempt < QUICK_ATTEMPTS;
+        let timeout = class.latency_objective / if is_quick { QUICK_START_DIVISOR } else { 1 };
+        self.timers.set(now + timeout, Timer::StartTimeout { job: id, attempt });
+    }
+
+    /// An attempt that has not started in time waits behind others, or its connection or endpoint is silent.
+    /// Guards against a wait to the deadline: it is cancelled and the job goes on.
+    pub(super) fn on_start_timeout(&mut self, now: Micros, id: JobId, number: usize, out: &mut Vec<Action>) {
+        let Some(pending) = self.jobs.get_mut(&id).filter(|pending| !pending.streaming) else { return };
+        let has_other_endpoints = self.cycles[pending.cycle].order.len() > 1;
+        let has_attempts_left = pending.attempts.len() < self.settings.capabilities.max_attempts;
+        if !has_other_endpoints || !has_attempts_left {
+            return;
+        }
+        let attempt = pending.attempts.get_mut(number);
+        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight && !attempt.started) else { return };
+        self.endpoints[attempt.endpoint].release_unstarted(attempt, id, number, pending.job.slots);
+        attempt.abandoned = true;
+        pending.wait_again();
+        out.push(Action::Cancel { job: id, attempt: number });
+        self.try_next_endpoint(now, id, out);
+    }
+
+    /// Has a job go on of which an attempt has ended without an answer, unless others are in flight.
+    pub(super) fn retry_or_answer(
+        &mut self,
+        now: Micros,
+        id: JobId,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.jobs.get_mut(&id) else { return };
+        if pending.is_waiting || pending.attempts.iter().any(|attempt| attempt.in_flight) {
+            return;
+        }
+        // Guards against one bad job that is sent to endpoint after endpoint.
+        if outcome == Outcome::Unfit {
+            out.push(Action::Fail { job: id });
+            return self.forget_job(id, out);
+        }
+        let idempotency = self.settings.classes[pending.job.class].idempotency;
+        let must_not_rerun =
+            idempotency == Idempotency::NotIdempotent && pending.first_possible_run().is_some();
+        let no_attempts_left = pending.attempts.len() >= self.settings.capabilities.max_attempts;
+        let no_time_left = now + self.settings.quantum >= pending.job.deadline;
+        if must_not_rerun || no_attempts_left || no_time_left {
+            self.give_up(id, out);
+        } else {
+            pending.wait_again();
+            self.try_next_endpoint(now, id, out);
+        }
+    }
+
+    /// Ends a job unserved: by a rejection where its client may repeat it without harm, else by a failure.
+    pub(super) fn give_up(&mut self, id: JobId, out: &mut Vec<Action>) {
+        let Some(pending) = self.jobs.get(&id) else { return };
+        let may_repeat = match self.settings.classes[pending.job.class].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+            Idempotency::Keyed { .. } | Idempotency::NotIdempotent => pending.first_possible_run().is_none(),
+        };
+        out.push(if may_repeat {
+            Action::Reject { job: id, retry_after: RETRY_AFTER }
+        } else {
+            Action::Fail { job: id }
+        });
+        self.forget_job(id, out);
+    }
+
+    /// Forgets a job that is over and cancels its attempts that are still in flight.
+    pub(super) fn forget_job(&mut self, id: JobId, out: &mut Vec<Action>) {
+        let Some(mut pending) = self.jobs.remove(&id) else { return };
+        self.held_jobs.remove(pending.held_key, id);
+        for (number, attempt) in pending.attempts.iter_mut().enumerate() {
+            if !attempt.in_flight {
+                continue;
+            }
+            self.endpoints[attempt.endpoint].release(attempt, id, number, pending.job.slots);
+            if self.settings.capabilities.may_cancel {
+                out.push(Action::Cancel { job: id, attempt: number });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/routing/slow_start.rs
@@ -0,0 +1,60 @@
+//! Slow start: an endpoint that has just started gets jobs in proportion to the capacity that it has already.
+//!
+//! Each of its turns adds to its tokens, and a job costs one. It gets its part of what there is to do,
+//! however unlike dispatchers are.
+
+use super::endpoint_state::{EndpointIndex, EndpointState};
+use super::router::Router;
+use super::spread::pair_point;
+use super::types::{EndpointId, Micros};
+
+/// Part of a turn's tokens that is left out for a warm endpoint; in proportion less for a colder one.
+const TOKEN_MARGIN: f64 = 0.2;
+/// Most tokens that an endpoint saves, in jobs: a little over one job, so that none comes in bursts.
+const MAX_TOKENS: f64 = 1.5;
+
+/// Tokens that an endpoint has as it is first met, in jobs. Spread over dispatchers by their numbers: drawn,
+/// all of a fleet that starts at once would now and then have much of it together.
+pub(super) fn initial_tokens(dispatcher: u32, endpoint: EndpointId) -> f64 {
+    pair_point(dispatcher, endpoint.0)
+}
+
+/// What a turn of an endpoint adds to its tokens, in jobs: its slow-start fraction, less a margin that grows
+/// with it. The warmer it is, the less of its bound is left for chance, while jobs come faster than all
+/// endpoints can do.
+fn tokens_per_turn(slow_start_fraction: f64) -> f64 {
+    slow_start_fraction * (1.0 - TOKEN_MARGIN * slow_start_fraction)
+}
+
+impl Router {
+    /// The part of its capacity that an endpoint has for sure, from 0 to 1: it grows evenly from the start.
+    pub(super) fn slow_start_fraction(&self, now: Micros, endpoint: &EndpointState) -> f64 {
+        let rules = &self.settings.rules;
+        let started_at = endpoint.listed.started_at;
+        if started_at == 0 {
+            return 1.0;
+        }
+        let age = now.saturating_sub(started_at) as f64 / rules.warm_up.max(1) as f64;
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * age).min(1.0)
+    }
+
+    /// Whether an endpoint has all of its capacity.
+    pub(super) fn is_warm(&self, now: Micros, endpoint: &EndpointState) -> bool {
+        self.slow_start_fraction(now, endpoint) == 1.0
+    }
+
+    /// Adds the tokens of one turn.
+    pub(super) fn add_turn_tokens(&mut self, now: Micros, endpoint: EndpointIndex) {
+        let fraction = self.slow_start_fraction(now, &self.endpoints[endpoint]);
+        let tokens = &mut self.endpoints[endpoint].slow_start_tokens;
+        *tokens = (*tokens + tokens_per_turn(fraction)).min(MAX_TOKENS);
+    }
+
+    /// Whether an endpoint may be given a job now: listed as ready, not ejected, and, while it warms up, with
+    /// a token saved for it.
+    pub(super) fn is_eligible(&self, now: Micros, endpoint: &EndpointState) -> bool {
+        let is_ejected = endpoint.ejected_until > now;
+        let has_token = endpoint.slow_start_tokens >= 1.0;
+        endpoint.is_ready && !is_ejected && (has_token || self.is_warm(now, endpoint))
+    }
+}
--- a/src/routing/types.rs
+++ b/src/routing/types.rs
@@ -44,12 +44,14 @@
 }
 
 impl Settings {
-    /// Dispatchers beyond which what the others do between two reports of a worker outweighs what a report says.
+    /// Dispatchers beyond which what the others do between two reports of a worker outweighs what a report
+    /// says.
     pub const LARGE_FLEET: u32 = 16;
     /// Time that discovery has for one call, of all dispatchers together.
     pub const POLL_COST: Micros = 80_000;
-    /// A change of the list counts as told so long after discovery had it and could be reached, whatever call failed:
-    /// the period in which each of many dispatchers calls once. Discovery gets through the calls of all in little more.
+    /// A change of the list counts as told so long after discovery had it and could be reached, whatever
+    /// call failed: the period in which each of many dispatchers calls once. Discovery gets through the
+    /// calls of all in little more.
     pub const NOTIFICATION_BOUND: Micros = 6_000_000;
     /// Whether dispatchers are many.
     pub fn is_large_fleet(&self) -> bool {
--- a/src/routing/warm_state.rs
+++ b/src/routing/warm_state.rs
@@ -1,142 +1,150 @@
-//! What a dispatcher has learned, handed from a process to the one that replaces it. It decides nothing: what is
-//! recalled counts as if it had been seen here, and fades by the same clocks.
+//! What a dispatcher has learned, handed from a process to the one that replaces it. It decides nothing: what
+//! is restored counts as if it had been seen here, and fades by the same clocks.
 //!
-//! The ids of workers are made of their names, alike in both processes; a worker that has started anew since is not
-//! the one that was known.
+//! The ids of endpoints are made of their names, alike in both processes; an endpoint that has started anew
+//! since is not the one that was known. The order and the types of all fields here are a stored format.
 
 use serde::{Deserialize, Serialize};
 
+use super::MAX_ENDPOINTS;
+use super::endpoint_state::EndpointState;
 use super::router::Router;
-use super::state::{KindEstimate, ServiceTime};
-use super::types::{EndpointId, Job, Micros};
+use super::service_time::{KindEstimate, ServiceTime};
+use super::types::{EndpointId, Micros};
 
-/// Most workers, kinds, zones and classes that are recalled: as many as the server table holds.
-const MOST: usize = crate::core::MAX_ENDPOINTS;
-
-/// What was learned of one worker.
+/// What was learned of one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct EndpointWarmState {
     id: u64,
-    born: Micros,
+    started_at: Micros,
     /// What it may be sent while it warms up, in jobs.
-    budget: f64,
-    pace: ServiceTime,
-    lag: f64,
-    lag_at: Micros,
-    slowness: f64,
-    failures: u32,
-    rest: Micros,
+    slow_start_tokens: f64,
+    service_time: ServiceTime,
+    queue_wait: f64,
+    queue_wait_at: Micros,
+    latency_ratio: f64,
+    consecutive_failures: u32,
+    ejected_until: Micros,
 }
 
 /// All that was learned. Times are microseconds of the clock that both processes read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmState {
-    run: f64,
-    usual: Vec<f64>,
-    pace: ServiceTime,
-    lag: f64,
-    seen: Micros,
-    typical: f64,
-    pressure: f64,
-    prompt: Vec<f64>,
+    mean_run: f64,
+    mean_work: Vec<f64>,
+    service_time: ServiceTime,
+    queue_wait: f64,
+    queue_wait_at: Micros,
+    typical_excess: f64,
+    held_per_size: f64,
+    probe_latency: Vec<f64>,
     kinds: Vec<KindEstimate>,
-    workers: Vec<EndpointWarmState>,
+    endpoints: Vec<EndpointWarmState>,
 }
 
-impl WarmState {
-    /// Whether it can be true of these classes: each figure is one, and none is negative that cannot be.
-    fn holds(&self, classes: usize) -> bool {
-        let figure = |f: f64| f.is_finite() && f >= 0.0;
-        let lists = [self.usual.len(), self.prompt.len(), self.kinds.len(), self.workers.len()];
-        let workers = self
-            .workers
-            .iter()
-            .all(|w| w.budget.is_finite() && figure(w.lag) && figure(w.slowness) && w.pace.holds());
-        lists.iter().all(|&n| n <= MOST)
-            && self.usual.len() == classes
-            && self
-                .usual
-                .iter()
-                .chain(&self.prompt)
-                .chain([&self.run, &self.lag, &self.pressure])
-                .all(|&f| figure(f))
-            && self.run >= 1.0
-            && self.typical.is_finite()
-            && self.pace.holds()
-            && self.kinds.iter().all(KindEstimate::holds)
-            && workers
-    }
+fn is_figure(figure: f64) -> bool {
+    figure.is_finite() && figure >= 0.0
 }
 
-impl Router {
-    /// Whether a worker is given no turns now: draining, off the list, or resting after failures.
-    pub fn is_unavailable(&self, now: Micros, worker: EndpointId) -> bool {
-        self.index.get(&worker).is_none_or(|&i| !self.workers[i].ready || self.workers[i].rest > now)
+impl EndpointWarmState {
+    fn of(endpoint: &EndpointState) -> EndpointWarmState {
+        EndpointWarmState {
+            id: endpoint.listed.id.0,
+            started_at: endpoint.listed.started_at,
+            slow_start_tokens: endpoint.slow_start_tokens,
+            service_time: endpoint.service_time,
+            queue_wait: endpoint.queue_wait,
+            queue_wait_at: endpoint.queue_wait_at,
+            latency_ratio: endpoint.latency_ratio,
+            consecutive_failures: endpoint.consecutive_failures,
+            ejected_until: endpoint.ejected_until,
+        }
     }
 
-    /// The work that a job is, as far as can be told.
-    pub(crate) fn work(&self, job: &Job) -> f64 {
-        job.work.map_or(self.usual[job.class], |work| work as f64)
+    fn is_valid(&self) -> bool {
+        self.slow_start_tokens.is_finite()
+            && is_figure(self.queue_wait)
+            && is_figure(self.latency_ratio)
+            && self.service_time.is_valid()
     }
+}
 
-    /// Time that a worker takes for a unit of work: as its kind does until its own runs say otherwise.
-    pub(crate) fn pace(&self, i: usize) -> f64 {
-        let w = &self.workers[i];
-        let kind = &self.kinds[usize::from(w.member.kind)];
-        w.pace.beside(kind.pace.beside(self.pace.beside(1.0, self.run), self.run * 2.0), self.run * 3.0)
+impl WarmState {
+    /// Whether it can be true of so many classes: each figure is one, and none is negative that cannot be.
+    /// Bounds its lists too, by what a list of endpoints may hold.
+    fn is_valid(&self, classes: usize) -> bool {
+        let lens = [self.mean_work.len(), self.probe_latency.len(), self.kinds.len(), self.endpoints.len()];
+        let lists = self.mean_work.iter().chain(&self.probe_latency);
+        let means = [&self.mean_run, &self.queue_wait, &self.held_per_size];
+        lens.iter().all(|&len| len <= MAX_ENDPOINTS)
+            && self.mean_work.len() == classes
+            && lists.chain(means).all(|&figure| is_figure(figure))
+            && self.mean_run >= 1.0
+            && self.typical_excess.is_finite()
+            && self.service_time.is_valid()
+            && self.kinds.iter().all(KindEstimate::is_valid)
+            && self.endpoints.iter().all(EndpointWarmState::is_valid)
     }
+}
 
+impl Router {
     /// What it has learned so far.
     pub fn warm_state(&self) -> WarmState {
-        let workers = self.workers.iter().filter(|w| w.ready).take(MOST).map(|w| EndpointWarmState {
-            id: w.member.id.0,
-            born: w.member.started_at,
-            budget: w.budget,
-            pace: w.pace,
-            lag: w.lag,
-            lag_at: w.lag_at,
-            slowness: w.slowness,
-            failures: w.failures,
-            rest: w.rest,
-        });
+        let ready = self.endpoints.iter().filter(|endpoint| endpoint.is_ready);
+        let estimates = &self.estimates;
         WarmState {
-            run: self.run,
-            usual: self.usual.clone(),
-            pace: self.pace,
-            lag: self.lag,
-            seen: self.seen,
-            typical: self.typical,
-            pressure: self.pressure,
-            prompt: self.prompt.clone(),
-            kinds: self.kinds.clone(),
-            workers: workers.collect(),
+            mean_run: estimates.mean_run,
+            mean_work: estimates.mean_work.clone(),
+            service_time: estimates.service_time,
+            queue_wait: estimates.queue_wait,
+            queue_wait_at: estimates.queue_wait_at,
+            typical_excess: estimates.typical_excess,
+            held_per_size: estimates.held_per_size,
+            probe_latency: estimates.probe_latency.clone(),
+            kinds: estimates.kinds.clone(),
+            endpoints: ready.take(MAX_ENDPOINTS).map(EndpointWarmState::of).collect(),
         }
     }
 
-    /// Takes over what the process before has learned. False, and nothing is changed, where it cannot be true here.
+    /// Takes over what the process before has learned. False, and nothing is changed, where it cannot be true
+    /// here.
     pub fn restore(&mut self, now: Micros, learned: WarmState) -> bool {
-        if !learned.holds(self.usual.len()) {
+        if !learned.is_valid(self.estimates.mean_work.len()) {
             return false;
         }
-        for known in learned.workers {
-            let at = self.index.get(&EndpointId(known.id)).copied();
-            let Some(w) = at.map(|at| &mut self.workers[at]).filter(|w| w.member.started_at == known.born)
-            else {
-                continue;
-            };
-            // Both send for a moment: one that warms up has what it was owed once, not twice.
-            w.budget = known.budget.min(w.budget);
-            (w.pace, w.slowness, w.failures) = (known.pace, known.slowness, known.failures);
-            // The clocks of two processes may be a little apart.
-            (w.lag, w.lag_at) = (known.lag, known.lag_at.min(now));
-            w.rest = known.rest.min(now + self.run as Micros * 16);
+        for known in &learned.endpoints {
+            self.restore_endpoint(now, known);
         }
-        let kinds = self.kinds.len().max(learned.kinds.len());
-        self.kinds = learned.kinds;
-        self.kinds.resize_with(kinds, KindEstimate::default);
-        (self.run, self.usual, self.pace) = (learned.run, learned.usual, learned.pace);
-        (self.lag, self.seen) = (learned.lag, learned.seen.min(now));
-        (self.typical, self.pressure, self.prompt) = (learned.typical, learned.pressure, learned.prompt);
+        let estimates = &mut self.estimates;
+        let kinds = estimates.kinds.len().max(learned.kinds.len());
+        estimates.kinds = learned.kinds;
+        estimates.kinds.resize_with(kinds, KindEstimate::default);
+        estimates.mean_run = learned.mean_run;
+        estimates.mean_work = learned.mean_work;
+        estimates.service_time = learned.service_time;
+        estimates.queue_wait = learned.queue_wait;
+        estimates.queue_wait_at = learned.queue_wait_at.min(now);
+        estimates.typical_excess = learned.typical_excess;
+        estimates.held_per_size = learned.held_per_size;
+        estimates.probe_latency = learned.probe_latency;
         true
     }
+
+    fn restore_endpoint(&mut self, now: Micros, known: &EndpointWarmState) {
+        let Some(&index) = self.endpoint_index.get(&EndpointId(known.id)) else { return };
+        if self.endpoints[index].listed.started_at != known.started_at {
+            return;
+        }
+        let ejected_until = self.restored_ejection(now, known.ejected_until);
+        let endpoint = &mut self.endpoints[index];
+        // Both processes send for a moment: one that warms up has what it was owed once, not twice.
+        endpoint.slow_start_tokens = known.slow_start_tokens.min(endpoint.slow_start_tokens);
+        endpoint.service_time = known.service_time;
+        endpoint.latency_ratio = known.latency_ratio;
+        endpoint.consecutive_failures = known.consecutive_failures;
+        endpoint.queue_wait = known.queue_wait;
+        // The clocks of two processes may be a little apart.
+        endpoint.queue_wait_at = known.queue_wait_at.min(now);
+        endpoint.ejected_until = ejected_until;
+    }
 }
