--- a/src/routing/types.rs
+++ b/src/routing/types.rs
@@ -6,7 +6,7 @@
 /// A time or a span, in microseconds.
 pub type Micros = u64;
 
-/// A worker, under an id that survives restarts of its process. Ids are only compared.
+/// An endpoint, under an id that survives restarts of its process. Ids are only compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
@@ -27,9 +27,9 @@
     pub quantum: Micros,
     /// The classes of jobs; a job names one by its index.
     pub classes: Vec<Class>,
-    /// True where listed sizes fall as a worker fills up, so that only their highest tells its speed.
+    /// True where listed sizes fall as an endpoint fills up, so that only their highest tells its speed.
     pub live_sizes: bool,
-    /// True where the worker list has to be subscribed to.
+    /// True where the endpoint list has to be subscribed to.
     pub must_subscribe: bool,
     /// What is allowed.
     pub capabilities: Capabilities,
@@ -37,14 +37,14 @@
     pub zones_cost: bool,
     /// Figures of the rules.
     pub rules: ServiceRules,
-    /// True where workers tell when a job starts.
+    /// True where endpoints tell when a job starts.
     pub reports_start: bool,
-    /// True where workers report their load. Without, a probe tells nothing that a job would not.
+    /// True where endpoints report their load. Without, a probe tells nothing that a job would not.
     pub reports_load: bool,
 }
 
 impl Settings {
-    /// Dispatchers beyond which what the others do between two reports of a worker outweighs what a report
+    /// Dispatchers beyond which what the others do between two reports of an endpoint outweighs what a report
     /// says.
     pub const LARGE_FLEET: u32 = 16;
     /// Time that discovery has for one call, of all dispatchers together.
@@ -58,12 +58,12 @@
         self.dispatchers > Settings::LARGE_FLEET
     }
 
-    /// Whether what a worker reports, if anything, says little of what it holds now.
+    /// Whether what an endpoint reports, if anything, says little of what it holds now.
     pub fn stale_reports(&self) -> bool {
         self.is_large_fleet() || self.lacks_load_reports()
     }
 
-    /// Whether own starts and ends are the only evidence of what workers hold.
+    /// Whether own starts and ends are the only evidence of what endpoints hold.
     pub fn lacks_load_reports(&self) -> bool {
         self.reports_start && !self.reports_load
     }
@@ -72,7 +72,7 @@
 /// A class of jobs.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// How long a job may wait for its worker and still be in time.
+    /// How long a job may wait for its endpoint and still be in time.
     pub latency_objective: Micros,
     /// The aim grows by this multiple of the job's own work.
     pub stretch: f64,
@@ -82,7 +82,7 @@
     pub late_value: f64,
     /// Whether it may run twice.
     pub idempotency: Idempotency,
-    /// The one kind of worker that runs it; none: any.
+    /// The one kind of endpoint that runs it; none: any.
     pub kind: Option<u16>,
 }
 
@@ -91,9 +91,9 @@
 pub enum Idempotency {
     /// Any number of times.
     Idempotent,
-    /// Only within a group of workers that drops repeats, and only for a time from the first such attempt.
+    /// Only within a group of endpoints that drops repeats, and only for a time from the first such attempt.
     Keyed {
-        /// Which workers drop each other's repeats.
+        /// Which endpoints drop each other's repeats.
         scope: DeduplicationScope,
         /// For how long.
         window: Micros,
@@ -102,14 +102,14 @@
     NotIdempotent,
 }
 
-/// A group of workers that drops repeats of a keyed job.
+/// A group of endpoints that drops repeats of a keyed job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All workers.
+    /// All endpoints.
     All,
-    /// The workers of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// The workers of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
@@ -129,20 +129,20 @@
 /// Figures of the rules that a dispatcher keeps.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceRules {
-    /// Part of its capacity that a worker has when it starts.
+    /// Part of its capacity that an endpoint has when it starts.
     pub initial_capacity: f64,
     /// Time by which it has all of it.
     pub warm_up: Micros,
-    /// Multiple of its present capacity that pushes a cold worker over.
+    /// Multiple of its present capacity that pushes a cold endpoint over.
     pub overload_multiple: f64,
     /// Where the list must be subscribed to: the time within which it must be asked.
     pub poll_within: Micros,
 }
 
-/// A line of the worker list.
+/// A line of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// Which worker.
+    /// Which endpoint.
     pub id: EndpointId,
     /// Its kind.
     pub kind: u16,
@@ -158,7 +158,7 @@
     pub status: EndpointStatus,
 }
 
-/// State of a worker on the list.
+/// State of an endpoint on the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
     /// Takes work.
@@ -185,7 +185,7 @@
     pub work: Option<Micros>,
 }
 
-/// A worker's own figures; what is not reported is `None`.
+/// An endpoint's own figures; what is not reported is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Slots free.
@@ -201,11 +201,11 @@
 pub enum Outcome {
     /// Answered.
     Served,
-    /// The worker answered with an error; it may have run.
+    /// The endpoint answered with an error; it may have run.
     Error,
     /// Turned away unseen; it never ran.
     Full,
-    /// The worker cannot use the job itself: another would not either.
+    /// The endpoint cannot use the job itself: another would not either.
     Unfit,
     /// No answer in time; it may have run or be running.
     TimedOut,
@@ -235,7 +235,7 @@
     pub job: JobId,
     /// Number of the attempt, from 0 in order of `Send`.
     pub attempt: usize,
-    /// The worker.
+    /// The endpoint.
     pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
@@ -243,14 +243,14 @@
     pub latency: Micros,
     /// The job is over: answered by this outcome or before.
     pub finished: bool,
-    /// The worker's figures.
+    /// The endpoint's figures.
     pub report: LoadReport,
 }
 
 /// What a dispatcher is told.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// The whole list; workers absent from it are gone.
+    /// The whole list; endpoints absent from it are gone.
     List(&'a [Endpoint]),
     /// Lines of the list that have changed.
     Changes(&'a [Endpoint]),
@@ -264,7 +264,7 @@
     ClientLeft(JobId),
     /// An attempt has ended.
     Ended(AttemptEnd),
-    /// An attempt's job has been started by its worker.
+    /// An attempt's job has been started by its endpoint.
     Started {
         /// The job.
         job: JobId,
@@ -275,13 +275,13 @@
     Streaming(JobId),
     /// A probe has come back.
     Probed {
-        /// The worker.
+        /// The endpoint.
         endpoint: EndpointId,
         /// It answered.
         answered: bool,
         /// Time since it was sent.
         latency: Micros,
-        /// The worker's figures.
+        /// The endpoint's figures.
         report: LoadReport,
     },
     /// The time asked for by `WakeAt` has come.
@@ -291,11 +291,11 @@
 /// What a dispatcher decides.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the next attempt of a job to a worker.
+    /// Send the next attempt of a job to an endpoint.
     Send {
         /// The job.
         job: JobId,
-        /// The worker.
+        /// The endpoint.
         endpoint: EndpointId,
     },
     /// Call an attempt off.
@@ -317,12 +317,12 @@
         /// The job.
         job: JobId,
     },
-    /// Probe a worker.
+    /// Probe an endpoint.
     Probe {
-        /// The worker.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Subscribe to the worker list.
+    /// Subscribe to the endpoint list.
     Subscribe,
     /// Call `handle` with `Event::Wake` at this time. A later `WakeAt` does not withdraw an earlier one.
     WakeAt(Micros),
