--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -3,12 +3,10 @@
 
 use rustc_hash::FxHashMap;
 
+/// Most endpoints that are remembered. A line beyond it is counted and told in the log.
+pub use crate::routing::MAX_ENDPOINTS;
 use crate::routing::{Endpoint, EndpointId, EndpointStatus};
 
-/// Most endpoints that are remembered: twice the largest fleet that is planned for. A line beyond it is counted and told
-/// in the log.
-pub const MAX_ENDPOINTS: usize = 32_768;
-
 /// An endpoint as a frontend reads it from the list.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
