--- a/src/bin/micabeam-adapter/main.rs
+++ b/src/bin/micabeam-adapter/main.rs
@@ -79,14 +79,7 @@
         }
         let id = r.u32()?;
         match code {
-            1 => {
-                let seed = r.u64()?;
-                let length = r.u32()? as usize;
-                let site = Site::parse(r.bytes(length)?).map_err(|e| e.to_string())?;
-                let dispatcher = Router::new(site.settings.clone(), seed);
-                self.instances.insert(id, Instance { dispatcher, site });
-                return Ok(());
-            }
+            1 => return self.start(id, r),
             10 => {
                 self.instances.remove(&id);
                 return Ok(());
@@ -97,44 +90,10 @@
             return Ok(()); // not running: nothing can be owed for it
         };
         let event = match code {
-            2 => {
-                let kind = r.u8()?;
-                let _revision = r.u64()?;
-                let number = usize::from(r.u16()?);
-                if kind == 3 {
-                    Event::ListFailed
-                } else {
-                    let list = self.lists.get(number).and_then(Option::as_deref);
-                    let list = list.ok_or_else(|| format!("refers to list {number}, which was not sent"))?;
-                    match kind {
-                        0 => Event::Changes(list),
-                        1 => Event::List(list),
-                        2 => Event::Cached(list),
-                        _ => return Err(format!("unknown kind of view {kind}")),
-                    }
-                }
-            }
+            2 => list_event(r, &self.lists)?,
             3 => Event::Job(job(r)?),
             4 => Event::Streaming(JobId(r.u64()?)),
-            5 => {
-                let job = JobId(r.u64()?);
-                let attempt = usize::from(r.u16()?);
-                let worker = worker(r)?;
-                let outcome = outcome(r.u16()?);
-                let latency = r.u32()?.into();
-                let finished = r.u8()? != 0;
-                let _remark = r.u32()?;
-                let report = report(r, &instance.site)?;
-                Event::Ended(AttemptEnd {
-                    job,
-                    attempt,
-                    endpoint: worker,
-                    outcome,
-                    latency,
-                    finished,
-                    report,
-                })
-            }
+            5 => Event::Ended(attempt_end(r, &instance.site)?),
             6 => Event::ClientLeft(JobId(r.u64()?)),
             7 => Event::Wake,
             8 => Event::Probed {
@@ -161,6 +120,16 @@
         Ok(())
     }
 
+    /// Starts a dispatcher; one of the same number is replaced.
+    fn start(&mut self, id: u32, r: &mut Reader) -> Result<(), String> {
+        let seed = r.u64()?;
+        let length = r.u32()? as usize;
+        let site = Site::parse(r.bytes(length)?).map_err(|e| e.to_string())?;
+        let dispatcher = Router::new(site.settings.clone(), seed);
+        self.instances.insert(id, Instance { dispatcher, site });
+        Ok(())
+    }
+
     fn list(&mut self, r: &mut Reader) -> Result<(), String> {
         let number = usize::from(r.u16()?);
         let count = r.u32()?;
@@ -175,6 +144,37 @@
     }
 }
 
+/// A dispatcher's view of the list of endpoints: which of the lists sent before, and how it is to be taken.
+fn list_event<'a>(r: &mut Reader, lists: &'a [Option<Vec<Endpoint>>; LISTS]) -> Result<Event<'a>, String> {
+    let kind = r.u8()?;
+    let _revision = r.u64()?;
+    let number = usize::from(r.u16()?);
+    if kind == 3 {
+        return Ok(Event::ListFailed);
+    }
+    let list = lists.get(number).and_then(Option::as_deref);
+    let list = list.ok_or_else(|| format!("refers to list {number}, which was not sent"))?;
+    match kind {
+        0 => Ok(Event::Changes(list)),
+        1 => Ok(Event::List(list)),
+        2 => Ok(Event::Cached(list)),
+        _ => Err(format!("unknown kind of view {kind}")),
+    }
+}
+
+/// The end of an attempt.
+fn attempt_end(r: &mut Reader, site: &Site) -> Result<AttemptEnd, String> {
+    let job = JobId(r.u64()?);
+    let attempt = usize::from(r.u16()?);
+    let endpoint = worker(r)?;
+    let outcome = outcome(r.u16()?);
+    let latency = r.u32()?.into();
+    let finished = r.u8()? != 0;
+    let _remark = r.u32()?;
+    let report = report(r, site)?;
+    Ok(AttemptEnd { job, attempt, endpoint, outcome, latency, finished, report })
+}
+
 fn worker(r: &mut Reader) -> Result<EndpointId, String> {
     Ok(EndpointId(u64::from(r.u32()?) << 16 | u64::from(r.u16()?)))
 }
@@ -233,14 +233,14 @@
         Action::WakeAt(at) => reply.record(1, |w| w.u32(instance).u32(span(at.saturating_sub(now))).u32(0)),
         Action::Subscribe => reply.record(2, |w| w.u32(instance).u8(1)),
         Action::Reject { job, retry_after } => {
-            reply.record(5, |w| w.u32(instance).u64(job.0).u32(span(*retry_after)))
+            reply.record(5, |w| w.u32(instance).u64(job.0).u32(span(*retry_after)));
         }
         Action::Cancel { job, attempt } => {
-            reply.record(7, |w| w.u32(instance).u64(job.0).u16(*attempt as u16))
+            reply.record(7, |w| w.u32(instance).u64(job.0).u16(*attempt as u16));
         }
         // No time-out of its own: the attempt may take until the client quits.
         Action::Send { job, endpoint: worker } => {
-            reply.record(8, |w| w.u32(instance).u64(job.0).worker(worker.0).u32(0))
+            reply.record(8, |w| w.u32(instance).u64(job.0).worker(worker.0).u32(0));
         }
         Action::Fail { job } => reply.record(10, |w| w.u32(instance).u64(job.0)),
         Action::Probe { endpoint: worker } => reply.record(11, |w| w.u32(instance).worker(worker.0)),
--- a/src/flow/admission.rs
+++ b/src/flow/admission.rs
@@ -54,6 +54,9 @@
     }
 
     /// Takes a stream in, unless a bound is reached. Each that was taken in is to be given back by `leave`.
+    ///
+    /// # Errors
+    /// Where the bound on all streams, or on those of the tenant, is reached.
     pub fn enter(&mut self, tenant: &str) -> Result<(), Full> {
         if self.total >= self.bounds.total {
             return Err(Full::Total);
--- a/src/frontend/gearman/admin.rs
+++ b/src/frontend/gearman/admin.rs
@@ -1,6 +1,7 @@
 //! The administrative protocol: lines of text.
 
 use super::GearmanFrontend;
+use super::workers::Worker;
 use crate::frontend::Sockets;
 use crate::net::ConnId;
 
@@ -24,7 +25,7 @@
         let mut out = String::new();
         for (at, function) in self.config.functions.iter().enumerate() {
             let all = self.jobs.values().filter(|j| j.function == at).count();
-            let running = workers().flat_map(|w| w.running());
+            let running = workers().flat_map(Worker::running);
             let running = running.filter(|s| self.jobs.get(s).is_some_and(|j| j.function == at)).count();
             let able = workers().filter(|w| w.takes_work() && w.functions().any(|f| f == at)).count();
             let name = String::from_utf8_lossy(&function.name);
@@ -43,7 +44,7 @@
             let name = if peer.id.is_empty() { "-".into() } else { String::from_utf8_lossy(&peer.id) };
             let address = peer.address.map_or("-".to_string(), |a| a.to_string());
             out.push_str(&format!("{id} {address} {name} :"));
-            for function in peer.worker.iter().flat_map(|w| w.functions()) {
+            for function in peer.worker.iter().flat_map(Worker::functions) {
                 out.push(' ');
                 out.push_str(&String::from_utf8_lossy(&self.config.functions[function].name));
             }
--- a/src/frontend/gearman/clients.rs
+++ b/src/frontend/gearman/clients.rs
@@ -51,7 +51,7 @@
     fn status(&self, session: Option<JobId>) -> [Vec<u8>; 4] {
         let digit = |flag: bool| vec![b'0' + u8::from(flag)];
         let job = session.and_then(|session| self.jobs.get(&session));
-        let (done, all) = job.map(|j| j.progress.clone()).unwrap_or((vec![b'0'], vec![b'0']));
+        let (done, all) = job.map_or((vec![b'0'], vec![b'0']), |j| j.progress.clone());
         [digit(job.is_some()), digit(job.is_some_and(|j| j.assigned)), done, all]
     }
 
@@ -71,20 +71,8 @@
         let key = (!unique.is_empty()).then(|| (number, unique.to_vec()));
         // Guards against a second run: a client that left and submits the same job again joins the one that
         // runs, or gets the answer that it missed.
-        match key.as_ref().and_then(|key| self.record.get(key)).cloned() {
-            Some(Entry::Running(session)) => {
-                self.put(net, id, answer(kind::JOB_CREATED, &[Self::handle(session).as_bytes()]));
-                return self.listen(session, id);
-            }
-            Some(Entry::Over { handle, answer: last }) => {
-                self.put(net, id, answer(kind::JOB_CREATED, &[handle.as_bytes()]));
-                let packet = match &last {
-                    Answer::Complete(result) => answer(kind::WORK_COMPLETE, &[handle.as_bytes(), result]),
-                    Answer::Failed => answer(kind::WORK_FAIL, &[handle.as_bytes()]),
-                };
-                return self.put(net, id, packet);
-            }
-            None => {}
+        if let Some(entry) = key.as_ref().and_then(|key| self.record.get(key)).cloned() {
+            return self.join(net, id, entry);
         }
         let now = self.core.clock().now();
         if key.is_some() && !self.record.make_room(now) {
@@ -99,16 +87,7 @@
         };
         match self.core.submit(request) {
             Ok(session) => {
-                let job = Job {
-                    function: number,
-                    unique: unique.to_vec(),
-                    key: key.clone(),
-                    data: data.to_vec(),
-                    listeners: Vec::new(),
-                    assigned: false,
-                    progress: (vec![b'0'], vec![b'0']),
-                };
-                self.jobs.insert(session, job);
+                self.jobs.insert(session, Job::new(number, unique, key.clone(), data));
                 if let Some(key) = key {
                     self.record.run(key, session);
                 }
@@ -124,6 +103,24 @@
         }
     }
 
+    /// Answers a submission whose job is on record: the client joins the run, or gets the answer that is kept.
+    fn join(&mut self, net: &mut Sockets, id: ConnId, entry: Entry) {
+        match entry {
+            Entry::Running(session) => {
+                self.put(net, id, answer(kind::JOB_CREATED, &[Self::handle(session).as_bytes()]));
+                self.listen(session, id);
+            }
+            Entry::Over { handle, answer: last } => {
+                self.put(net, id, answer(kind::JOB_CREATED, &[handle.as_bytes()]));
+                let packet = match &last {
+                    Answer::Complete(result) => answer(kind::WORK_COMPLETE, &[handle.as_bytes(), result]),
+                    Answer::Failed => answer(kind::WORK_FAIL, &[handle.as_bytes()]),
+                };
+                self.put(net, id, packet);
+            }
+        }
+    }
+
     fn listen(&mut self, session: JobId, id: ConnId) {
         if let (Some(job), Some(peer)) = (self.jobs.get_mut(&session), self.peers.get_mut(&id)) {
             // Each submission is owed an answer, also where one connection submits the same job twice.
@@ -143,7 +140,7 @@
     }
 
     /// Gives a session its final answer: to each of its clients, and to the record.
-    pub(super) fn answer(&mut self, net: &mut Sockets, session: JobId, verdict: FinalAnswer) {
+    pub(super) fn answer(&mut self, net: &mut Sockets, session: JobId, verdict: &FinalAnswer) {
         let Some(job) = self.jobs.remove(&session) else { return };
         let handle = Self::handle(session);
         let is_unsafe =
@@ -151,7 +148,7 @@
         // A safe job may make room at any time: it can run again.
         let keep = self.core.clock().now() + if is_unsafe { self.config.keep } else { 0.0 };
         if let Some(key) = &job.key {
-            match &verdict {
+            match verdict {
                 FinalAnswer::Served(result) => {
                     self.record.over(key, handle.clone(), Answer::Complete(result.clone()), keep);
                 }
@@ -167,7 +164,7 @@
             {
                 peer.waits.swap_remove(at);
             }
-            self.say(net, id, handle.as_bytes(), &verdict);
+            self.say(net, id, handle.as_bytes(), verdict);
             // It may have packets that were left unread until now.
             self.again.push_back(id);
         }
--- a/src/frontend/gearman/config.rs
+++ b/src/frontend/gearman/config.rs
@@ -5,7 +5,8 @@
 
 use super::identity::IdentityFiles;
 use crate::json::{JsonValue, field, number, text};
-use crate::settings::Site;
+use crate::routing::{Class, Settings};
+use crate::settings::{ClientClass, Site};
 
 /// A function that is offered.
 #[derive(Clone, Debug)]
@@ -41,8 +42,62 @@
     pub identity: Option<IdentityFiles>,
 }
 
+/// The functions that were read so far, with the kinds of workers that they name and a class each.
+#[derive(Default)]
+struct Offered {
+    functions: Vec<Function>,
+    kinds: Vec<String>,
+    classes: Vec<Class>,
+    client_classes: Vec<ClientClass>,
+}
+
+impl Offered {
+    /// Adds the function of a line.
+    fn add(&mut self, site: &Site, name: &str, line: &JsonValue) -> Result<(), String> {
+        if name.is_empty() || name.bytes().any(|b| b <= b' ') {
+            return Err(format!("function \"{name}\": a name has no blanks and is not empty"));
+        }
+        let class = text(line, "class").ok_or_else(|| format!("function {name}: no `class`"))?;
+        let at = site.client_classes.iter().position(|known| known.name == class);
+        let at = at.ok_or_else(|| format!("function {name}: the settings have no class {class}"))?;
+        let tenant = text(line, "tenant").unwrap_or("").to_string();
+        if !tenant.is_empty() && !site.tenants.contains(&tenant) {
+            return Err(format!("function {name}: the settings have no tenant {tenant}"));
+        }
+        let kind = self.kind(text(line, "kind").unwrap_or(name));
+        let mut class = site.settings.classes[at].clone();
+        class.kind = Some(u16::try_from(kind).map_err(|_| "too many kinds")?);
+        self.classes.push(class);
+        self.client_classes.push(site.client_classes[at].clone());
+        let wait = site.client_classes[at].max_wait_ms;
+        self.functions.push(Function { name: name.as_bytes().to_vec(), tenant, wait, kind });
+        Ok(())
+    }
+
+    /// The number of a kind of workers, which is added where it is new.
+    fn kind(&mut self, name: &str) -> usize {
+        self.kinds.iter().position(|known| known == name).unwrap_or_else(|| {
+            self.kinds.push(name.to_string());
+            self.kinds.len() - 1
+        })
+    }
+}
+
+/// Sets what this frontend needs whatever the settings say.
+fn set_for_gearman(settings: &mut Settings) {
+    // One dispatcher with a list of its own: workers connect to it, are not probed, and are all in its zone.
+    (settings.number, settings.dispatchers, settings.zone) = (0, 1, 0);
+    (settings.live_sizes, settings.must_subscribe, settings.zones_cost) = (false, false, false);
+    (settings.capabilities.may_probe, settings.reports_load, settings.reports_start) = (false, true, true);
+    // A job that has not started waits in this program, not at a worker.
+    (settings.capabilities.may_cancel, settings.capabilities.cancel_frees_slot) = (true, true);
+}
+
 impl Config {
     /// Reads the file; the settings are its own or, without such, the deployment's.
+    ///
+    /// # Errors
+    /// Where a part is missing or does not read, or a name is not one of the settings'.
     pub fn read(file: &JsonValue, deployment: Option<&JsonValue>) -> Result<Config, String> {
         let settings = field(file, "settings").or(deployment).ok_or("no `settings`")?;
         let mut site = Site::read(settings).map_err(|e| e.to_string())?;
@@ -51,43 +106,16 @@
         let lines = field(file, "functions").and_then(JsonValue::get);
         let lines: &std::collections::HashMap<String, JsonValue> = lines.ok_or("no `functions`")?;
         let lines: BTreeMap<&String, &JsonValue> = lines.iter().collect();
-        let (mut functions, mut kinds) = (Vec::new(), Vec::<String>::new());
-        let (mut classes, mut grades) = (Vec::new(), Vec::new());
+        let mut offered = Offered::default();
         for (name, line) in lines {
-            if name.is_empty() || name.bytes().any(|b| b <= b' ') {
-                return Err(format!("function \"{name}\": a name has no blanks and is not empty"));
-            }
-            let class = text(line, "class").ok_or_else(|| format!("function {name}: no `class`"))?;
-            let at = site.client_classes.iter().position(|g| g.name == class);
-            let at = at.ok_or_else(|| format!("function {name}: the settings have no class {class}"))?;
-            let tenant = text(line, "tenant").unwrap_or("").to_string();
-            if !tenant.is_empty() && !site.tenants.contains(&tenant) {
-                return Err(format!("function {name}: the settings have no tenant {tenant}"));
-            }
-            let kind_name = text(line, "kind").unwrap_or(name);
-            let kind = kinds.iter().position(|k| k == kind_name).unwrap_or_else(|| {
-                kinds.push(kind_name.to_string());
-                kinds.len() - 1
-            });
-            let mut class = site.settings.classes[at].clone();
-            class.kind = Some(u16::try_from(kind).map_err(|_| "too many kinds")?);
-            classes.push(class);
-            grades.push(site.client_classes[at].clone());
-            let wait = site.client_classes[at].max_wait_ms;
-            functions.push(Function { name: name.clone().into_bytes(), tenant, wait, kind });
+            offered.add(&site, name, line)?;
         }
-        if functions.is_empty() {
+        if offered.functions.is_empty() {
             return Err("no functions".into());
         }
-        // One dispatcher with a list of its own: workers come to it, are not probed, and cost no crossing.
-        let settings = &mut site.settings;
-        (settings.number, settings.dispatchers, settings.zone) = (0, 1, 0);
-        (settings.live_sizes, settings.must_subscribe, settings.zones_cost) = (false, false, false);
-        (settings.capabilities.may_probe, settings.reports_load, settings.reports_start) =
-            (false, true, true);
-        // What has not started waits in this program, not at a worker.
-        (settings.capabilities.may_cancel, settings.capabilities.cancel_frees_slot) = (true, true);
-        (settings.classes, site.client_classes) = (classes, grades);
+        let Offered { functions, kinds, classes, client_classes } = offered;
+        (site.settings.classes, site.client_classes) = (classes, client_classes);
+        set_for_gearman(&mut site.settings);
         let record = field(file, "record").unwrap_or(&JsonValue::Null);
         let bound = |name, usual: f64| number(record, name).unwrap_or(usual).max(1.0) as usize;
         let identity = field(file, "identity").map(IdentityFiles::read).transpose()?;
--- a/src/frontend/gearman/identity.rs
+++ b/src/frontend/gearman/identity.rs
@@ -30,6 +30,9 @@
 
 impl IdentityFiles {
     /// Reads the operator's part.
+    ///
+    /// # Errors
+    /// Where a part is missing, or the trust domain or an identity is not valid.
     pub fn read(part: &JsonValue) -> Result<IdentityFiles, String> {
         let need = |name| text(part, name).ok_or_else(|| format!("identity: no `{name}`"));
         let trust_domain = need("trust_domain")?.to_string();
@@ -96,6 +99,9 @@
 
 impl Identity {
     /// Reads the files.
+    ///
+    /// # Errors
+    /// Where a file cannot be read, or the certificate is not of the trust domain or not a leaf's.
     pub fn load(files: IdentityFiles) -> Result<Identity, String> {
         let stamps = stamps(&files);
         let config = config(&files)?;
@@ -129,6 +135,9 @@
     }
 
     /// What the holder of a verified chain may do.
+    ///
+    /// # Errors
+    /// Where the certificate is not a valid X.509-SVID of the trust domain, or its identity is not listed.
     pub fn role(&self, chain: &[CertificateDer<'_>]) -> Result<Role, String> {
         let id = spiffe_id(chain.first().ok_or("no certificate")?)?;
         if domain(&id)? != self.files.trust_domain {
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -18,7 +18,7 @@
 use super::Sockets;
 use super::shutdown::Shutdown;
 use crate::core::{Clock, Command, Core, ListScope};
-use crate::net::{ConnId, HELD};
+use crate::net::{Conn, ConnId, HELD};
 use crate::routing::{EndpointId, JobId};
 
 pub use config::{Config, Function};
@@ -62,6 +62,50 @@
     ends: Option<f64>,
 }
 
+impl Peer {
+    /// Moves packets from the outbox to the connection's buffer while there is room. Returns their bytes.
+    fn write_outbox(&mut self, conn: &mut Conn) -> usize {
+        let mut moved = 0;
+        while let Some(packet) = self.outbox.front().filter(|packet| packet.len() <= conn.tx.room()) {
+            conn.tx.push(packet);
+            moved += packet.len();
+            self.outbox.pop_front();
+            conn.pump();
+        }
+        moved
+    }
+
+    /// Looks up what the peer may do by its certificate.
+    fn identify(&mut self, conn: &Conn, identity: Option<&Identity>) -> Identification {
+        let Some(chain) = conn.peer_certificates() else {
+            return if conn.eof { Identification::Rejected } else { Identification::Pending };
+        };
+        // Guards against a peer that holds a valid certificate and no allowed identity: it is rejected before a packet of
+        // it is read.
+        match identity.map(|identity| identity.role(&chain)) {
+            Some(Ok(role)) => {
+                (self.role, self.known) = (role, true);
+                Identification::Done
+            }
+            Some(Err(error)) => {
+                crate::say(format_args!("a peer was refused: {error}"));
+                Identification::Rejected
+            }
+            None => Identification::Rejected,
+        }
+    }
+}
+
+/// How far a peer has proved who it is.
+enum Identification {
+    /// Its role is known.
+    Done,
+    /// Its certificate has not come yet.
+    Pending,
+    /// It has ended its side before, or its certificate gives it no role.
+    Rejected,
+}
+
 /// A session's job.
 struct Job {
     function: usize,
@@ -74,6 +118,20 @@
     progress: (Vec<u8>, Vec<u8>),
 }
 
+impl Job {
+    fn new(function: usize, unique: &[u8], key: Option<Key>, data: &[u8]) -> Job {
+        Job {
+            function,
+            unique: unique.to_vec(),
+            key,
+            data: data.to_vec(),
+            listeners: Vec::new(),
+            assigned: false,
+            progress: (vec![b'0'], vec![b'0']),
+        }
+    }
+}
+
 /// The front.
 pub struct GearmanFrontend {
     core: Core,
@@ -95,6 +153,9 @@
 
 impl GearmanFrontend {
     /// A front on a listener that is open.
+    ///
+    /// # Errors
+    /// Where the identity files cannot be used.
     pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> Result<GearmanFrontend, String> {
         let identity = config.identity.clone().map(Identity::load).transpose()?;
         let mut core = Core::new(config.site.clone(), seed, clock, config.peers * JOBS);
@@ -117,6 +178,9 @@
 
     /// Whether a file that was read again can be taken over without a restart, and the identity that goes with
     /// it. Functions are numbers in all that is open.
+    ///
+    /// # Errors
+    /// Where a change needs a restart, or the identity files cannot be used.
     pub fn fits(&self, config: &Config) -> Result<Option<Identity>, String> {
         let names = |c: &Config| c.functions.iter().map(|f| (f.name.clone(), f.kind)).collect::<Vec<_>>();
         if names(config) != names(&self.config) || config.kinds != self.config.kinds {
@@ -196,42 +260,18 @@
             }
             let (Some(conn), Some(peer)) = (net.conn(id), self.peers.get_mut(&id)) else { return };
             conn.pump();
-            while let Some(packet) = peer.outbox.front().filter(|packet| packet.len() <= conn.tx.room()) {
-                conn.tx.push(packet);
-                self.outbox -= packet.len();
-                peer.outbox.pop_front();
-                conn.pump();
-            }
+            self.outbox -= peer.write_outbox(conn);
             if conn.closing {
-                conn.rx.consume(conn.rx.len());
-                if conn.eof || conn.broken {
-                    self.leave(net, id);
-                } else if conn.is_written() && peer.ends.is_none() {
-                    peer.ends = Some(self.core.clock().now() + LINGER);
-                    conn.end_writing();
-                }
-                return;
+                return self.close_when_written(net, id);
             }
             if conn.broken {
                 return self.leave(net, id);
             }
             if !peer.known {
-                let Some(chain) = conn.peer_certificates() else {
-                    if conn.eof {
-                        self.leave(net, id);
-                    }
-                    return;
-                };
-                // Guards against a peer that holds a valid certificate and no allowed identity: it is refused
-                // before a packet of it is read.
-                match self.identity.as_ref().map(|identity| identity.role(&chain)) {
-                    Some(Ok(role)) => (peer.role, peer.known) = (role, true),
-                    refused => {
-                        if let Some(Err(e)) = refused {
-                            crate::say(format_args!("a peer was refused: {e}"));
-                        }
-                        return self.leave(net, id);
-                    }
+                match peer.identify(conn, self.identity.as_ref()) {
+                    Identification::Done => {}
+                    Identification::Pending => return,
+                    Identification::Rejected => return self.leave(net, id),
                 }
             }
             // Guards against a cut for a client that reads more slowly than answers come: what it submits is left
@@ -266,6 +306,18 @@
         }
     }
 
+    /// Ends a connection once all that it is to get is written, and its peer has ended its side.
+    fn close_when_written(&mut self, net: &mut Sockets, id: ConnId) {
+        let (Some(conn), Some(peer)) = (net.conn(id), self.peers.get_mut(&id)) else { return };
+        conn.rx.consume(conn.rx.len());
+        if conn.eof || conn.broken {
+            self.leave(net, id);
+        } else if conn.is_written() && peer.ends.is_none() {
+            peer.ends = Some(self.core.clock().now() + LINGER);
+            conn.end_writing();
+        }
+    }
+
     fn packet(&mut self, net: &mut Sockets, id: ConnId, number: u32, body: &[u8]) {
         let read = match number {
             kind::ECHO_REQ => {
@@ -334,10 +386,10 @@
             if let Some(command) = self.core.next_command() {
                 match command {
                     Command::Send { job: session, attempt, endpoint: server } => {
-                        self.offer(net, (session, attempt), server)
+                        self.offer(net, (session, attempt), server);
                     }
                     Command::Cancel { job: session, attempt } => self.call_off((session, attempt)),
-                    Command::Answer { job: session, answer: verdict } => self.answer(net, session, verdict),
+                    Command::Answer { job: session, answer } => self.answer(net, session, &answer),
                     Command::Probe { .. } | Command::Subscribe => {}
                 }
             } else if let Some(id) = self.again.pop_front() {
--- a/src/frontend/gearman/packets.rs
+++ b/src/frontend/gearman/packets.rs
@@ -67,6 +67,9 @@
 }
 
 /// Takes what is whole off the buffer; an error ends the connection.
+///
+/// # Errors
+/// The protocol's code of the error, where the bytes cannot become a packet or a line.
 pub fn take(ring: &mut Ring) -> Result<Option<Incoming>, &'static str> {
     let bytes = ring.bytes();
     match bytes.first() {
--- a/src/frontend/operator.rs
+++ b/src/frontend/operator.rs
@@ -121,6 +121,9 @@
 }
 
 /// Reads the file, and checks all of it but what Gearman's front checks itself.
+///
+/// # Errors
+/// Where the file cannot be read, is no TOML, or has a table that is not valid.
 pub fn read(path: &Path) -> Result<Operator, FileError> {
     let file = path.display().to_string();
     let text =
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -317,15 +317,75 @@
     pub lines: Vec<ListedEndpoint>,
 }
 
+/// Adds an error where a figure is out of its bounds.
+fn check_bound(errors: &mut Vec<ConfigError>, name: &str, value: f64, least: f64, most: f64) {
+    if !(least..=most).contains(&value) {
+        errors.push(ConfigError::OutOf { name: name.into(), value, least, most });
+    }
+}
+
+impl ClassTable {
+    /// Checks the figures of the class.
+    fn check_bounds(&self, errors: &mut Vec<ConfigError>) {
+        let mut within = |name: &str, value, least, most| {
+            check_bound(errors, &format!("class.{}.{name}", self.name), value, least, most);
+        };
+        within("wait_s", self.wait_s, 0.001, 3600.0);
+        within("longest_s", self.longest_s, 0.001, 7.0 * 86_400.0);
+        within("answer_s", self.answer_s, 0.001, self.longest_s);
+        within("body_mb", self.body_mb, 0.001, 16.0 * 1024.0 * 1024.0);
+        within("window_kb", self.window_kb, LEAST as f64 / 1024.0, 4096.0);
+        within("hold_kb", self.hold_kb, 0.0, MOST_HELD_KB.min(self.window_kb));
+        within("least_kb_s", self.least_kb_s, 0.0, 1e9);
+        within("over_s", self.over_s, 0.05, 3600.0);
+        within("silence_s", self.silence_s, 0.05, 3600.0);
+    }
+}
+
 impl Table {
     /// Checks the table. All that is wrong with it is told.
+    ///
+    /// # Errors
+    /// All that is wrong, where a figure is out of its bounds, a name is missing, given twice or not valid, or the memory
+    /// cannot hold what the bounds allow.
     pub fn check(self) -> Result<Config, Vec<ConfigError>> {
         let mut errors = Vec::new();
-        let mut within = |name: &str, value: f64, least: f64, most: f64| {
-            if !(least..=most).contains(&value) {
-                errors.push(ConfigError::OutOf { name: name.into(), value, least, most });
-            }
-        };
+        self.check_bounds(&mut errors);
+        for class in &self.class {
+            class.check_bounds(&mut errors);
+        }
+        self.check_names(&mut errors);
+        if self.servers.is_empty() == self.discovery.is_none() {
+            errors.push(ConfigError::Servers);
+        }
+        // Beside the pool each stream may read its least each way, and keep its prefix to send it again.
+        let prefix = self.class.iter().map(|c| c.hold_kb).fold(0.0, f64::max);
+        let kept_kb = prefix + 2.0 * LEAST as f64 / 1024.0;
+        let needed_mb = kept_kb * self.streams.total as f64 / 1024.0;
+        if needed_mb + 1.0 > self.memory_mb {
+            let (streams, given_mb) = (self.streams.total, self.memory_mb);
+            errors.push(ConfigError::Memory { streams, kept_kb, needed_mb: needed_mb + 1.0, given_mb });
+        }
+        if !errors.is_empty() {
+            return Err(errors);
+        }
+        let pool = ((self.memory_mb - needed_mb) * 1024.0 * 1024.0) as usize;
+        let StreamsTable { total, tenant, server } = self.streams;
+        Ok(Config {
+            site: self.site(),
+            classes: self.class.iter().map(ClassTable::stream).collect(),
+            bounds: Bounds { total, tenant, server },
+            pool,
+            quantum: (self.turn_kb * 1024.0) as usize,
+            lines: self.servers.iter().map(ServerTable::line).collect(),
+            table: self,
+        })
+    }
+
+    /// Checks the figures outside the classes.
+    fn check_bounds(&self, errors: &mut Vec<ConfigError>) {
+        let mut within =
+            |name: &str, value: f64, least: f64, most: f64| check_bound(errors, name, value, least, most);
         within("connections", self.connections as f64, 1.0, 65_536.0);
         within("memory_mb", self.memory_mb, 1.0, 65_536.0);
         within("pipes", self.pipes as f64, 0.0, 16_384.0);
@@ -346,20 +406,10 @@
         within("cold.from", self.cold.from, 0.01, 1.0);
         within("cold.warm_s", self.cold.warm_s, 0.0, 3600.0);
         within("cold.multiple", self.cold.multiple, 1.0, 100.0);
-        for class in &self.class {
-            let mut within = |name: &str, value, least, most| {
-                within(&format!("class.{}.{name}", class.name), value, least, most)
-            };
-            within("wait_s", class.wait_s, 0.001, 3600.0);
-            within("longest_s", class.longest_s, 0.001, 7.0 * 86_400.0);
-            within("answer_s", class.answer_s, 0.001, class.longest_s);
-            within("body_mb", class.body_mb, 0.001, 16.0 * 1024.0 * 1024.0);
-            within("window_kb", class.window_kb, LEAST as f64 / 1024.0, 4096.0);
-            within("hold_kb", class.hold_kb, 0.0, MOST_HELD_KB.min(class.window_kb));
-            within("least_kb_s", class.least_kb_s, 0.0, 1e9);
-            within("over_s", class.over_s, 0.05, 3600.0);
-            within("silence_s", class.silence_s, 0.05, 3600.0);
-        }
+    }
+
+    /// Checks that the names of classes and endpoints are there, valid, and given once.
+    fn check_names(&self, errors: &mut Vec<ConfigError>) {
         if self.class.is_empty() {
             errors.push(ConfigError::NoClass);
         }
@@ -379,32 +429,6 @@
                 errors.push(ConfigError::Twice(server.name.clone()));
             }
         }
-        if self.servers.is_empty() == self.discovery.is_none() {
-            errors.push(ConfigError::Servers);
-        }
-        // Beside the pool each stream may read its least each way, and keep its prefix to send it again.
-        let prefix = self.class.iter().map(|c| c.hold_kb).fold(0.0, f64::max);
-        let kept_kb = prefix + 2.0 * LEAST as f64 / 1024.0;
-        let needed_mb = kept_kb * self.streams.total as f64 / 1024.0;
-        if needed_mb + 1.0 > self.memory_mb {
-            let (streams, given_mb) = (self.streams.total, self.memory_mb);
-            errors.push(ConfigError::Memory { streams, kept_kb, needed_mb: needed_mb + 1.0, given_mb });
-        }
-        if !errors.is_empty() {
-            return Err(errors);
-        }
-        let pool = ((self.memory_mb - needed_mb) * 1024.0 * 1024.0) as usize;
-        let Bounds { total, tenant, server } =
-            Bounds { total: self.streams.total, tenant: self.streams.tenant, server: self.streams.server };
-        Ok(Config {
-            site: self.site(),
-            classes: self.class.iter().map(ClassTable::stream).collect(),
-            bounds: Bounds { total, tenant, server },
-            pool,
-            quantum: (self.turn_kb * 1024.0) as usize,
-            lines: self.servers.iter().map(ServerTable::line).collect(),
-            table: self,
-        })
     }
 
     fn site(&self) -> Site {
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -86,6 +86,9 @@
 
     /// Whether a file that was read again can be taken over without a restart. Classes are numbers in all that is
     /// open.
+    ///
+    /// # Errors
+    /// Where a change needs a restart.
     pub fn fits(&self, config: &Config) -> Result<(), String> {
         if config.table.discovery.is_some() != self.discovery.is_some() {
             return Err("to begin or end with `discovery` takes a restart".into());
@@ -173,10 +176,10 @@
         while let Some(command) = self.core.next_command() {
             match command {
                 Command::Send { job: session, attempt, endpoint: server } => {
-                    self.send(net, session, attempt, server)
+                    self.send(net, session, attempt, server);
                 }
                 Command::Cancel { job: session, attempt } => self.cancel(net, session, attempt),
-                Command::Answer { job: session, answer: verdict } => self.answer(net, session, verdict),
+                Command::Answer { job: session, answer } => self.answer(net, session, &answer),
                 // What a probe would ask is counted here: streams out at each server.
                 Command::Probe { endpoint: server } => {
                     let report = self.slots.report(server);
@@ -193,12 +196,12 @@
     }
 
     /// The final answer of a session, where its front has not given it already.
-    fn answer(&mut self, net: &mut Sockets, session: JobId, verdict: FinalAnswer) {
+    fn answer(&mut self, net: &mut Sockets, session: JobId, answer: &FinalAnswer) {
         let Some(&stream) = self.sessions.get(&session) else { return };
-        match verdict {
+        match answer {
             FinalAnswer::Served(_) => self.finish(net, stream),
             FinalAnswer::Rejected { retry_after_ms: retry_after } => {
-                self.refuse(net, stream, 503, retry_after)
+                self.refuse(net, stream, 503, *retry_after);
             }
             FinalAnswer::Failed => self.refuse(net, stream, 502, 0.0),
         }
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -32,6 +32,21 @@
     Done,
 }
 
+/// How far a request's body has got after a turn.
+#[derive(Clone, Copy, Debug)]
+enum RequestProgress {
+    /// More of it is to come, or to be written.
+    Underway,
+    /// The client's connection broke.
+    ClientGone,
+    /// The server reads no more of it.
+    NotTaken,
+    /// All of it was read; `is_written` once the server's socket has taken all.
+    Ended { is_written: bool },
+    /// The client ended its side before the body's end.
+    CutShort,
+}
+
 /// The answer, once its head was passed on.
 pub(super) struct Down {
     decoder: Decoder,
@@ -130,6 +145,14 @@
     }
 }
 
+/// Adds bytes that pass to the prefix that can be sent again. What is more than `limit` bytes cannot: the prefix is dropped.
+fn extend_prefix(prefix: &mut Option<Vec<u8>>, bytes: &[u8], limit: usize) {
+    *prefix = prefix.take().filter(|held| held.len() + bytes.len() <= limit).map(|mut held| {
+        held.extend_from_slice(bytes);
+        held
+    });
+}
+
 /// Passes payload from one connection on to another, framed anew. True where the sink takes no more for now. `keep`
 /// is shown what passes.
 fn pour(
@@ -285,7 +308,7 @@
                 self.sessions.insert(session, stream);
             }
             Err(FinalAnswer::Rejected { retry_after_ms: retry_after }) => {
-                self.refuse(net, stream, 503, retry_after)
+                self.refuse(net, stream, 503, retry_after);
             }
             Err(_) => self.refuse(net, stream, 502, 0.0),
         }
@@ -314,11 +337,8 @@
         let Some([client, server]) = net.pair(exchange.client, server) else { return 0 };
         if !server.come_up() {
             let held = client.rx.len() + server.tx.len();
-            self.flow.moved(
-                turn,
-                Moved { more: true, held, blocked: true, full: true, ..Moved::default() },
-                now,
-            );
+            let moved = Moved { more: true, held, blocked: true, full: true, ..Moved::default() };
+            self.flow.moved(turn, moved, now);
             return 0;
         }
         let sent = server.sent;
@@ -333,13 +353,7 @@
             &mut exchange.pipe,
             (pipes, framing),
             turn.read,
-            |bytes| {
-                // What is more than the prefix cannot be sent again.
-                *prefix = prefix.take().filter(|p| p.len() + bytes.len() <= hold).map(|mut p| {
-                    p.extend_from_slice(bytes);
-                    p
-                });
-            },
+            |bytes| extend_prefix(prefix, bytes, hold),
         );
         let Passed { read, more, blocked, full } = match passed {
             Ok(passed) => passed,
@@ -353,36 +367,64 @@
         let taken = (server.sent - sent) as usize;
         let piped = exchange.pipe.as_ref().map_or(0, Pipe::held);
         let held = server.tx.len() + piped + if done { 0 } else { client.rx.len() };
-        let (gone, ended, deaf) = (client.broken, client.eof, server.mute);
+        let progress = if client.broken {
+            RequestProgress::ClientGone
+        } else if server.mute {
+            RequestProgress::NotTaken
+        } else if done {
+            RequestProgress::Ended { is_written: held == 0 }
+        } else if client.eof && !blocked {
+            RequestProgress::CutShort
+        } else {
+            RequestProgress::Underway
+        };
         self.counters.up += taken as u64;
         self.flow.moved(turn, Moved { read, more, taken, held, blocked, full }, now);
-        if gone {
-            self.client_gone(net, stream);
-        } else if deaf {
-            // It takes no more; it may have said why.
-            exchange.up = Up::Rests;
-            exchange.close = true;
-            self.flow.rest(stream, Way::Up, now);
-            self.read_answer(net, stream);
-        } else if done {
-            self.flow.ended(stream, Way::Up, now);
-            if held == 0 {
-                exchange.up = Up::Done;
-                exchange.answer_by = now + exchange.of.answer;
-                if exchange.down.is_some() {
-                    exchange.answer_by = f64::INFINITY;
-                }
-                let (session, attempt) = (exchange.session, exchange.attempt);
+        self.on_request_progress(net, stream, progress, now);
+        read + taken
+    }
+
+    /// Does what follows from how far a request's body has got.
+    fn on_request_progress(
+        &mut self,
+        net: &mut Sockets,
+        stream: StreamId,
+        progress: RequestProgress,
+        now: f64,
+    ) {
+        match progress {
+            RequestProgress::Underway => {}
+            RequestProgress::ClientGone => self.client_gone(net, stream),
+            RequestProgress::NotTaken => {
+                let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
+                exchange.up = Up::Rests;
+                exchange.close = true;
                 self.flow.rest(stream, Way::Up, now);
-                if let Some(session) = session {
-                    self.core.on_body_relayed(session, attempt);
+                // The server may have answered why before it stopped to read.
+                self.read_answer(net, stream);
+            }
+            RequestProgress::Ended { is_written } => {
+                self.flow.ended(stream, Way::Up, now);
+                if is_written {
+                    self.request_relayed(stream, now);
                 }
             }
-        } else if ended && !blocked {
-            // Half a body is no body: the server sees a break, the client hears so.
-            self.refuse(net, stream, 400, 0.0);
+            // Half a body is no body: the server sees its connection break off, the client an error.
+            RequestProgress::CutShort => self.refuse(net, stream, 400, 0.0),
+        }
+    }
+
+    /// All of the request is with its server: the time until its answer begins counts from now.
+    fn request_relayed(&mut self, stream: StreamId, now: f64) {
+        let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
+        exchange.up = Up::Done;
+        let answer_has_begun = exchange.down.is_some();
+        exchange.answer_by = if answer_has_begun { f64::INFINITY } else { now + exchange.of.answer };
+        let (session, attempt) = (exchange.session, exchange.attempt);
+        self.flow.rest(stream, Way::Up, now);
+        if let Some(session) = session {
+            self.core.on_body_relayed(session, attempt);
         }
-        read + taken
     }
 
     /// A turn of a request that is held: what came goes to its prefix.
@@ -426,7 +468,7 @@
     }
 
     /// The answer's head has come.
-    pub(super) fn begin_answer(&mut self, net: &mut Sockets, stream: StreamId, answer: AnswerHead) {
+    pub(super) fn begin_answer(&mut self, net: &mut Sockets, stream: StreamId, answer: &AnswerHead) {
         let now = self.now();
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         let (Some(session), Some((server, _))) = (exchange.session, exchange.server) else { return };
@@ -455,7 +497,7 @@
             return;
         }
         exchange.answer_by = f64::INFINITY;
-        let bytes = head::write_answer(&answer, framing, spoken_of, exchange.close);
+        let bytes = head::write_answer(answer, framing, spoken_of, exchange.close);
         let done = decoder.is_done();
         let (status, close) = (answer.status, answer.close || !matches!(exchange.up, Up::Done));
         exchange.down = Some(Down { decoder, framing, ended: false, pipe: None, status, close });
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::StreamingFrontend;
-use super::relay::Up;
+use super::relay::{Exchange, Up};
 
 use crate::flow::{StreamId, Way};
 use crate::frontend::Sockets;
@@ -27,7 +27,7 @@
     pub(super) fn send(&mut self, net: &mut Sockets, session: JobId, attempt: usize, worker: EndpointId) {
         let now = self.now();
         let Some(&stream) = self.sessions.get(&session) else { return };
-        let opening = self.exchanges.get_mut(&stream).and_then(|e| e.opening());
+        let opening = self.exchanges.get_mut(&stream).and_then(Exchange::opening);
         // Guards against half a body: what has gone past the prefix is nowhere any more.
         let Some(opening) = opening else { return self.unsent(session, attempt, Outcome::Unfit, worker) };
         if !self.slots.take(worker) {
@@ -159,7 +159,7 @@
             let more = conn.read_some((HEAD + 1).saturating_sub(conn.rx.len()));
             let ended = conn.eof || conn.broken;
             match head::answer(&mut conn.rx, to_head) {
-                Ok(Some(answer)) if answer.status >= 200 => return self.begin_answer(net, stream, answer),
+                Ok(Some(answer)) if answer.status >= 200 => return self.begin_answer(net, stream, &answer),
                 Ok(Some(answer)) => {
                     if !self.interim(net, stream, &answer) {
                         return self.attempt_over(net, stream, Outcome::Error);
--- a/src/ingest/policy.rs
+++ b/src/ingest/policy.rs
@@ -124,6 +124,9 @@
     empty: Empty,
 }
 
+/// A partition: its name, its line in the file, and which endpoints belong to it.
+pub type Partition = (String, usize, EndpointSelector);
+
 /// A policy that was read and checked.
 ///
 /// ```
@@ -140,14 +143,17 @@
 pub struct Policy {
     /// Its version.
     pub version: u64,
-    /// The partitions: their names, lines, and which servers they are.
-    pub partitions: Vec<(String, usize, EndpointSelector)>,
+    /// The partitions, in the order of the file.
+    pub partitions: Vec<Partition>,
     /// The rules, in order: the first that fits counts.
     pub rules: Vec<Rule>,
 }
 
 impl Policy {
     /// The version alone, as it stands in a file that need not fit this site.
+    ///
+    /// # Errors
+    /// Where the text is no policy file, or its version is 0.
     pub fn version(text: &str) -> Result<u64, PolicyError> {
         let file: File = toml::from_str(text).map_err(|e| not_toml(text, &e))?;
         match file.version.into_inner() {
@@ -157,6 +163,9 @@
     }
 
     /// Reads and checks all of it; all that is wrong.
+    ///
+    /// # Errors
+    /// All that is wrong with it, each with its line.
     pub fn read(text: &str, site: &Site) -> Result<Policy, Vec<PolicyError>> {
         let file: File = toml::from_str(text).map_err(|e| vec![not_toml(text, &e)])?;
         let mut errors = Vec::new();
@@ -172,68 +181,24 @@
                 wrong(0, Fault::Many { what, most });
             }
         }
-        let mut names = BTreeSet::new();
-        let mut partitions = Vec::new();
-        for spanned in &file.partition {
-            let (at, table) = (spanned.span().start, spanned.get_ref());
-            if !names.insert(table.name.clone()) {
-                wrong(at, Fault::Twice { what: "partition", name: table.name.clone() });
-            }
-            let kinds = places(&table.kinds, &site.kinds, "kind", at, &mut wrong);
-            let zones = places(&table.zones, &site.zones, "zone", at, &mut wrong);
-            let small = |list: Option<Vec<usize>>| list.map(|l| l.into_iter().map(|at| at as u16).collect());
-            let selector = EndpointSelector {
-                kinds: small(kinds),
-                zones: small(zones),
-                cells: table.blocks.clone(),
-                prefixes: table.prefixes.clone(),
-            };
-            partitions.push((table.name.clone(), line(text, at), selector));
-        }
-        let grades: Vec<String> = site.client_classes.iter().map(|grade| grade.name.clone()).collect();
+        let partitions = read_partitions(&file.partition, text, site, &mut wrong);
+        let classes: Vec<String> = site.client_classes.iter().map(|class| class.name.clone()).collect();
         let mut rules: Vec<Rule> = Vec::new();
         let mut known = BTreeSet::new();
         for spanned in file.rule {
             let (at, table) = (spanned.span().start, spanned.into_inner());
-            let name = table.name.clone();
-            if !known.insert(name.clone()) {
-                wrong(at, Fault::Twice { what: "rule", name: name.clone() });
+            if !known.insert(table.name.clone()) {
+                wrong(at, Fault::Twice { what: "rule", name: table.name.clone() });
             }
-            let classes = places(&table.classes, &grades, "class", at, &mut wrong);
-            let zones = places(&table.zones, &site.zones, "zone", at, &mut wrong);
-            let partition = partitions.iter().position(|(name, ..)| *name == table.partition);
-            if partition.is_none() {
-                wrong(at, Fault::Unknown { what: "partition", name: table.partition.clone() });
-            }
-            if table.headers.len() > MOST_HEADERS {
-                wrong(at, Fault::Many { what: "headers of a rule", most: MOST_HEADERS });
-            }
-            let headers = table.headers.into_iter().map(|h| (h.name.to_ascii_lowercase(), h.is)).collect();
-            let rule = Rule {
-                name: name.clone(),
-                classes,
-                tenant: table.tenant,
-                key: table.key,
-                zones: zones.map(|list| list.into_iter().map(|at| at as u16).collect()),
-                size: table.size.map(|size| (size.from, size.to.unwrap_or(u64::MAX))),
-                headers,
-                partition: partition.unwrap_or(0),
-                empty: table.empty,
-            };
-            let tests = rule.headers.iter().map(|(_, test)| test).chain(&rule.tenant).chain(&rule.key);
-            let none = |list: bool| list;
-            if tests.into_iter().any(Test::is_void)
-                || none(rule.size.is_some_and(|(from, to)| from > to))
-                || rule.classes.as_ref().is_some_and(Vec::is_empty)
-                || rule.zones.as_ref().is_some_and(Vec::is_empty)
-            {
-                wrong(at, Fault::Void(name.clone()));
+            let rule = read_rule(table, at, &partitions, &classes, &site.zones, &mut wrong);
+            if is_void(&rule) {
+                wrong(at, Fault::Void(rule.name.clone()));
             } else if let Some(before) = rules.iter().find(|before| before.hides(&rule)) {
-                wrong(at, Fault::Hidden { rule: name, before: before.name.clone() });
+                wrong(at, Fault::Hidden { rule: rule.name.clone(), before: before.name.clone() });
             }
             rules.push(rule);
         }
-        for (class, name) in grades.iter().enumerate() {
+        for (class, name) in classes.iter().enumerate() {
             // Without rules all servers may run all classes.
             if !rules.is_empty() && !rules.iter().any(|rule| rule.takes_all_of(class)) {
                 wrong(text.len(), Fault::Missed(name.clone()));
@@ -254,6 +219,78 @@
     }
 }
 
+/// The partitions of a file. What is wrong with them goes to `wrong`, with its place in the text.
+fn read_partitions(
+    tables: &[Spanned<PartitionTable>],
+    text: &str,
+    site: &Site,
+    wrong: &mut impl FnMut(usize, Fault),
+) -> Vec<Partition> {
+    let mut names = BTreeSet::new();
+    let mut partitions = Vec::new();
+    for spanned in tables {
+        let (at, table) = (spanned.span().start, spanned.get_ref());
+        if !names.insert(table.name.clone()) {
+            wrong(at, Fault::Twice { what: "partition", name: table.name.clone() });
+        }
+        let kinds = places(&table.kinds, &site.kinds, "kind", at, wrong);
+        let zones = places(&table.zones, &site.zones, "zone", at, wrong);
+        let selector = EndpointSelector {
+            kinds: kinds.map(as_numbers),
+            zones: zones.map(as_numbers),
+            cells: table.blocks.clone(),
+            prefixes: table.prefixes.clone(),
+        };
+        partitions.push((table.name.clone(), line(text, at), selector));
+    }
+    partitions
+}
+
+/// A rule of a file. What is wrong with its names and its size goes to `wrong`.
+fn read_rule(
+    table: RuleTable,
+    at: usize,
+    partitions: &[Partition],
+    classes: &[String],
+    zones: &[String],
+    wrong: &mut impl FnMut(usize, Fault),
+) -> Rule {
+    let classes = places(&table.classes, classes, "class", at, wrong);
+    let zones = places(&table.zones, zones, "zone", at, wrong);
+    let partition = partitions.iter().position(|(name, ..)| *name == table.partition);
+    if partition.is_none() {
+        wrong(at, Fault::Unknown { what: "partition", name: table.partition.clone() });
+    }
+    if table.headers.len() > MOST_HEADERS {
+        wrong(at, Fault::Many { what: "headers of a rule", most: MOST_HEADERS });
+    }
+    let headers = table.headers.into_iter().map(|h| (h.name.to_ascii_lowercase(), h.is)).collect();
+    Rule {
+        name: table.name,
+        classes,
+        tenant: table.tenant,
+        key: table.key,
+        zones: zones.map(as_numbers),
+        size: table.size.map(|size| (size.from, size.to.unwrap_or(u64::MAX))),
+        headers,
+        partition: partition.unwrap_or(0),
+        empty: table.empty,
+    }
+}
+
+/// Whether a rule has a test that nothing passes.
+fn is_void(rule: &Rule) -> bool {
+    let mut tests = rule.headers.iter().map(|(_, test)| test).chain(&rule.tenant).chain(&rule.key);
+    tests.any(Test::is_void)
+        || rule.size.is_some_and(|(from, to)| from > to)
+        || rule.classes.as_ref().is_some_and(Vec::is_empty)
+        || rule.zones.as_ref().is_some_and(Vec::is_empty)
+}
+
+fn as_numbers(list: Vec<usize>) -> Vec<u16> {
+    list.into_iter().map(|at| at as u16).collect()
+}
+
 /// Names as their places among those that are known.
 fn places(
     names: &Option<Vec<String>>,
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -140,6 +140,24 @@
 }
 
 impl Job {
+    /// The state that a record moves the job to. Records that add or drop a job are the ledger's own.
+    fn apply(&mut self, record: Record) {
+        match record {
+            Record::Accepted { .. } | Record::Dropped { .. } => {}
+            Record::Leased { fence, worker, until, .. } => {
+                (self.state, self.may_have_run) = (State::Leased { fence, worker, until }, true);
+            }
+            Record::Returned { .. } => (self.state, self.may_have_run) = (State::Accepted, false),
+            Record::Lapsed { .. } => self.state = State::Accepted,
+            Record::Adrift { fence, until, .. } => self.state = State::Adrift { fence, until },
+            Record::Finished { outcome, keep, .. } => {
+                self.state = State::Finished { outcome, keep };
+                // Its worker has it no more; only its answer is kept.
+                self.body = Vec::new();
+            }
+        }
+    }
+
     fn bytes(&self) -> usize {
         let result = match &self.state {
             State::Finished { outcome: Outcome::Served(result), .. } => result.len(),
@@ -232,6 +250,9 @@
 
     /// Hands a job in. The records are to be stored at once; `Route` follows when they are on disk. The client may be
     /// told that its job is taken on durably only from then on.
+    ///
+    /// # Errors
+    /// Where a bound is reached, the store has failed, or the job's deadline has passed.
     pub fn accept(
         &mut self,
         now: f64,
@@ -427,7 +448,7 @@
                 }
             }
             State::Adrift { until, .. } if until <= now || job.due <= now => {
-                self.finish_unserved(now, no, out)
+                self.finish_unserved(now, no, out);
             }
             _ => {}
         }
@@ -499,34 +520,6 @@
                 let state = State::Accepted;
                 self.jobs.insert(no, Job { class, key, due, body, may_have_run: false, state });
             }
-            Record::Leased { no, fence, worker, until } => {
-                self.fence = self.fence.max(fence);
-                if let Some(job) = self.jobs.get_mut(&no) {
-                    (job.state, job.may_have_run) = (State::Leased { fence, worker, until }, true);
-                }
-            }
-            Record::Returned { no, .. } => {
-                if let Some(job) = self.jobs.get_mut(&no) {
-                    (job.state, job.may_have_run) = (State::Accepted, false);
-                }
-            }
-            Record::Lapsed { no, .. } => {
-                if let Some(job) = self.jobs.get_mut(&no) {
-                    job.state = State::Accepted;
-                }
-            }
-            Record::Adrift { no, fence, until } => {
-                if let Some(job) = self.jobs.get_mut(&no) {
-                    job.state = State::Adrift { fence, until };
-                }
-            }
-            Record::Finished { no, outcome, keep } => {
-                if let Some(job) = self.jobs.get_mut(&no) {
-                    job.state = State::Finished { outcome, keep };
-                    // Its worker has it no more; only its answer is kept.
-                    job.body = Vec::new();
-                }
-            }
             Record::Dropped { no } => {
                 if let Some(job) = self.jobs.remove(&no)
                     && let Some(key) = job.key
@@ -534,6 +527,14 @@
                     self.keys.remove(&key);
                 }
             }
+            change => {
+                if let Record::Leased { fence, .. } = change {
+                    self.fence = self.fence.max(fence);
+                }
+                if let Some(job) = self.jobs.get_mut(&no) {
+                    job.apply(change);
+                }
+            }
         }
         if let Some(job) = self.jobs.get(&no) {
             self.bytes += job.bytes();
--- a/src/ledger/record.rs
+++ b/src/ledger/record.rs
@@ -120,6 +120,9 @@
     }
 
     /// Reads it back. Whatever the bytes, it does not panic.
+    ///
+    /// # Errors
+    /// Where the bytes are no record.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         match bytes.split_first() {
             Some((&VERSION, fields)) => match postcard::take_from_bytes(fields) {
--- a/src/ledger/tests.rs
+++ b/src/ledger/tests.rs
@@ -149,7 +149,7 @@
             }
             5 => {
                 self.now += f64::from(size % 150);
-                self.with(|l, now, out| l.tick(now, out));
+                self.with(Ledger::tick);
             }
             6 => self.crash(f64::from(size % 300)),
             _ => self.sync(usize::from(size % 8)),
@@ -183,7 +183,7 @@
     fn settle(&mut self) -> Result<(), String> {
         for _ in 0..40 {
             self.now += 100.0;
-            self.with(|l, now, out| l.tick(now, out));
+            self.with(Ledger::tick);
             self.sync(usize::MAX);
         }
         self.check()?;
@@ -279,7 +279,7 @@
     for reports in [true, false] {
         let (mut world, no, fence) = leased(false);
         world.now += 150.0;
-        world.with(|l, now, out| l.tick(now, out));
+        world.with(Ledger::tick);
         world.sync(9);
         assert!(matches!(world.ledger.job(no).unwrap().state, State::Adrift { .. }));
         assert!(world.answers.is_empty() && world.routes.is_empty());
@@ -287,7 +287,7 @@
             world.step((3, 0, 0));
         } else {
             world.now += 250.0;
-            world.with(|l, now, out| l.tick(now, out));
+            world.with(Ledger::tick);
         }
         world.sync(9);
         let wanted = if reports { Outcome::Served(vec![1]) } else { Outcome::Failed };
@@ -303,11 +303,11 @@
     for _ in 0..9 {
         world.now += 90.0;
         assert!(world.ledger.beat(world.now, no, fence));
-        world.with(|l, now, out| l.tick(now, out));
+        world.with(Ledger::tick);
         assert!(matches!(world.ledger.job(no).unwrap().state, State::Leased { .. }));
     }
     world.now = 1_000_000.0 + DUE;
-    world.with(|l, now, out| l.tick(now, out));
+    world.with(Ledger::tick);
     world.sync(9);
     assert_eq!(world.answers[&no], [Outcome::Failed], "its client is answered in time");
 }
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -101,6 +101,9 @@
 
 impl Decoder {
     /// At the start of a body of `most` bytes at the most; a stated length above that is refused at once.
+    ///
+    /// # Errors
+    /// Where the stated length is above `most`.
     pub fn new(framing: Framing, most: u64) -> Result<Decoder, BodyError> {
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::Done,
@@ -137,6 +140,9 @@
 
     /// Looks at the bytes at hand, which start where the last call and `took` left off. Moves past framing; payload
     /// is only counted off by `took`. A step of nothing asks for more bytes, unless the body `is_done`.
+    ///
+    /// # Errors
+    /// Where the bytes are not a body of this framing, or a bound on lines, trailers or payload is exceeded.
     pub fn step(&mut self, bytes: &[u8]) -> Result<Step, BodyError> {
         let mut skip = 0;
         loop {
@@ -156,50 +162,45 @@
                     _ => return Err(BodyError::ChunkEnd),
                 },
                 State::Line => {
-                    let Some(end) = line_end(rest, CHUNK_LINE, BodyError::Extension)? else {
-                        // What has come of the line must be able to become a size.
-                        chunk_size(rest, false)?;
+                    let Some(length) = self.step_chunk_line(rest)? else {
                         return Ok(Step { skip, payload: 0 });
                     };
-                    let line = &rest[..end];
-                    let size = chunk_size(line, true)?;
-                    self.extensions += if line.contains(&b';') { line.len() } else { 0 };
-                    let allowed = EXTENSIONS as u64 + self.seen / PAYLOAD_PER_EXTENSION;
-                    if self.extensions as u64 > allowed {
-                        return Err(BodyError::Extension);
-                    }
-                    skip += end + 2;
-                    self.state = match size {
-                        0 => State::Trailers,
-                        _ if size > self.most.saturating_sub(self.seen) => return Err(BodyError::TooLong),
-                        _ => State::Chunk(size),
-                    };
+                    skip += length;
                 }
                 State::Trailers => {
-                    let mut at = 0;
-                    loop {
-                        let Some(end) = line_end(&rest[at..], TRAILERS, BodyError::Trailers)? else {
-                            if rest.len() > TRAILERS {
-                                return Err(BodyError::Trailers);
-                            }
-                            return Ok(Step { skip, payload: 0 });
-                        };
-                        at += end + 2;
-                        if end == 0 {
-                            break;
-                        }
-                    }
-                    if at > TRAILERS {
-                        return Err(BodyError::Trailers);
-                    }
-                    self.trailers = trailers(&rest[..at])?;
-                    skip += at;
+                    let Some(length) = trailer_section(rest)? else {
+                        return Ok(Step { skip, payload: 0 });
+                    };
+                    self.trailers = trailers(&rest[..length])?;
+                    skip += length;
                     self.state = State::Done;
                 }
             }
         }
     }
 
+    /// Moves past a chunk's line. Returns its length with its line end; none where its end has not come.
+    fn step_chunk_line(&mut self, rest: &[u8]) -> Result<Option<usize>, BodyError> {
+        let Some(end) = line_end(rest, CHUNK_LINE, BodyError::Extension)? else {
+            // What has come of the line must be able to become a size.
+            chunk_size(rest, false)?;
+            return Ok(None);
+        };
+        let line = &rest[..end];
+        let size = chunk_size(line, true)?;
+        self.extensions += if line.contains(&b';') { line.len() } else { 0 };
+        let allowed = EXTENSIONS as u64 + self.seen / PAYLOAD_PER_EXTENSION;
+        if self.extensions as u64 > allowed {
+            return Err(BodyError::Extension);
+        }
+        self.state = match size {
+            0 => State::Trailers,
+            _ if size > self.most.saturating_sub(self.seen) => return Err(BodyError::TooLong),
+            _ => State::Chunk(size),
+        };
+        Ok(Some(end + 2))
+    }
+
     fn payload(&self, skip: usize, left: u64, at_hand: usize) -> Result<Step, BodyError> {
         if self.state == State::UntilClose && left > self.most.saturating_sub(self.seen) {
             return Err(BodyError::TooLong);
@@ -263,6 +264,27 @@
     if text.is_empty() { Ok(0) } else { u64::from_str_radix(text, 16).map_err(|_| BodyError::ChunkSize) }
 }
 
+/// The length of a trailer section with the empty line that ends it; none where that line has not come.
+fn trailer_section(bytes: &[u8]) -> Result<Option<usize>, BodyError> {
+    let mut at = 0;
+    loop {
+        let Some(end) = line_end(&bytes[at..], TRAILERS, BodyError::Trailers)? else {
+            if bytes.len() > TRAILERS {
+                return Err(BodyError::Trailers);
+            }
+            return Ok(None);
+        };
+        at += end + 2;
+        if end == 0 {
+            break;
+        }
+    }
+    if at > TRAILERS {
+        return Err(BodyError::Trailers);
+    }
+    Ok(Some(at))
+}
+
 /// The trailers of a section that may be passed on.
 fn trailers(section: &[u8]) -> Result<Vec<u8>, BodyError> {
     let mut lines = [httparse::EMPTY_HEADER; TRAILER_LINES];
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -42,6 +42,9 @@
 
 impl Conn {
     /// A connection that was accepted.
+    ///
+    /// # Errors
+    /// Where the socket's options cannot be set.
     pub fn accepted(stream: TcpStream) -> io::Result<Conn> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -49,6 +52,9 @@
     }
 
     /// Starts to open a connection. An error at once proves that nothing was sent.
+    ///
+    /// # Errors
+    /// Where the connection fails at once: nothing was sent.
     pub fn open(address: SocketAddr) -> io::Result<Conn> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
--- a/src/net/head.rs
+++ b/src/net/head.rs
@@ -56,6 +56,9 @@
 ///
 /// Refused, since two readers could see different messages in it: a length beside a transfer coding, two lengths, one
 /// that is no plain number, a coding other than `chunked`, a coding in HTTP/1.0, no or two `Host`s.
+///
+/// # Errors
+/// Where the bytes cannot become a valid head.
 pub fn request(ring: &mut Ring) -> Result<Option<RequestHead>, Bad> {
     let mut lines = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Request::new(&mut lines);
@@ -83,6 +86,9 @@
 }
 
 /// Takes an answer's head off the buffer, if it is whole; `to_head` tells that it answers a HEAD.
+///
+/// # Errors
+/// Where the bytes cannot become a valid head.
 pub fn answer(ring: &mut Ring, to_head: bool) -> Result<Option<AnswerHead>, Bad> {
     let mut lines = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -53,6 +53,9 @@
 }
 
 /// Takes a whole request off the buffer, if there is one.
+///
+/// # Errors
+/// Where the bytes cannot become a valid request.
 pub fn request(ring: &mut Ring) -> Result<Option<Message>, Bad> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -116,6 +119,9 @@
 }
 
 /// Takes a whole answer off the buffer, if there is one; `ended` tells that no more will come.
+///
+/// # Errors
+/// Where the bytes cannot become a valid answer, or it is cut short by the end.
 pub fn response(ring: &mut Ring, ended: bool) -> Result<Option<Message>, Bad> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -54,7 +54,10 @@
     }
 
     /// Listens; gives the listener's number and the address it got. A `shared` address may be held by another
-    /// process at once (SO_REUSEPORT), as the one that an upgrade replaces; the kernel deals connections out.
+    /// process at once (`SO_REUSEPORT`), as the one that an upgrade replaces; the kernel deals connections out.
+    ///
+    /// # Errors
+    /// Where the socket cannot be opened, bound, or registered for events.
     pub fn listen(&mut self, address: SocketAddr, shared: bool) -> io::Result<(usize, SocketAddr)> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -104,6 +107,9 @@
     }
 
     /// Starts to open a connection.
+    ///
+    /// # Errors
+    /// Where the connection fails at once, or cannot be registered for events: nothing was sent.
     pub fn open(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         let conn = Conn::open(address)?;
         self.add(conn)
