--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -47,6 +47,24 @@
     CutShort,
 }
 
+impl RequestProgress {
+    /// `unwritten` are the bytes still to be written of a body whose end was read; `blocked` tells that the server's socket
+    /// takes no more for now.
+    fn of(client: &Conn, server: &Conn, unwritten: Option<usize>, blocked: bool) -> RequestProgress {
+        if client.broken {
+            RequestProgress::ClientGone
+        } else if server.mute {
+            RequestProgress::NotTaken
+        } else if let Some(unwritten) = unwritten {
+            RequestProgress::Ended { is_written: unwritten == 0 }
+        } else if client.eof && !blocked {
+            RequestProgress::CutShort
+        } else {
+            RequestProgress::Underway
+        }
+    }
+}
+
 /// The answer, once its head was passed on.
 pub(super) struct Down {
     decoder: Decoder,
@@ -367,17 +385,7 @@
         let taken = (server.sent - sent) as usize;
         let piped = exchange.pipe.as_ref().map_or(0, Pipe::held);
         let held = server.tx.len() + piped + if done { 0 } else { client.rx.len() };
-        let progress = if client.broken {
-            RequestProgress::ClientGone
-        } else if server.mute {
-            RequestProgress::NotTaken
-        } else if done {
-            RequestProgress::Ended { is_written: held == 0 }
-        } else if client.eof && !blocked {
-            RequestProgress::CutShort
-        } else {
-            RequestProgress::Underway
-        };
+        let progress = RequestProgress::of(client, server, done.then_some(held), blocked);
         self.counters.up += taken as u64;
         self.flow.moved(turn, Moved { read, more, taken, held, blocked, full }, now);
         self.on_request_progress(net, stream, progress, now);
