--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -24,14 +24,14 @@
 
 /// Bytes that a lane which holds none may always read, however full the pool is. Guards a small request against all
 /// windows being full: it needs no more than this to pass.
-pub const LEAST: usize = 4 * 1024;
+pub const MIN_CHANNEL_BYTES: usize = 4 * 1024;
 
 /// Bytes that a lane may have moved and still have its turns before those of long lanes. Guards small requests: behind
 /// 200 full-speed streams a turn in line came 20 ms late, and a request needs two.
-pub const YOUNG: u64 = 64 * 1024;
+pub const SHORT_CHANNEL_BYTES: u64 = 64 * 1024;
 
 /// Turns of young lanes before a long one that waits has its own: the bound on what small requests take from streams.
-pub const STREAK: usize = 8;
+pub const MAX_SHORT_TURNS_IN_A_ROW: usize = 8;
 
 /// A stream, under an id that its owner gives it once.
 pub type StreamId = u64;
@@ -186,7 +186,7 @@
     streak: usize,
     /// Bytes that a turn may read.
     quantum: usize,
-    /// Bytes that all lanes may hold together, beside `LEAST` for each.
+    /// Bytes that all lanes may hold together, beside `MIN_CHANNEL_BYTES` for each.
     pool: usize,
     held: usize,
     /// Lanes that wait for room in the pool.
@@ -313,7 +313,7 @@
     }
 
     fn next_in_line(&mut self) -> Option<(StreamId, Way)> {
-        let young = self.streak < STREAK || self.turns.is_empty();
+        let young = self.streak < MAX_SHORT_TURNS_IN_A_ROW || self.turns.is_empty();
         let next = if young { self.young.pop_front() } else { None };
         if let Some(next) = next {
             self.streak += 1;
@@ -361,7 +361,7 @@
         let able = wants && credit > 0 || can_pass && !lane.blocked;
         if able && !lane.queued {
             lane.queued = true;
-            let line = if lane.passed < YOUNG { &mut self.young } else { &mut self.turns };
+            let line = if lane.passed < SHORT_CHANNEL_BYTES { &mut self.young } else { &mut self.turns };
             line.push_back((stream, way));
         } else if wants && credit == 0 && !lane.full && lane.held < window && !lane.thirsty {
             lane.thirsty = true;
@@ -380,7 +380,7 @@
             lane.thirsty = false;
             if !lane.queued && lane.reads() && lane.readable {
                 lane.queued = true;
-                let line = if lane.passed < YOUNG { &mut self.young } else { &mut self.turns };
+                let line = if lane.passed < SHORT_CHANNEL_BYTES { &mut self.young } else { &mut self.turns };
                 line.push_back((stream, way));
             }
         }
@@ -415,7 +415,7 @@
 /// Bytes that a lane may hold more.
 fn room(lane: &Lane, window: usize, pool: usize, held: usize) -> usize {
     let pooled = pool.saturating_sub(held);
-    let least = LEAST.saturating_sub(lane.held);
+    let least = MIN_CHANNEL_BYTES.saturating_sub(lane.held);
     window.saturating_sub(lane.held).min(pooled.max(least))
 }
 
--- a/src/flow/tests.rs
+++ b/src/flow/tests.rs
@@ -63,7 +63,7 @@
 fn a_lane_that_has_moved_little_goes_before_long_ones_and_not_always() {
     let mut flow = flow(200, 1 << 20, 1 << 30);
     let long = |flow: &mut Flow, turn| {
-        let taken = YOUNG as usize;
+        let taken = SHORT_CHANNEL_BYTES as usize;
         flow.moved(turn, Moved { read: 1_000, more: true, taken, held: 0, ..Moved::default() }, 0.0);
     };
     for _ in 0..400 {
@@ -88,7 +88,7 @@
             long(&mut flow, turn);
         }
     }
-    assert_eq!(longs, 90 / (STREAK + 1));
+    assert_eq!(longs, 90 / (MAX_SHORT_TURNS_IN_A_ROW + 1));
 }
 
 /// Guards the memory: a source is not read past the window while its sink takes nothing.
@@ -119,7 +119,7 @@
         let moved = Moved { read: turn.read, more: true, held: held[at], blocked: true, ..Moved::default() };
         flow.moved(turn, moved, 0.0);
     }
-    assert!(flow.held() >= 10_000 && flow.held() <= 10_000 + 3 * LEAST, "{}", flow.held());
+    assert!(flow.held() >= 10_000 && flow.held() <= 10_000 + 3 * MIN_CHANNEL_BYTES, "{}", flow.held());
     flow.open(9, allowance(1 << 20));
     flow.pass(9, Way::Up, 0, 1.0);
     assert_eq!(flow.turn(), Some(Turn { stream: 9, way: Way::Up, read: 1_000 }));
@@ -261,7 +261,7 @@
                 }
             }
             prop_assert_eq!(flow.held(), held.iter().sum::<usize>());
-            prop_assert!(flow.held() <= pool + 6 * LEAST);
+            prop_assert!(flow.held() <= pool + 6 * MIN_CHANNEL_BYTES);
             prop_assert!(held.iter().all(|&h| h <= window));
         }
         // All sinks take all, all sources have more: every lane gets a turn.
--- a/src/frontend/console/mod.rs
+++ b/src/frontend/console/mod.rs
@@ -8,13 +8,13 @@
 use crate::net::ConnId;
 
 /// Callers held at once; beyond it the one that came first makes room.
-const CALLERS: usize = 64;
+const MAX_CALLERS: usize = 64;
 /// How long a caller may take to send its line, in milliseconds.
-const SENDS: f64 = 2000.0;
+const READ_TIMEOUT_MS: f64 = 2000.0;
 /// How long an answered caller is left to read and end, in milliseconds.
-const LINGER: f64 = 1000.0;
+const LINGER_TIMEOUT_MS: f64 = 1000.0;
 /// Longest call, in bytes with its line end.
-const LINE: usize = 256;
+const MAX_CALL_BYTES: usize = 256;
 
 /// What an operator can ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -94,15 +94,15 @@
     /// Accepts callers. At the bound the one that came first makes room: callers that say nothing never keep
     /// out one that does.
     pub fn accept(&mut self, net: &mut Sockets, now: f64) {
-        for _ in 0..CALLERS {
+        for _ in 0..MAX_CALLERS {
             let Some(id) = net.accept(self.listener) else { return };
-            while self.callers.len() >= CALLERS {
+            while self.callers.len() >= MAX_CALLERS {
                 let first =
                     self.callers.iter().min_by(|a, b| a.1.came.total_cmp(&b.1.came)).map(|(&id, _)| id);
                 let Some(first) = first else { break };
                 self.drop(net, first);
             }
-            self.callers.insert(id, Caller { came: now, due: now + SENDS, answered: false });
+            self.callers.insert(id, Caller { came: now, due: now + READ_TIMEOUT_MS, answered: false });
         }
     }
 
@@ -122,10 +122,10 @@
             return None;
         }
         let bytes = conn.rx.bytes();
-        let end = bytes.iter().take(LINE).position(|&b| b == b'\n');
+        let end = bytes.iter().take(MAX_CALL_BYTES).position(|&b| b == b'\n');
         let heard = match end {
             Some(end) => Some(ParsedCall::read(&bytes[..end])),
-            None if bytes.len() >= LINE => Some(ParsedCall::Wrong("line too long")),
+            None if bytes.len() >= MAX_CALL_BYTES => Some(ParsedCall::Wrong("line too long")),
             None if conn.broken || conn.eof && bytes.is_empty() => {
                 self.drop(net, id);
                 return None;
@@ -150,7 +150,7 @@
     /// Writes a caller's answer; the connection ends once it is read.
     pub fn answer(&mut self, net: &mut Sockets, id: ConnId, now: f64, text: &str) {
         let Some(caller) = self.callers.get_mut(&id) else { return };
-        (caller.answered, caller.due) = (true, now + LINGER);
+        (caller.answered, caller.due) = (true, now + LINGER_TIMEOUT_MS);
         if !net.write(id, text.as_bytes()) {
             return self.drop(net, id);
         }
--- a/src/frontend/gearman/clients.rs
+++ b/src/frontend/gearman/clients.rs
@@ -10,7 +10,7 @@
 
 /// Jobs that one connection may wait for. Beyond it a client's further packets are left unread, and a worker that
 /// submits as well, and must be read, is told so.
-pub(super) const WAITS: usize = 256;
+pub(super) const MAX_AWAITED_ANSWERS: usize = 256;
 
 impl GearmanFrontend {
     /// Reads a client's packet; false where it does not read.
@@ -63,7 +63,7 @@
         if !peer.role.may_submit(&self.config.functions[number].tenant) {
             return self.error(net, id, "forbidden", "this identity may not submit this function");
         }
-        if peer.waits.len() >= WAITS {
+        if peer.waits.len() >= MAX_AWAITED_ANSWERS {
             return self.error(net, id, "too_many_jobs", "this connection waits for too many answers");
         }
         // The protocol's `-`: the data themselves tell jobs apart.
--- a/src/frontend/gearman/identity.rs
+++ b/src/frontend/gearman/identity.rs
@@ -13,7 +13,7 @@
 use crate::json::{JsonValue, field, text, texts};
 
 /// Time between two looks at the files, in milliseconds.
-const LOOK: f64 = 1000.0;
+const RELOAD_INTERVAL_MS: f64 = 1000.0;
 
 /// The operator's part on identities.
 #[derive(Clone, Debug)]
@@ -114,7 +114,7 @@
         if now < self.look {
             return;
         }
-        self.look = now + LOOK;
+        self.look = now + RELOAD_INTERVAL_MS;
         let stamps = stamps(&self.files);
         if stamps == self.stamps {
             return;
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -18,7 +18,7 @@
 use super::Sockets;
 use super::shutdown::Shutdown;
 use crate::core::{Clock, Command, Core, ListScope};
-use crate::net::{Conn, ConnId, HELD};
+use crate::net::{Conn, ConnId, MAX_BUFFERED_BYTES};
 use crate::routing::{EndpointId, JobId};
 
 pub use config::{Config, Function};
@@ -28,18 +28,18 @@
 use workers::Worker;
 
 /// How long a peer whose connection is ended may take to end its side, in milliseconds.
-const LINGER: f64 = 1000.0;
+const LINGER_TIMEOUT_MS: f64 = 1000.0;
 /// Sessions for each connection that may be open.
-const JOBS: usize = 16;
+const JOBS_PER_CONNECTION: usize = 16;
 /// Packets read from a connection before others have their turn.
-const TURNS: usize = 64;
+const MAX_PACKETS_PER_TURN: usize = 64;
 /// Bytes of answers that wait for a client to read them, above which its submissions are left unread.
-const MARK: usize = 32 * 1024;
+const HIGH_WATER_BYTES: usize = 32 * 1024;
 /// Bytes of answers that wait beside the connections' buffers, for all peers together. A client waits for
-/// `clients::WAITS` answers at most, of `HELD` bytes each; few are so slow at once.
-const OUTBOX: usize = 64 << 20;
+/// `clients::MAX_AWAITED_ANSWERS` answers at most, of `MAX_BUFFERED_BYTES` bytes each; few are so slow at once.
+const MAX_OUTBOX_BYTES: usize = 64 << 20;
 /// How long a peer may take to prove who it is and to send a whole packet, in milliseconds.
-const INTRODUCTION: f64 = 5000.0;
+const READ_TIMEOUT_MS: f64 = 5000.0;
 
 /// A dispatch: its session and its number.
 type FlightId = (JobId, usize);
@@ -158,7 +158,7 @@
     /// Where the identity files cannot be used.
     pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> Result<GearmanFrontend, String> {
         let identity = config.identity.clone().map(Identity::load).transpose()?;
-        let mut core = Core::new(config.site.clone(), seed, clock, config.peers * JOBS);
+        let mut core = Core::new(config.site.clone(), seed, clock, config.peers * JOBS_PER_CONNECTION);
         core.on_list(Vec::new(), ListScope::Complete);
         Ok(GearmanFrontend {
             core,
@@ -195,7 +195,7 @@
 
     /// Takes over a file that fits, and its identity.
     pub fn reload(&mut self, config: Config, identity: Option<Identity>) {
-        self.core.reconfigure(config.site.clone(), config.peers * JOBS);
+        self.core.reconfigure(config.site.clone(), config.peers * JOBS_PER_CONNECTION);
         self.record.adopt(config.record.0, config.record.1);
         (self.config, self.identity) = (config, identity);
     }
@@ -237,7 +237,7 @@
                 worker: None,
                 outbox: VecDeque::new(),
                 known,
-                sends: Some(since + INTRODUCTION),
+                sends: Some(since + READ_TIMEOUT_MS),
                 ends: None,
             };
             self.peers.insert(id, peer);
@@ -255,7 +255,7 @@
         loop {
             // Guards against one peer that sends without end and keeps all others waiting.
             turns += 1;
-            if turns > TURNS {
+            if turns > MAX_PACKETS_PER_TURN {
                 return self.later.push(id);
             }
             let (Some(conn), Some(peer)) = (net.conn(id), self.peers.get_mut(&id)) else { return };
@@ -277,7 +277,9 @@
             // Guards against a cut for a client that reads more slowly than answers come: what it submits is left
             // unread until it has taken some. A worker is read always, since what it says makes room.
             let unread = conn.tx.len() + peer.outbox.iter().map(Vec::len).sum::<usize>();
-            if peer.worker.is_none() && (unread > MARK || peer.waits.len() >= clients::WAITS) {
+            if peer.worker.is_none()
+                && (unread > HIGH_WATER_BYTES || peer.waits.len() >= clients::MAX_AWAITED_ANSWERS)
+            {
                 peer.sends = None;
                 return;
             }
@@ -286,7 +288,7 @@
             // Guards against peers that connect and say nothing, or send half a packet, and take others' places.
             match &read {
                 Ok(None) if begun && peer.sends.is_none() => {
-                    peer.sends = Some(self.core.clock().now() + INTRODUCTION);
+                    peer.sends = Some(self.core.clock().now() + READ_TIMEOUT_MS);
                 }
                 Ok(None) => {}
                 _ => peer.sends = None,
@@ -313,7 +315,7 @@
         if conn.eof || conn.broken {
             self.leave(net, id);
         } else if conn.is_written() && peer.ends.is_none() {
-            peer.ends = Some(self.core.clock().now() + LINGER);
+            peer.ends = Some(self.core.clock().now() + LINGER_TIMEOUT_MS);
             conn.end_writing();
         }
     }
@@ -356,7 +358,7 @@
             return;
         }
         let Some(conn) = net.conn(id) else { return };
-        if bytes.len() > HELD || self.outbox + bytes.len() > OUTBOX {
+        if bytes.len() > MAX_BUFFERED_BYTES || self.outbox + bytes.len() > MAX_OUTBOX_BYTES {
             conn.broken = true;
             return self.again.push_back(id);
         }
--- a/src/frontend/gearman/packets.rs
+++ b/src/frontend/gearman/packets.rs
@@ -3,8 +3,11 @@
 use crate::net::Ring;
 
 /// Longest body of a packet: a job of 64 KiB with its names.
-pub const BODY: usize = 68 * 1024;
-const HEADER: usize = 12;
+pub const MAX_BODY_BYTES: usize = 68 * 1024;
+/// Longest line of the administrative protocol that is read, with its end.
+const MAX_LINE_BYTES: usize = 1024;
+/// Length of a packet's header: magic, kind and length of the body, 4 bytes each.
+const HEADER_BYTES: usize = 12;
 
 /// Kinds of packets, by their numbers.
 #[allow(missing_docs)]
@@ -75,7 +78,7 @@
     match bytes.first() {
         None => Ok(None),
         Some(0) => {
-            if bytes.len() < HEADER {
+            if bytes.len() < HEADER_BYTES {
                 return Ok(None);
             }
             let word =
@@ -84,23 +87,23 @@
                 return Err("bad_magic");
             }
             let (kind, length) = (word(4), word(8) as usize);
-            if length > BODY {
+            if length > MAX_BODY_BYTES {
                 return Err("too_large");
             }
-            if bytes.len() < HEADER + length {
+            if bytes.len() < HEADER_BYTES + length {
                 return Ok(None);
             }
-            let body = bytes[HEADER..HEADER + length].to_vec();
-            ring.consume(HEADER + length);
+            let body = bytes[HEADER_BYTES..HEADER_BYTES + length].to_vec();
+            ring.consume(HEADER_BYTES + length);
             Ok(Some(Incoming::Packet { kind, body }))
         }
-        Some(_) => match bytes.iter().take(1024).position(|&b| b == b'\n') {
+        Some(_) => match bytes.iter().take(MAX_LINE_BYTES).position(|&b| b == b'\n') {
             Some(end) => {
                 let line = String::from_utf8_lossy(&bytes[..end]).trim().to_string();
                 ring.consume(end + 1);
                 Ok(Some(Incoming::Line(line)))
             }
-            None if bytes.len() >= 1024 => Err("line_too_long"),
+            None if bytes.len() >= MAX_LINE_BYTES => Err("line_too_long"),
             None => Ok(None),
         },
     }
--- a/src/frontend/gearman/record.rs
+++ b/src/frontend/gearman/record.rs
@@ -7,7 +7,7 @@
 use crate::routing::JobId;
 
 /// Lines looked at to make room for one.
-const LOOK: usize = 64;
+const MAX_ENTRIES_SCANNED: usize = 64;
 
 /// A job as its client names it: the function's number and the `unique`.
 pub type Key = (usize, Vec<u8>);
@@ -71,7 +71,7 @@
     pub fn make_room(&mut self, now: f64) -> bool {
         // The oldest first; those that must stay go to the end. A bounded look, so that a full record does not
         // cost each submission a walk through all of it.
-        for _ in 0..self.order.len().min(LOOK) {
+        for _ in 0..self.order.len().min(MAX_ENTRIES_SCANNED) {
             if self.lines.len() < self.entries && self.held < self.bytes {
                 return true;
             }
--- a/src/frontend/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -13,7 +13,7 @@
 use crate::routing::{Endpoint, EndpointId, EndpointStatus, JobId, LoadReport, Outcome};
 
 /// Jobs that a worker may hold or be offered.
-const HELD: usize = 64;
+const MAX_JOBS_PER_WORKER: usize = 64;
 
 /// A dispatch that a worker has fetched.
 struct Assigned {
@@ -231,7 +231,9 @@
     pub(super) fn offer(&mut self, net: &mut Sockets, flight: FlightId, server: EndpointId) {
         let now = self.core.clock().now();
         let id = self.servers.get(&server).copied();
-        let worker = id.and_then(|id| self.worker(id)).filter(|w| w.takes_work() && w.offered.len() < HELD);
+        let worker = id
+            .and_then(|id| self.worker(id))
+            .filter(|w| w.takes_work() && w.offered.len() < MAX_JOBS_PER_WORKER);
         let (Some(id), Some(worker)) = (id, worker) else {
             self.core.on_attempt_ended(
                 flight.0,
--- a/src/frontend/streaming/clients.rs
+++ b/src/frontend/streaming/clients.rs
@@ -6,15 +6,15 @@
 use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Decoder};
 use crate::net::head::{self, RequestHead};
-use crate::net::http::{self, Bad, HEAD};
-use crate::net::{ConnId, HELD};
+use crate::net::http::{self, Bad, MAX_HEAD_BYTES};
+use crate::net::{ConnId, MAX_BUFFERED_BYTES};
 
 /// How long the end of a connection waits for the peer to end its side, in milliseconds.
-const LINGER: f64 = 1000.0;
+const LINGER_TIMEOUT_MS: f64 = 1000.0;
 /// Bytes of a refused request that are read and dropped at once, lest they keep its client from its answer.
-const DRAINED: usize = 1 << 20;
+const MAX_DRAINED_BYTES: usize = 1 << 20;
 /// Methods that are not passed on: they ask for a tunnel, or for this very message back with its secrets.
-const REFUSED: [&str; 2] = ["CONNECT", "TRACE"];
+const REJECTED_METHODS: [&str; 2] = ["CONNECT", "TRACE"];
 
 /// What a client's connection is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
         loop {
             let Some(conn) = net.conn(id) else { return };
             conn.write_queued();
-            let more = conn.read_some((HEAD + 1).saturating_sub(conn.rx.len()));
+            let more = conn.read_some((MAX_HEAD_BYTES + 1).saturating_sub(conn.rx.len()));
             // Empty lines before a request are passed over (RFC 9112, 2.2).
             while conn.rx.front().starts_with(b"\r\n") {
                 conn.rx.consume(2);
@@ -138,7 +138,7 @@
         let Some(class) = self.config.table.class.iter().position(|c| c.name == name) else {
             return self.turn_away(net, id, 404, "no such class\n");
         };
-        if REFUSED.contains(&head.method.as_str()) {
+        if REJECTED_METHODS.contains(&head.method.as_str()) {
             return self.turn_away(net, id, 405, "no such method here\n");
         }
         let of = &self.config.classes[class];
@@ -172,8 +172,8 @@
         }
         if let Some(conn) = net.conn(id) {
             // What a window lets in beside what came with the head.
-            let most = of.allowance.window + HEAD + 1;
-            conn.rx.bound(most.max(HELD), of.allowance.window);
+            let most = of.allowance.window + MAX_HEAD_BYTES + 1;
+            conn.rx.bound(most.max(MAX_BUFFERED_BYTES), of.allowance.window);
         }
         let whole = up.is_done();
         let exchange = Exchange::new(id, class, of, tenant, head, up, hold, close);
@@ -210,19 +210,19 @@
         let until = self.now() + self.config.table.idle_s * 1e3;
         let (Some(client), Some(conn)) = (self.clients.get_mut(&id), net.conn(id)) else { return };
         (client.at, client.until) = (At::Idle, until);
-        conn.rx.bound(HELD, 0);
+        conn.rx.bound(MAX_BUFFERED_BYTES, 0);
         self.later.push(id);
     }
 
     /// A client's connection ends once its answer is written. What it still sends is read and dropped for a while: a
     /// close with bytes unread would take the answer back.
     pub(super) fn end_client(&mut self, net: &mut Sockets, id: ConnId) {
-        let until = self.now() + LINGER;
+        let until = self.now() + LINGER_TIMEOUT_MS;
         let (Some(client), Some(conn)) = (self.clients.get_mut(&id), net.conn(id)) else { return };
         if client.at != At::Ending {
             (client.at, client.until) = (At::Ending, until);
             conn.rx.consume(conn.rx.len());
-            conn.rx.bound(HELD, 0);
+            conn.rx.bound(MAX_BUFFERED_BYTES, 0);
             self.later.push(id);
         }
     }
@@ -236,7 +236,7 @@
         }
         let mut drained = 0;
         loop {
-            let more = conn.read_some(HELD);
+            let more = conn.read_some(MAX_BUFFERED_BYTES);
             drained += conn.rx.len();
             conn.rx.consume(conn.rx.len());
             if conn.eof && conn.closing || conn.broken {
@@ -246,7 +246,7 @@
                 return;
             }
             // Guards against a client that sends without end: others have their turn.
-            if drained >= DRAINED {
+            if drained >= MAX_DRAINED_BYTES {
                 return self.later.push(id);
             }
         }
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -7,16 +7,16 @@
 use thiserror::Error;
 
 use crate::core::{ListedEndpoint, micros};
-use crate::flow::{Allowance, Bounds, Dispatch, LEAST, Pace};
+use crate::flow::{Allowance, Bounds, Dispatch, MIN_CHANNEL_BYTES, Pace};
 use crate::routing::{
     Capabilities, Class, Endpoint, EndpointId, EndpointStatus, Idempotency, ServiceRules, Settings,
 };
 use crate::settings::{ClientClass, Site};
 
 /// Most of a body's prefix that can be held: it must fit a connection's buffer with its head.
-pub const MOST_HELD_KB: f64 = 64.0;
+pub const MAX_PREFIX_KB: f64 = 64.0;
 /// Shortest time between two calls of the module with different clocks, in milliseconds.
-const QUANTUM: f64 = 1.0;
+const CLOCK_QUANTUM_MS: f64 = 1.0;
 
 /// What is wrong with the table.
 #[derive(Clone, Debug, PartialEq, Error)]
@@ -334,8 +334,8 @@
         within("longest_s", self.longest_s, 0.001, 7.0 * 86_400.0);
         within("answer_s", self.answer_s, 0.001, self.longest_s);
         within("body_mb", self.body_mb, 0.001, 16.0 * 1024.0 * 1024.0);
-        within("window_kb", self.window_kb, LEAST as f64 / 1024.0, 4096.0);
-        within("hold_kb", self.hold_kb, 0.0, MOST_HELD_KB.min(self.window_kb));
+        within("window_kb", self.window_kb, MIN_CHANNEL_BYTES as f64 / 1024.0, 4096.0);
+        within("hold_kb", self.hold_kb, 0.0, MAX_PREFIX_KB.min(self.window_kb));
         within("least_kb_s", self.least_kb_s, 0.0, 1e9);
         within("over_s", self.over_s, 0.05, 3600.0);
         within("silence_s", self.silence_s, 0.05, 3600.0);
@@ -360,7 +360,7 @@
         }
         // Beside the pool each stream may read its least each way, and keep its prefix to send it again.
         let prefix = self.class.iter().map(|c| c.hold_kb).fold(0.0, f64::max);
-        let kept_kb = prefix + 2.0 * LEAST as f64 / 1024.0;
+        let kept_kb = prefix + 2.0 * MIN_CHANNEL_BYTES as f64 / 1024.0;
         let needed_mb = kept_kb * self.streams.total as f64 / 1024.0;
         if needed_mb + 1.0 > self.memory_mb {
             let (streams, given_mb) = (self.streams.total, self.memory_mb);
@@ -449,7 +449,7 @@
             number: self.number,
             dispatchers: self.dispatchers,
             zone: 0,
-            quantum: micros(QUANTUM),
+            quantum: micros(CLOCK_QUANTUM_MS),
             classes: self.class.iter().map(class).collect(),
             live_sizes: false,
             must_subscribe: self.discovery.is_some(),
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -25,7 +25,7 @@
 use upstream::Server;
 
 /// Bytes moved before the loop looks at the sockets again: what small requests wait for beside full-speed streams.
-const ROUND: usize = 1 << 20;
+const MAX_BYTES_PER_TICK: usize = 1 << 20;
 
 /// The front.
 pub struct StreamingFrontend {
@@ -224,7 +224,7 @@
         }
         self.carry_out(net);
         let mut moved = 0;
-        while moved < ROUND
+        while moved < MAX_BYTES_PER_TICK
             && let Some(turn) = self.flow.turn()
         {
             // A turn that moves nothing costs a call or two: as much as some bytes do.
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -8,16 +8,16 @@
 use crate::net::body::{BodyError, Decoder, Framing, chunk_head, last_chunk};
 use crate::net::head::{self, AnswerHead, RequestHead};
 use crate::net::http;
-use crate::net::{Conn, ConnId, PIPED, Pipe, Pipes};
+use crate::net::{Conn, ConnId, PIPE_CAPACITY_BYTES, Pipe, Pipes};
 use crate::routing::{EndpointId, JobId, LoadReport, Outcome};
 
 /// Interim answers that are passed on for one request.
-const INTERIM: u8 = 16;
+const MAX_INTERIM_ANSWERS: u8 = 16;
 /// Room that a chunk takes beside its payload: a size of 16 digits and two line ends.
-const CHUNK: usize = 20;
+const CHUNK_OVERHEAD_BYTES: usize = 20;
 
 /// Bytes left of a body for which a pipe is worth its two calls and descriptors.
-const LONG: u64 = 256 * 1024;
+const MIN_PIPED_BODY_BYTES: u64 = 256 * 1024;
 
 /// Where the request's body is.
 #[derive(Clone, Copy, Debug)]
@@ -204,7 +204,7 @@
         }
         let payload = &source.rx.front()[..at_hand];
         let taken = if chunked {
-            let taken = at_hand.min(sink.tx.room().saturating_sub(CHUNK));
+            let taken = at_hand.min(sink.tx.room().saturating_sub(CHUNK_OVERHEAD_BYTES));
             if taken > 0 {
                 let fits = sink.tx.push(&chunk_head(taken)) && sink.tx.push(&payload[..taken]);
                 debug_assert!(fits && sink.tx.room() >= 2, "the room was reckoned");
@@ -252,7 +252,7 @@
             return passed;
         }
         let left = usize::try_from(decoder.left().unwrap_or(0)).unwrap_or(usize::MAX);
-        let wanted = left.min(most - passed.read).min(PIPED);
+        let wanted = left.min(most - passed.read).min(PIPE_CAPACITY_BYTES);
         if wanted == 0 {
             return passed;
         }
@@ -277,7 +277,8 @@
     most: usize,
     keep: impl FnMut(&[u8]),
 ) -> Result<Passed, BodyError> {
-    let long = pipe.is_some() || decoder.left().is_some_and(|left| left >= LONG) && !framing.0;
+    let long =
+        pipe.is_some() || decoder.left().is_some_and(|left| left >= MIN_PIPED_BODY_BYTES) && !framing.0;
     if long && source.rx.is_empty() {
         sink.write_queued();
         if sink.tx.is_empty() {
@@ -514,7 +515,7 @@
             return self.attempt_over(net, stream, Outcome::Error);
         }
         let window = exchange.of.allowance.window;
-        server.rx.bound((window + http::HEAD + 1).max(crate::net::HELD), window);
+        server.rx.bound((window + http::MAX_HEAD_BYTES + 1).max(crate::net::MAX_BUFFERED_BYTES), window);
         let held = client.tx.len() + server.rx.len();
         self.flow.pass(stream, Way::Down, held, now);
         if done {
@@ -702,7 +703,7 @@
     pub(super) fn interim(&mut self, net: &mut Sockets, stream: StreamId, answer: &AnswerHead) -> bool {
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return false };
         exchange.interim += 1;
-        if answer.status == 101 || exchange.interim > INTERIM {
+        if answer.status == 101 || exchange.interim > MAX_INTERIM_ANSWERS {
             return false;
         }
         if exchange.head.old {
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -8,8 +8,8 @@
 use crate::flow::{StreamId, Way};
 use crate::frontend::Sockets;
 use crate::net::head;
-use crate::net::http::HEAD;
-use crate::net::{ConnId, HELD};
+use crate::net::http::MAX_HEAD_BYTES;
+use crate::net::{ConnId, MAX_BUFFERED_BYTES};
 use crate::routing::{EndpointId, JobId, Outcome};
 
 /// A connection to a backend server.
@@ -103,7 +103,7 @@
         if !(keep && whole) {
             return self.close_server(net, id);
         }
-        conn.rx.bound(HELD, 0);
+        conn.rx.bound(MAX_BUFFERED_BYTES, 0);
         (server.stream, server.until) = (None, f64::INFINITY);
         self.pool.put(server.worker, id, now);
     }
@@ -156,7 +156,7 @@
             let Some(exchange) = self.exchanges.get(&stream).filter(|e| e.down.is_none()) else { return };
             let Some((id, _)) = exchange.server else { return };
             let Some(conn) = net.conn(id) else { return };
-            let more = conn.read_some((HEAD + 1).saturating_sub(conn.rx.len()));
+            let more = conn.read_some((MAX_HEAD_BYTES + 1).saturating_sub(conn.rx.len()));
             let ended = conn.eof || conn.broken;
             match head::answer(&mut conn.rx, to_head) {
                 Ok(Some(answer)) if answer.status >= 200 => return self.begin_answer(net, stream, &answer),
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -8,17 +8,17 @@
 use thiserror::Error;
 
 /// Longest line of a chunk: its size and its extensions, in bytes. Extensions are dropped; longer ones are an attack.
-pub const CHUNK_LINE: usize = 256;
+pub const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// Bytes of chunk extensions that any body may have, and of payload that allow for one more. Guards against a body that
 /// is all extensions; a long one whose chunks each have a short one is let pass.
-pub const EXTENSIONS: usize = 16 * 1024;
-const PAYLOAD_PER_EXTENSION: u64 = 16;
+pub const MAX_EXTENSION_BYTES: usize = 16 * 1024;
+const PAYLOAD_BYTES_PER_EXTENSION_BYTE: u64 = 16;
 /// Longest trailer section, in bytes.
-pub const TRAILERS: usize = 8 * 1024;
+pub const MAX_TRAILER_BYTES: usize = 8 * 1024;
 /// Trailers in one section.
-const TRAILER_LINES: usize = 32;
+const MAX_TRAILERS: usize = 32;
 /// Trailers that would change how a message is read, where it goes or who sent it: never passed on (RFC 9110, 6.5.1).
-const FRAMING: [&str; 10] = [
+const FORBIDDEN_TRAILERS: [&str; 10] = [
     "transfer-encoding",
     "content-length",
     "content-encoding",
@@ -50,13 +50,13 @@
     /// A chunk's size is no hexadecimal number, or too large for one.
     #[error("a chunk's size does not read")]
     ChunkSize,
-    /// A chunk's line is longer than `CHUNK_LINE`, or all extensions longer than `EXTENSIONS`.
+    /// A chunk's line is longer than `MAX_CHUNK_LINE_BYTES`, or all extensions longer than `MAX_EXTENSION_BYTES`.
     #[error("a chunk's extensions are too long")]
     Extension,
     /// A chunk does not end where its size says.
     #[error("a chunk does not end where its size says")]
     ChunkEnd,
-    /// The trailers do not read, or are longer than `TRAILERS`.
+    /// The trailers do not read, or are longer than `MAX_TRAILER_BYTES`.
     #[error("the trailers do not read")]
     Trailers,
     /// There is more than the most that was allowed.
@@ -181,7 +181,7 @@
 
     /// Moves past a chunk's line. Returns its length with its line end; none where its end has not come.
     fn step_chunk_line(&mut self, rest: &[u8]) -> Result<Option<usize>, BodyError> {
-        let Some(end) = line_end(rest, CHUNK_LINE, BodyError::Extension)? else {
+        let Some(end) = line_end(rest, MAX_CHUNK_LINE_BYTES, BodyError::Extension)? else {
             // What has come of the line must be able to become a size.
             chunk_size(rest, false)?;
             return Ok(None);
@@ -189,7 +189,7 @@
         let line = &rest[..end];
         let size = chunk_size(line, true)?;
         self.extensions += if line.contains(&b';') { line.len() } else { 0 };
-        let allowed = EXTENSIONS as u64 + self.seen / PAYLOAD_PER_EXTENSION;
+        let allowed = MAX_EXTENSION_BYTES as u64 + self.seen / PAYLOAD_BYTES_PER_EXTENSION_BYTE;
         if self.extensions as u64 > allowed {
             return Err(BodyError::Extension);
         }
@@ -268,8 +268,8 @@
 fn trailer_section(bytes: &[u8]) -> Result<Option<usize>, BodyError> {
     let mut at = 0;
     loop {
-        let Some(end) = line_end(&bytes[at..], TRAILERS, BodyError::Trailers)? else {
-            if bytes.len() > TRAILERS {
+        let Some(end) = line_end(&bytes[at..], MAX_TRAILER_BYTES, BodyError::Trailers)? else {
+            if bytes.len() > MAX_TRAILER_BYTES {
                 return Err(BodyError::Trailers);
             }
             return Ok(None);
@@ -279,7 +279,7 @@
             break;
         }
     }
-    if at > TRAILERS {
+    if at > MAX_TRAILER_BYTES {
         return Err(BodyError::Trailers);
     }
     Ok(Some(at))
@@ -287,12 +287,14 @@
 
 /// The trailers of a section that may be passed on.
 fn trailers(section: &[u8]) -> Result<Vec<u8>, BodyError> {
-    let mut lines = [httparse::EMPTY_HEADER; TRAILER_LINES];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_TRAILERS];
     let Ok(httparse::Status::Complete((_, lines))) = httparse::parse_headers(section, &mut lines) else {
         return Err(BodyError::Trailers);
     };
     let mut out = Vec::new();
-    for line in lines.iter().filter(|l| !FRAMING.iter().any(|name| name.eq_ignore_ascii_case(l.name))) {
+    for line in
+        lines.iter().filter(|l| !FORBIDDEN_TRAILERS.iter().any(|name| name.eq_ignore_ascii_case(l.name)))
+    {
         out.extend_from_slice(line.name.as_bytes());
         out.extend_from_slice(b": ");
         out.extend_from_slice(line.value);
--- a/src/net/body/tests.rs
+++ b/src/net/body/tests.rs
@@ -71,7 +71,7 @@
 
 #[test]
 fn endless_extensions_and_trailers_are_refused() {
-    let long = [b"5;".as_slice(), &[b'a'; CHUNK_LINE]].concat();
+    let long = [b"5;".as_slice(), &[b'a'; MAX_CHUNK_LINE_BYTES]].concat();
     assert_eq!(read(Framing::Chunked, &long, &[1]), Err(BodyError::Extension));
     let many = b"1;aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\nx\r\n".repeat(400);
     assert_eq!(read(Framing::Chunked, &many, &[7]), Err(BodyError::Extension));
@@ -86,7 +86,7 @@
         rest = &rest[step.skip + step.payload..];
     }
     assert_eq!(decoder.seen(), 2000 * 1024);
-    let trailers = [b"0\r\n".as_slice(), &b"Etag: 7\r\n".repeat(TRAILERS / 9 + 1)].concat();
+    let trailers = [b"0\r\n".as_slice(), &b"Etag: 7\r\n".repeat(MAX_TRAILER_BYTES / 9 + 1)].concat();
     assert_eq!(read(Framing::Chunked, &trailers, &[1000]), Err(BodyError::Trailers));
     assert_eq!(Decoder::new(Framing::Length(11), 10).err(), Some(BodyError::TooLong));
 }
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -2,12 +2,12 @@
 //! the memory limit.
 
 /// Descriptors for the loop, signals, standard streams, listeners, discovery and what is being accepted.
-const RESERVED: usize = 48;
+const RESERVED_DESCRIPTORS: usize = 48;
 /// Descriptors planned with at most: memory is planned for no more.
-const MOST: usize = 4096;
+const MAX_DESCRIPTORS: usize = 4096;
 
 /// Connections of clients that have no session even when sessions are at their bound.
-const SPARE: usize = 64;
+const MAX_SPARE_CONNECTIONS: usize = 64;
 
 /// Connections of each sort that may be open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,10 +30,16 @@
     /// A quarter of the memory is for what clients send. Buffers double as they grow, bodies are copied once when
     /// they are passed on, and the rest is for answers, for the program itself and for the server table.
     pub fn of(sockets: usize, memory_mb: f64) -> Option<Budget> {
-        let left = sockets.min(MOST).checked_sub(RESERVED).filter(|&left| left >= 16)?;
+        let left =
+            sockets.min(MAX_DESCRIPTORS).checked_sub(RESERVED_DESCRIPTORS).filter(|&left| left >= 16)?;
         let clients = left - left / 4;
         let bytes = (memory_mb.max(1.0) * f64::from(1 << 20) / 4.0) as usize;
-        Some(Budget { clients, backends: left / 4, sessions: clients - (clients / 2).min(SPARE), bytes })
+        Some(Budget {
+            clients,
+            backends: left / 4,
+            sessions: clients - (clients / 2).min(MAX_SPARE_CONNECTIONS),
+            bytes,
+        })
     }
 }
 
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -12,7 +12,7 @@
 use super::ring::Ring;
 
 /// Most bytes of a connection held in a direction: a body of 64 KiB with its head.
-pub const HELD: usize = 96 * 1024;
+pub const MAX_BUFFERED_BYTES: usize = 96 * 1024;
 
 /// One connection.
 pub struct Conn {
@@ -73,8 +73,8 @@
             stream: Rc::new(stream),
             token: None,
             tls: None,
-            rx: Ring::new(HELD),
-            tx: Ring::new(HELD),
+            rx: Ring::new(MAX_BUFFERED_BYTES),
+            tx: Ring::new(MAX_BUFFERED_BYTES),
             connecting,
             eof: false,
             broken: false,
--- a/src/net/head.rs
+++ b/src/net/head.rs
@@ -3,10 +3,10 @@
 
 use super::Ring;
 use super::body::Framing;
-use super::http::{Bad, HEADERS, Headers, closes, head, owned, reason, value};
+use super::http::{Bad, Headers, MAX_HEADERS, closes, head, owned, reason, value};
 
 /// Headers of one hop, which are never passed on. `Expect` is passed on, as the server may answer it.
-const HOP: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -60,7 +60,7 @@
 /// # Errors
 /// Where the bytes cannot become a valid head.
 pub fn request(ring: &mut Ring) -> Result<Option<RequestHead>, Bad> {
-    let mut lines = [httparse::EMPTY_HEADER; HEADERS];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut lines);
     let bytes = ring.bytes();
     let Some(length) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
@@ -90,7 +90,7 @@
 /// # Errors
 /// Where the bytes cannot become a valid head.
 pub fn answer(ring: &mut Ring, to_head: bool) -> Result<Option<AnswerHead>, Bad> {
-    let mut lines = [httparse::EMPTY_HEADER; HEADERS];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
     let bytes = ring.bytes();
     let Some(length) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
@@ -135,7 +135,7 @@
         .collect();
     headers.iter().filter(move |(name, _)| {
         let name = name.to_ascii_lowercase();
-        !HOP.contains(&name.as_str()) && !named.contains(&name)
+        !HOP_BY_HOP_HEADERS.contains(&name.as_str()) && !named.contains(&name)
     })
 }
 
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -4,10 +4,10 @@
 use super::body::{BodyError, Decoder, Framing};
 
 /// Longest head that is read.
-pub const HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Longest body that is read.
-pub const BODY: usize = 64 * 1024;
-pub(super) const HEADERS: usize = 64;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+pub(super) const MAX_HEADERS: usize = 64;
 
 /// Headers by name and value.
 pub type Headers = Vec<(String, String)>;
@@ -57,7 +57,7 @@
 /// # Errors
 /// Where the bytes cannot become a valid request.
 pub fn request(ring: &mut Ring) -> Result<Option<Message>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let bytes = ring.bytes();
     let Some(head) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
@@ -98,7 +98,7 @@
 
 /// A chunked body's payload and the bytes that it took on the wire, once it is whole.
 fn dechunk(mut bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Bad> {
-    let mut decoder = Decoder::new(Framing::Chunked, BODY as u64).map_err(|_| Bad::TooLarge)?;
+    let mut decoder = Decoder::new(Framing::Chunked, MAX_BODY_BYTES as u64).map_err(|_| Bad::TooLarge)?;
     let (mut body, mut taken) = (Vec::new(), 0);
     loop {
         let step = decoder.step(bytes).map_err(|e| match e {
@@ -124,7 +124,7 @@
 /// Where the bytes cannot become a valid answer, or it is cut short by the end.
 pub fn response(ring: &mut Ring, ended: bool) -> Result<Option<Message>, Bad> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
         let bytes = ring.bytes();
         let Some(head) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
@@ -154,8 +154,8 @@
 /// The length of a head that was parsed out of so many bytes, if it is whole.
 pub(super) fn head(parsed: httparse::Result<usize>, bytes: usize) -> Result<Option<usize>, Bad> {
     match parsed {
-        Ok(httparse::Status::Complete(head)) if head <= HEAD => Ok(Some(head)),
-        Ok(httparse::Status::Partial) if bytes <= HEAD => Ok(None),
+        Ok(httparse::Status::Complete(head)) if head <= MAX_HEAD_BYTES => Ok(Some(head)),
+        Ok(httparse::Status::Partial) if bytes <= MAX_HEAD_BYTES => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Bad::TooLarge),
         Err(_) => Err(Bad::Malformed),
     }
@@ -187,7 +187,7 @@
         return Err(Bad::Malformed);
     }
     match value.parse::<usize>() {
-        Ok(length) if length <= BODY => Ok(Some(length)),
+        Ok(length) if length <= MAX_BODY_BYTES => Ok(Some(length)),
         _ => Err(Bad::TooLarge),
     }
 }
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn ring(bytes: &[u8]) -> Ring {
-    let mut ring = Ring::new(4 * BODY);
+    let mut ring = Ring::new(4 * MAX_BODY_BYTES);
     assert!(ring.push(bytes));
     ring
 }
@@ -21,6 +21,6 @@
     let message = request(&mut ring).unwrap().unwrap();
     assert_eq!((message.method.as_str(), message.body.as_slice()), ("POST", b"hello world".as_slice()));
     assert_eq!(ring.bytes(), b"GET");
-    let long = format!("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", BODY + 1);
+    let long = format!("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", MAX_BODY_BYTES + 1);
     assert_eq!(request(&mut self::tests::ring(long.as_bytes())).unwrap_err(), Bad::TooLarge);
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -19,13 +19,13 @@
 use socket2::{Domain, Socket, Type};
 
 pub use budget::Budget;
-pub use conn::{Conn, HELD};
+pub use conn::{Conn, MAX_BUFFERED_BYTES};
 pub use pool::Pool;
 pub use ring::Ring;
-pub use splice::{PIPED, Pipe, Pipes};
+pub use splice::{PIPE_CAPACITY_BYTES, Pipe, Pipes};
 
 /// Connections that may wait in a listener's backlog.
-const BACKLOG: i32 = 1024;
+const MAX_WAITING_CONNECTIONS: i32 = 1024;
 
 /// A connection's id, never used again.
 pub type ConnId = u64;
@@ -67,7 +67,7 @@
             socket.set_reuse_port(true)?;
         }
         socket.bind(&address.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(MAX_WAITING_CONNECTIONS)?;
         socket.set_nonblocking(true)?;
         let listener = Rc::new(TcpListener::from(socket));
         let (number, local) = (self.listeners.len(), listener.local_addr()?);
--- a/src/net/ring.rs
+++ b/src/net/ring.rs
@@ -1,7 +1,7 @@
 //! A ring buffer with a bound, one a direction of a connection.
 
 /// What an empty buffer keeps of its room.
-const KEPT: usize = 4096;
+const RETAINED_BYTES: usize = 4096;
 
 /// Bytes in order, at most so many.
 pub struct Ring {
@@ -16,7 +16,7 @@
 impl Ring {
     /// An empty buffer; room is made as bytes come.
     pub fn new(limit: usize) -> Ring {
-        Ring { store: Vec::new(), head: 0, len: 0, limit, kept: KEPT }
+        Ring { store: Vec::new(), head: 0, len: 0, limit, kept: RETAINED_BYTES }
     }
 
     /// Sets another bound, and what is kept of the room when it is empty. What it holds above the bound stays.
--- a/src/net/splice.rs
+++ b/src/net/splice.rs
@@ -10,9 +10,9 @@
 use super::Conn;
 
 /// Bytes that a pipe holds: what the system gives one unasked, 16 pages of 4 KiB.
-pub const PIPED: usize = 64 * 1024;
+pub const PIPE_CAPACITY_BYTES: usize = 64 * 1024;
 
-/// How many pipes there may be. Each takes two descriptors, and `PIPED` bytes of the system's memory.
+/// How many pipes there may be. Each takes two descriptors, and `PIPE_CAPACITY_BYTES` bytes of the system's memory.
 #[derive(Clone)]
 pub struct Pipes {
     most: usize,
@@ -55,14 +55,21 @@
     }
 }
 
-const FLAGS: SpliceFlags = SpliceFlags::NONBLOCK.union(SpliceFlags::MOVE);
+const SPLICE_FLAGS: SpliceFlags = SpliceFlags::NONBLOCK.union(SpliceFlags::MOVE);
 
 impl Conn {
     /// Moves so many bytes at the most into an empty pipe: how many, and whether there may be more at once. Not for
     /// TLS, and only while nothing that came before is in `rx`.
     pub fn splice_in(&mut self, pipe: &mut Pipe, most: usize) -> (usize, bool) {
         while !(self.eof || self.broken) {
-            match splice(&*self.stream, None, &pipe.write, None, most.min(PIPED - pipe.held), FLAGS) {
+            match splice(
+                &*self.stream,
+                None,
+                &pipe.write,
+                None,
+                most.min(PIPE_CAPACITY_BYTES - pipe.held),
+                SPLICE_FLAGS,
+            ) {
                 Ok(0) => self.eof = true,
                 Ok(count) => {
                     pipe.held += count;
@@ -80,7 +87,7 @@
     pub fn splice_out(&mut self, pipe: &mut Pipe) -> usize {
         let mut taken = 0;
         while pipe.held > 0 && !(self.broken || self.mute) {
-            match splice(&pipe.read, None, &*self.stream, None, pipe.held, FLAGS) {
+            match splice(&pipe.read, None, &*self.stream, None, pipe.held, SPLICE_FLAGS) {
                 Ok(count) if count > 0 => {
                     pipe.held -= count;
                     taken += count;
