--- a/src/flow/admission.rs
+++ b/src/flow/admission.rs
@@ -1,9 +1,9 @@
-//! How many streams there may be: in all, of a tenant, and at a server.
-
-use std::fmt::Display;
+//! Admission of streams: how many there may be in all, of one tenant, and at one endpoint.
 
 use rustc_hash::FxHashMap;
 
+use thiserror::Error;
+
 use crate::routing::{EndpointId, LoadReport};
 
 /// Bounds on streams.
@@ -13,29 +13,22 @@
     pub total: usize,
     /// Of one tenant; requests that name none count as one.
     pub tenant: usize,
-    /// At one backend server.
-    pub server: usize,
+    /// At one endpoint.
+    pub endpoint: usize,
 }
 
-/// Which bound is reached.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Full {
-    /// That on all streams.
+/// Why a stream is not admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum AdmissionError {
+    /// The bound on all streams is reached.
+    #[error("too many streams")]
     Total,
-    /// That on a tenant's.
+    /// The bound on the tenant's streams is reached.
+    #[error("too many streams of this tenant")]
     Tenant,
 }
 
-impl Display for Full {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            Full::Total => "too many streams",
-            Full::Tenant => "too many streams of this tenant",
-        })
-    }
-}
-
-/// Counts streams, and turns away what is beyond the bounds.
+/// Counts streams, and rejects those above the bounds.
 pub struct Admission {
     bounds: Bounds,
     total: usize,
@@ -43,34 +36,34 @@
 }
 
 impl Admission {
-    /// None yet.
+    /// No streams yet.
     pub fn new(bounds: Bounds) -> Admission {
         Admission { bounds, total: 0, tenants: FxHashMap::default() }
     }
 
-    /// Takes over other bounds; streams beyond them go on.
-    pub fn adopt(&mut self, bounds: Bounds) {
+    /// Takes over other bounds; streams above them go on.
+    pub fn reconfigure(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
-    /// Takes a stream in, unless a bound is reached. Each that was taken in is to be given back by `leave`.
+    /// Admits a stream. The caller must call `leave` once for each that was admitted.
     ///
     /// # Errors
     /// Where the bound on all streams, or on those of the tenant, is reached.
-    pub fn enter(&mut self, tenant: &str) -> Result<(), Full> {
+    pub fn enter(&mut self, tenant: &str) -> Result<(), AdmissionError> {
         if self.total >= self.bounds.total {
-            return Err(Full::Total);
+            return Err(AdmissionError::Total);
         }
         let of_tenant = self.tenants.get(tenant).copied().unwrap_or(0);
         if of_tenant >= self.bounds.tenant {
-            return Err(Full::Tenant);
+            return Err(AdmissionError::Tenant);
         }
         self.total += 1;
         self.tenants.insert(tenant.to_string(), of_tenant + 1);
         Ok(())
     }
 
-    /// A stream is over.
+    /// An admitted stream has ended.
     pub fn leave(&mut self, tenant: &str) {
         self.total = self.total.saturating_sub(1);
         if let Some(count) = self.tenants.get_mut(tenant) {
@@ -82,55 +75,56 @@
         }
     }
 
-    /// Streams there are.
+    /// How many streams there are.
     pub fn total(&self) -> usize {
         self.total
     }
 }
 
-/// Streams at each backend server, told to the decision module as its free slots: so it is the module that keeps
-/// the bound, by going on to another server or by holding the request.
+/// Counts the streams at each endpoint, and reports the rest of the bound to the decision module as free slots: the module
+/// keeps the bound, by going on to another endpoint or by holding the request.
 pub struct Slots {
-    each: usize,
-    out: FxHashMap<EndpointId, usize>,
+    per_endpoint: usize,
+    in_use: FxHashMap<EndpointId, usize>,
 }
 
 impl Slots {
-    /// What a server without a free slot counts as having in its queue: no request is better off waiting there.
-    const FULL: f64 = 1000.0;
+    /// Jobs that an endpoint without a free slot reports as queued: so many that no request is better off waiting there.
+    const QUEUE_WHEN_FULL: f64 = 1000.0;
 
-    /// So many at each server.
-    pub fn new(each: usize) -> Slots {
-        Slots { each, out: FxHashMap::default() }
+    /// `per_endpoint` slots at each endpoint, all of them free.
+    pub fn new(per_endpoint: usize) -> Slots {
+        Slots { per_endpoint, in_use: FxHashMap::default() }
     }
 
-    /// Takes over another bound; streams beyond it go on.
-    pub fn adopt(&mut self, each: usize) {
-        self.each = each;
+    /// Takes over another bound; streams above it go on.
+    pub fn reconfigure(&mut self, per_endpoint: usize) {
+        self.per_endpoint = per_endpoint;
     }
 
-    /// Takes a slot, if one is free.
-    pub fn take(&mut self, server: EndpointId) -> bool {
-        let out = self.out.entry(server).or_default();
-        let free = *out < self.each;
-        *out += usize::from(free);
-        free
+    /// Takes a slot. False if none is free.
+    pub fn take(&mut self, endpoint: EndpointId) -> bool {
+        let in_use = self.in_use.entry(endpoint).or_default();
+        let is_free = *in_use < self.per_endpoint;
+        *in_use += usize::from(is_free);
+        is_free
     }
 
-    /// Gives a slot back.
-    pub fn give_back(&mut self, server: EndpointId) {
-        if let Some(out) = self.out.get_mut(&server) {
-            *out -= 1;
-            if *out == 0 {
-                self.out.remove(&server);
+    /// Gives a slot back that `take` gave.
+    pub fn give_back(&mut self, endpoint: EndpointId) {
+        if let Some(in_use) = self.in_use.get_mut(&endpoint) {
+            *in_use -= 1;
+            if *in_use == 0 {
+                self.in_use.remove(&endpoint);
             }
         }
     }
 
-    /// What the module is to know of a server.
-    pub fn report(&self, server: EndpointId) -> LoadReport {
-        let free = self.each.saturating_sub(self.out.get(&server).copied().unwrap_or(0));
-        let queue = if free == 0 { Slots::FULL } else { 0.0 };
+    /// The load report of an endpoint.
+    pub fn report(&self, endpoint: EndpointId) -> LoadReport {
+        let in_use = self.in_use.get(&endpoint).copied().unwrap_or(0);
+        let free = self.per_endpoint.saturating_sub(in_use);
+        let queue = if free == 0 { Slots::QUEUE_WHEN_FULL } else { 0.0 };
         LoadReport { free_slots: Some(free as f64), queue: Some(queue), held: None }
     }
 }
--- a/src/flow/hold.rs
+++ b/src/flow/hold.rs
@@ -2,7 +2,7 @@
 
 /// When a request is dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dispatch {
+pub enum DispatchCondition {
     /// As soon as its head has come.
     Head,
     /// Once a prefix of its body has come, or all of it.
@@ -13,11 +13,11 @@
 
 /// What is to be done with a request that is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum HoldDecision {
     /// More of its body is to come.
     Wait,
     /// It is to be dispatched.
-    Go,
+    Dispatch,
     /// Its client is too slow.
     GiveUp,
 }
@@ -25,33 +25,39 @@
 /// A request that is held back.
 #[derive(Clone, Copy, Debug)]
 pub struct Hold {
-    when: Dispatch,
+    when: DispatchCondition,
+    /// Bytes of the body that are to have come.
     prefix: usize,
-    /// Bytes a millisecond.
-    least: f64,
-    began: f64,
+    min_bytes_per_ms: f64,
+    /// When the head came, in milliseconds of the clock.
+    started_at: f64,
 }
 
 impl Hold {
-    /// Time over which a pace is believed, in milliseconds: what came at once was in the sockets already.
-    const BELIEVED: f64 = 50.0;
+    /// Shortest time over which a pace is measured, in milliseconds: what comes at once was in the sockets already.
+    const MIN_MEASURED_MS: f64 = 50.0;
 
-    /// A request whose head came at `began`; `least` is in bytes a second.
-    pub fn new(when: Dispatch, prefix: usize, least: f64, began: f64) -> Hold {
-        Hold { when, prefix, least: least / 1e3, began }
+    /// A request whose head came at `started_at`, in milliseconds of the clock.
+    pub fn new(when: DispatchCondition, prefix: usize, min_bytes_per_s: f64, started_at: f64) -> Hold {
+        Hold { when, prefix, min_bytes_per_ms: min_bytes_per_s / 1e3, started_at }
     }
 
-    /// What to do now that so many bytes have come, or all.
-    pub fn next(&self, came: usize, whole: bool, now: f64) -> Next {
-        let enough = whole || came >= self.prefix;
+    /// What to do now that `received` bytes of the body have come; `is_complete` tells that these are all.
+    pub fn decide(&self, received: usize, is_complete: bool, now: f64) -> HoldDecision {
+        let has_prefix = is_complete || received >= self.prefix;
         match self.when {
-            Dispatch::Head => Next::Go,
-            _ if !enough => Next::Wait,
-            Dispatch::Prefix => Next::Go,
-            Dispatch::Pace => {
-                let span = now - self.began;
-                let kept = whole || span < Hold::BELIEVED || came as f64 >= self.least * span;
-                if kept { Next::Go } else { Next::GiveUp }
+            DispatchCondition::Head => HoldDecision::Dispatch,
+            _ if !has_prefix => HoldDecision::Wait,
+            DispatchCondition::Prefix => HoldDecision::Dispatch,
+            DispatchCondition::Pace => {
+                let elapsed_ms = now - self.started_at;
+                let is_too_early = elapsed_ms < Hold::MIN_MEASURED_MS;
+                let kept_pace = received as f64 >= self.min_bytes_per_ms * elapsed_ms;
+                if is_complete || is_too_early || kept_pace {
+                    HoldDecision::Dispatch
+                } else {
+                    HoldDecision::GiveUp
+                }
             }
         }
     }
--- a/src/flow/meter.rs
+++ b/src/flow/meter.rs
@@ -1,22 +1,22 @@
-//! The pace of one peer: how many bytes it moves while it is waited for.
+//! The pace of one peer: how many bytes it moves while it is waited for. Times are in milliseconds of the caller's clock.
 
-/// What is asked of a peer that is waited for.
+/// The least that a peer must do while it is waited for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
-    /// Bytes a second that it must move at the least; 0: any.
-    pub least: f64,
-    /// The time waited over which that is measured, in milliseconds.
-    pub over: f64,
+    /// Bytes a second that it must move; 0: any.
+    pub min_bytes_per_s: f64,
+    /// Time of waiting over which the bytes are measured, in milliseconds.
+    pub window_ms: f64,
     /// Longest wait without a byte, in milliseconds.
-    pub silence: f64,
+    pub max_silence_ms: f64,
 }
 
-/// How a peer failed.
+/// Why a peer is given up for its pace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It moved fewer bytes than asked.
+pub enum PaceFailure {
+    /// It moved fewer bytes than the least pace asks.
     Slow,
-    /// It moved none for too long.
+    /// It moved no byte for too long.
     Silent,
 }
 
@@ -26,74 +26,74 @@
 pub struct Meter {
     pace: Pace,
     /// Since when it has been waited for.
-    since: Option<f64>,
+    waiting_since: Option<f64>,
     /// When its last byte moved, or the wait for it began.
-    heard: f64,
-    /// Time waited in this window before `since`, and bytes moved in it.
-    waited: f64,
+    last_progress_at: f64,
+    /// Time waited in this window before `waiting_since`, and bytes moved in it.
+    waited_ms: f64,
     bytes: f64,
 }
 
 impl Meter {
     /// A meter of a peer that is not waited for yet.
     pub fn new(pace: Pace) -> Meter {
-        Meter { pace, since: None, heard: 0.0, waited: 0.0, bytes: 0.0 }
+        Meter { pace, waiting_since: None, last_progress_at: 0.0, waited_ms: 0.0, bytes: 0.0 }
     }
 
-    /// Whether the peer is waited for from now on.
-    pub fn waits(&mut self, waits: bool, now: f64) {
-        match self.since {
-            None if waits => (self.since, self.heard) = (Some(now), now),
-            Some(since) if !waits => {
-                self.waited += now - since;
-                self.since = None;
+    /// Tells whether the peer is waited for from now on.
+    pub fn set_waiting(&mut self, is_waiting: bool, now: f64) {
+        match self.waiting_since {
+            None if is_waiting => (self.waiting_since, self.last_progress_at) = (Some(now), now),
+            Some(since) if !is_waiting => {
+                self.waited_ms += now - since;
+                self.waiting_since = None;
             }
             _ => {}
         }
     }
 
     /// The peer moved bytes.
-    pub fn moved(&mut self, bytes: usize, now: f64) {
+    pub fn on_moved(&mut self, bytes: usize, now: f64) {
         if bytes == 0 {
             return;
         }
-        self.heard = now;
+        self.last_progress_at = now;
         self.bytes += bytes as f64;
         // Guards against a fast start that buys a long crawl: what is more than asked counts for this window only.
-        if self.bytes >= self.enough()
-            && self.waited + self.since.map_or(0.0, |since| now - since) >= self.pace.over
+        if self.bytes >= self.required_bytes()
+            && self.waited_ms + self.waiting_since.map_or(0.0, |since| now - since) >= self.pace.window_ms
         {
-            self.renew(now);
+            self.start_window(now);
         }
     }
 
-    fn enough(&self) -> f64 {
-        self.pace.least * self.pace.over / 1e3
+    fn required_bytes(&self) -> f64 {
+        self.pace.min_bytes_per_s * self.pace.window_ms / 1e3
     }
 
-    fn renew(&mut self, now: f64) {
-        (self.waited, self.bytes) = (0.0, 0.0);
-        self.since = self.since.map(|_| now);
+    fn start_window(&mut self, now: f64) {
+        (self.waited_ms, self.bytes) = (0.0, 0.0);
+        self.waiting_since = self.waiting_since.map(|_| now);
     }
 
     /// Whether the peer has failed by now. A window that it has kept begins anew.
-    pub fn check(&mut self, now: f64) -> Option<Verdict> {
-        let since = self.since?;
-        if now >= self.heard + self.pace.silence {
-            return Some(Verdict::Silent);
+    pub fn check(&mut self, now: f64) -> Option<PaceFailure> {
+        let since = self.waiting_since?;
+        if now >= self.last_progress_at + self.pace.max_silence_ms {
+            return Some(PaceFailure::Silent);
         }
-        if now >= since + self.pace.over - self.waited {
-            if self.bytes < self.enough() {
-                return Some(Verdict::Slow);
+        if now >= since + self.pace.window_ms - self.waited_ms {
+            if self.bytes < self.required_bytes() {
+                return Some(PaceFailure::Slow);
             }
-            self.renew(now);
+            self.start_window(now);
         }
         None
     }
 
     /// When to check next.
-    pub fn due(&self) -> f64 {
-        let Some(since) = self.since else { return f64::INFINITY };
-        (self.heard + self.pace.silence).min(since + self.pace.over - self.waited)
+    pub fn next_deadline(&self) -> f64 {
+        let Some(since) = self.waiting_since else { return f64::INFINITY };
+        (self.last_progress_at + self.pace.max_silence_ms).min(since + self.pace.window_ms - self.waited_ms)
     }
 }
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -1,51 +1,55 @@
 //! Flow: which stream is read next and how much of it, how much of it may be held, when it is to be dispatched, and
 //! when a peer that is too slow or too silent is given up.
 //!
-//! Owns the reckoning of bytes and of time, and nothing else: no socket, no buffer, no framing. What carries it out
-//! tells what happened (`readable`, `writable`, `moved`, `ended`) and does what it is told (`turn`, `expire`). Time
-//! is the caller's clock, in milliseconds, and must not run backwards.
+//! Owns the counts of bytes and the deadlines, and nothing else: no socket, no buffer, no framing. The caller reports what
+//! happened (`on_readable`, `on_writable`, `on_moved`, `on_source_ended`), moves bytes for each turn that `next_turn` gives,
+//! and closes what `expire` returns. Times are in milliseconds of the caller's clock, which must not run backwards.
 //!
-//! A stream has two lanes, up (client to server) and down (server to client). Of each lane the source is read only
-//! while the lane holds less than its window and the pool has room; the sink takes what is held. Lanes that can move
-//! have their turns in the order in which they became able to, so many bytes a turn; those that have moved little yet
-//! go before the others, up to so many in a row.
+//! A stream has two channels, up (client to server) and down (server to client). The source of a channel is read only
+//! while the channel holds less than its window and the pool has room; the sink takes what is held. Channels that can move
+//! bytes have their turns in the order in which they became able to, a quantum of bytes each. Channels that have moved few
+//! bytes yet (short ones) go before the others, up to `MAX_SHORT_TURNS_IN_A_ROW` turns in a row.
+//!
+//! A channel passes these phases:
+//!
+//! ```text
+//! Closed --hold--> Held --release--> Open --on_source_ended--> Draining
+//!    \-------------release-------------^
+//! any --pause--> Closed; Held --on_source_ended--> Closed; any other --on_source_ended--> Draining
+//! ```
 
 mod admission;
+mod channel;
 mod hold;
 mod meter;
+mod turns;
 
 use std::collections::VecDeque;
 
 use rustc_hash::FxHashMap;
 
-pub use admission::{Admission, Bounds, Full, Slots};
-pub use hold::{Dispatch, Hold, Next};
-pub use meter::{Meter, Pace, Verdict};
-
-/// Bytes that a lane which holds none may always read, however full the pool is. Guards a small request against all
-/// windows being full: it needs no more than this to pass.
-pub const MIN_CHANNEL_BYTES: usize = 4 * 1024;
-
-/// Bytes that a lane may have moved and still have its turns before those of long lanes. Guards small requests: behind
-/// 200 full-speed streams a turn in line came 20 ms late, and a request needs two.
-pub const SHORT_CHANNEL_BYTES: u64 = 64 * 1024;
+use channel::{Channel, Phase};
+use turns::{ChannelId, Turns};
 
-/// Turns of young lanes before a long one that waits has its own: the bound on what small requests take from streams.
-pub const MAX_SHORT_TURNS_IN_A_ROW: usize = 8;
+pub use admission::{Admission, AdmissionError, Bounds, Slots};
+pub use channel::MIN_CHANNEL_BYTES;
+pub use hold::{DispatchCondition, Hold, HoldDecision};
+pub use meter::{Meter, Pace, PaceFailure};
+pub use turns::{MAX_SHORT_TURNS_IN_A_ROW, SHORT_CHANNEL_BYTES};
 
 /// A stream, under an id that its owner gives it once.
 pub type StreamId = u64;
 
 /// A direction of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Way {
+pub enum Direction {
     /// From the client to the server.
     Up,
     /// From the server to the client.
     Down,
 }
 
-/// A side of a lane.
+/// A side of a channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// Where its bytes come from.
@@ -57,19 +61,19 @@
 /// What a stream's class allows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Bytes that a lane may hold.
+    /// Bytes that a channel may hold.
     pub window: usize,
-    /// What is asked of its peers.
+    /// The least pace of its peers.
     pub pace: Pace,
 }
 
-/// A lane's turn: read so many bytes at the most, and pass on what is held.
+/// A channel's turn: read `read` bytes at most, and pass on what is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Turn {
     /// The stream.
     pub stream: StreamId,
-    /// The lane.
-    pub way: Way,
+    /// The channel.
+    pub direction: Direction,
     /// Bytes that may be read; 0: none.
     pub read: usize,
 }
@@ -83,7 +87,7 @@
     pub more: bool,
     /// Bytes that the sink took.
     pub taken: usize,
-    /// Bytes that the lane now holds in all its buffers.
+    /// Bytes that the channel now holds in all its buffers.
     pub held: usize,
     /// The sink takes no more for now.
     pub blocked: bool,
@@ -97,100 +101,40 @@
 pub struct GiveUp {
     /// The stream.
     pub stream: StreamId,
-    /// The lane.
-    pub way: Way,
+    /// The channel.
+    pub direction: Direction,
     /// Which side of it failed.
     pub side: Side,
-    /// How.
-    pub verdict: Verdict,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
-    /// It has not begun, or it waits for something that is no byte.
-    Closed,
-    /// Bytes are read, and none may leave yet.
-    Held,
-    /// Bytes are read and passed on.
-    Open,
-    /// The source has ended; what is held is passed on.
-    Draining,
-}
-
-#[derive(Debug)]
-struct Lane {
-    phase: Phase,
-    held: usize,
-    /// The source may have bytes.
-    readable: bool,
-    /// The sink takes none.
-    blocked: bool,
-    /// Nothing more can be read before it does.
-    full: bool,
-    queued: bool,
-    /// It waits for room in the pool.
-    thirsty: bool,
-    /// Bytes that its sink has taken.
-    passed: u64,
-    source: Meter,
-    sink: Meter,
-}
-
-impl Lane {
-    fn new(pace: Pace) -> Lane {
-        Lane {
-            phase: Phase::Closed,
-            held: 0,
-            readable: false,
-            blocked: false,
-            full: false,
-            queued: false,
-            thirsty: false,
-            passed: 0,
-            source: Meter::new(pace),
-            sink: Meter::new(pace),
-        }
-    }
-
-    fn reads(&self) -> bool {
-        matches!(self.phase, Phase::Held | Phase::Open)
-    }
-
-    fn passes(&self) -> bool {
-        matches!(self.phase, Phase::Open | Phase::Draining)
-    }
+    /// Why.
+    pub failure: PaceFailure,
 }
 
 struct Stream {
     allowance: Allowance,
-    up: Lane,
-    down: Lane,
+    up: Channel,
+    down: Channel,
 }
 
 impl Stream {
-    fn lane(&mut self, way: Way) -> &mut Lane {
-        match way {
-            Way::Up => &mut self.up,
-            Way::Down => &mut self.down,
+    fn channel(&mut self, direction: Direction) -> &mut Channel {
+        match direction {
+            Direction::Up => &mut self.up,
+            Direction::Down => &mut self.down,
         }
     }
 }
 
-/// All streams of a front.
+/// All streams of a frontend.
 pub struct Flow {
     streams: FxHashMap<StreamId, Stream>,
-    turns: VecDeque<(StreamId, Way)>,
-    /// Turns of lanes that have moved little.
-    young: VecDeque<(StreamId, Way)>,
-    /// Turns of those in a row.
-    streak: usize,
+    turns: Turns,
     /// Bytes that a turn may read.
     quantum: usize,
-    /// Bytes that all lanes may hold together, beside `MIN_CHANNEL_BYTES` for each.
+    /// Bytes that all channels may hold together, beside `MIN_CHANNEL_BYTES` for each.
     pool: usize,
     held: usize,
-    /// Lanes that wait for room in the pool.
-    thirsty: VecDeque<(StreamId, Way)>,
+    /// Channels that wait for room in the pool.
+    starved: VecDeque<ChannelId>,
 }
 
 impl Flow {
@@ -198,231 +142,215 @@
     pub fn new(pool: usize, quantum: usize) -> Flow {
         Flow {
             streams: FxHashMap::default(),
-            turns: VecDeque::new(),
-            young: VecDeque::new(),
-            streak: 0,
+            turns: Turns::default(),
             quantum: quantum.max(1),
             pool,
             held: 0,
-            thirsty: VecDeque::new(),
+            starved: VecDeque::new(),
         }
     }
 
     /// Takes over other bounds. What is held above them drains.
-    pub fn adopt(&mut self, pool: usize, quantum: usize) {
+    pub fn reconfigure(&mut self, pool: usize, quantum: usize) {
         (self.pool, self.quantum) = (pool, quantum.max(1));
     }
 
-    /// Streams there are.
+    /// How many streams there are.
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
-    /// True if there are none.
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// Bytes held by all lanes together.
+    /// Bytes held by all channels together.
     pub fn held(&self) -> usize {
         self.held
     }
 
-    /// A stream begins, both lanes closed. Its id must be new.
+    /// A stream begins, both channels closed. Its id must be new.
     pub fn open(&mut self, stream: StreamId, allowance: Allowance) {
-        let lane = || Lane::new(allowance.pace);
-        self.streams.insert(stream, Stream { allowance, up: lane(), down: lane() });
+        let channel = || Channel::new(allowance.pace);
+        self.streams.insert(stream, Stream { allowance, up: channel(), down: channel() });
     }
 
     /// A stream is over; its turns are dropped.
     pub fn close(&mut self, stream: StreamId) {
         let Some(gone) = self.streams.remove(&stream) else { return };
         self.held -= gone.up.held + gone.down.held;
-        self.quench();
+        self.requeue_starved();
     }
 
-    /// A lane's source is read from now on, but nothing may leave it yet.
-    pub fn hold(&mut self, stream: StreamId, way: Way, now: f64) {
-        self.enter(stream, way, Phase::Held, now);
+    /// A channel's source is read from now on, but nothing may leave it yet.
+    pub fn hold(&mut self, stream: StreamId, direction: Direction, now: f64) {
+        self.enter(stream, direction, Phase::Held, now);
     }
 
-    /// A lane's source is read, and what it holds may leave, to a sink that has not been measured before. Its bytes so
-    /// far are in `held`.
-    pub fn pass(&mut self, stream: StreamId, way: Way, held: usize, now: f64) {
+    /// A channel's source is read, and what it holds may leave, to a sink that has not been measured before. `held` are the
+    /// bytes that it holds by now.
+    pub fn release(&mut self, stream: StreamId, direction: Direction, held: usize, now: f64) {
         let pace = self.streams.get(&stream).map(|s| s.allowance.pace);
-        if let Some((lane, pace)) = self.streams.get_mut(&stream).map(|s| s.lane(way)).zip(pace) {
+        if let Some((channel, pace)) = self.streams.get_mut(&stream).map(|s| s.channel(direction)).zip(pace) {
             // Guards a second server against what the first one was too slow in.
-            lane.sink = Meter::new(pace);
-            self.held = self.held + held - lane.held;
-            lane.held = held;
-            (lane.blocked, lane.full) = (false, false);
+            channel.sink = Meter::new(pace);
+            self.held = self.held + held - channel.held;
+            channel.held = held;
+            (channel.blocked, channel.full) = (false, false);
         }
-        self.enter(stream, way, Phase::Open, now);
+        self.enter(stream, direction, Phase::Open, now);
     }
 
-    /// A lane's source has given all that it will; what is held still leaves.
-    pub fn ended(&mut self, stream: StreamId, way: Way, now: f64) {
-        let phase = self.streams.get_mut(&stream).map(|s| s.lane(way).phase);
+    /// A channel's source has ended; what is held still leaves.
+    pub fn on_source_ended(&mut self, stream: StreamId, direction: Direction, now: f64) {
+        let phase = self.streams.get_mut(&stream).map(|s| s.channel(direction).phase);
         let next = if phase == Some(Phase::Held) { Phase::Closed } else { Phase::Draining };
-        self.enter(stream, way, next, now);
+        self.enter(stream, direction, next, now);
     }
 
-    /// A lane rests: its source is not waited for, and nothing leaves it.
-    pub fn rest(&mut self, stream: StreamId, way: Way, now: f64) {
-        self.enter(stream, way, Phase::Closed, now);
+    /// Closes a channel for now: its source is not waited for, and nothing leaves it.
+    pub fn pause(&mut self, stream: StreamId, direction: Direction, now: f64) {
+        self.enter(stream, direction, Phase::Closed, now);
     }
 
-    fn enter(&mut self, stream: StreamId, way: Way, phase: Phase, now: f64) {
-        let Some(lane) = self.streams.get_mut(&stream).map(|s| s.lane(way)) else { return };
-        lane.phase = phase;
+    fn enter(&mut self, stream: StreamId, direction: Direction, phase: Phase, now: f64) {
+        let Some(channel) = self.streams.get_mut(&stream).map(|s| s.channel(direction)) else { return };
+        channel.phase = phase;
         // Bytes may have come before anybody wanted them.
-        lane.readable = lane.reads();
-        self.look(stream, way, now);
+        channel.readable = channel.reads();
+        self.reschedule(stream, direction, now);
     }
 
-    /// A lane's source may have bytes, or its end.
-    pub fn readable(&mut self, stream: StreamId, way: Way, now: f64) {
-        if let Some(lane) = self.streams.get_mut(&stream).map(|s| s.lane(way)) {
-            lane.readable = true;
-            self.look(stream, way, now);
+    /// A channel's source may have bytes, or its end.
+    pub fn on_readable(&mut self, stream: StreamId, direction: Direction, now: f64) {
+        if let Some(channel) = self.streams.get_mut(&stream).map(|s| s.channel(direction)) {
+            channel.readable = true;
+            self.reschedule(stream, direction, now);
         }
     }
 
-    /// A lane's sink may take bytes.
-    pub fn writable(&mut self, stream: StreamId, way: Way, now: f64) {
-        if let Some(lane) = self.streams.get_mut(&stream).map(|s| s.lane(way)) {
-            (lane.blocked, lane.full) = (false, false);
-            self.look(stream, way, now);
+    /// A channel's sink may take bytes.
+    pub fn on_writable(&mut self, stream: StreamId, direction: Direction, now: f64) {
+        if let Some(channel) = self.streams.get_mut(&stream).map(|s| s.channel(direction)) {
+            (channel.blocked, channel.full) = (false, false);
+            self.reschedule(stream, direction, now);
         }
     }
 
-    /// Whose turn it is. Each turn given is to be answered by `moved`, unless its stream is closed meanwhile.
-    pub fn turn(&mut self) -> Option<Turn> {
-        while let Some((stream, way)) = self.next_in_line() {
-            let (pool, held, quantum) = (self.pool, self.held, self.quantum);
+    /// Whose turn it is. Each turn given is to be answered by `on_moved`, unless its stream is closed meanwhile.
+    pub fn next_turn(&mut self) -> Option<Turn> {
+        while let Some((stream, direction)) = self.turns.pop() {
+            let (pooled, quantum) = (self.pooled(), self.quantum);
             let Some(s) = self.streams.get_mut(&stream) else { continue };
             let window = s.allowance.window;
-            let lane = s.lane(way);
-            lane.queued = false;
-            let read = credit(lane, window, pool, held).min(quantum);
-            if read > 0 || lane.passes() && lane.held > 0 && !lane.blocked {
-                return Some(Turn { stream, way, read });
+            let channel = s.channel(direction);
+            channel.queued = false;
+            let read = channel.credit(window, pooled).min(quantum);
+            if read > 0 || channel.passes() && channel.held > 0 && !channel.blocked {
+                return Some(Turn { stream, direction, read });
             }
         }
         None
     }
 
-    fn next_in_line(&mut self) -> Option<(StreamId, Way)> {
-        let young = self.streak < MAX_SHORT_TURNS_IN_A_ROW || self.turns.is_empty();
-        let next = if young { self.young.pop_front() } else { None };
-        if let Some(next) = next {
-            self.streak += 1;
-            return Some(next);
-        }
-        self.streak = 0;
-        self.turns.pop_front()
-    }
-
     /// Whether a turn waits.
     pub fn has_turns(&self) -> bool {
-        !(self.turns.is_empty() && self.young.is_empty())
+        !self.turns.is_empty()
     }
 
     /// What came of a turn.
-    pub fn moved(&mut self, turn: Turn, moved: Moved, now: f64) {
-        let Some(lane) = self.streams.get_mut(&turn.stream).map(|s| s.lane(turn.way)) else { return };
-        let before = lane.held;
-        self.held = self.held + moved.held - lane.held;
-        lane.held = moved.held;
-        // Guards against turns without end for a lane that waits for its sink: they would keep the whole loop busy.
-        (lane.blocked, lane.full) = (moved.blocked, moved.blocked && moved.full);
-        lane.readable = moved.more;
-        lane.source.moved(moved.read, now);
-        lane.sink.moved(moved.taken, now);
-        lane.passed += moved.taken as u64;
-        self.look(turn.stream, turn.way, now);
+    pub fn on_moved(&mut self, turn: Turn, moved: Moved, now: f64) {
+        let Some(channel) = self.streams.get_mut(&turn.stream).map(|s| s.channel(turn.direction)) else {
+            return;
+        };
+        let before = channel.held;
+        self.held = self.held + moved.held - channel.held;
+        channel.held = moved.held;
+        // Guards against turns without end for a channel that waits for its sink: they would keep the whole loop busy.
+        (channel.blocked, channel.full) = (moved.blocked, moved.blocked && moved.full);
+        channel.readable = moved.more;
+        channel.source.on_moved(moved.read, now);
+        channel.sink.on_moved(moved.taken, now);
+        channel.passed += moved.taken as u64;
+        self.reschedule(turn.stream, turn.direction, now);
         if moved.held < before {
-            self.quench();
+            self.requeue_starved();
         }
     }
 
-    /// Queues a lane that can move, and tells its meters who is waited for.
-    fn look(&mut self, stream: StreamId, way: Way, now: f64) {
-        let (pool, held) = (self.pool, self.held);
+    /// Queues a channel that can move, and tells its meters who is waited for.
+    fn reschedule(&mut self, stream: StreamId, direction: Direction, now: f64) {
+        let pooled = self.pooled();
         let Some(s) = self.streams.get_mut(&stream) else { return };
         let window = s.allowance.window;
-        let lane = s.lane(way);
-        let credit = credit(lane, window, pool, held);
-        let wants = lane.reads() && lane.readable;
-        let can_pass = lane.passes() && lane.held > 0;
+        let channel = s.channel(direction);
+        let credit = channel.credit(window, pooled);
+        let wants = channel.reads() && channel.readable;
+        let can_pass = channel.passes() && channel.held > 0;
         // A source is waited for while it could be read and has nothing; a sink while it leaves what is held.
-        lane.source.waits(lane.reads() && !lane.readable && room(lane, window, pool, held) > 0, now);
-        lane.sink.waits(can_pass && lane.blocked, now);
-        let able = wants && credit > 0 || can_pass && !lane.blocked;
-        if able && !lane.queued {
-            lane.queued = true;
-            let line = if lane.passed < SHORT_CHANNEL_BYTES { &mut self.young } else { &mut self.turns };
-            line.push_back((stream, way));
-        } else if wants && credit == 0 && !lane.full && lane.held < window && !lane.thirsty {
-            lane.thirsty = true;
-            self.thirsty.push_back((stream, way));
+        channel
+            .source
+            .set_waiting(channel.reads() && !channel.readable && channel.room(window, pooled) > 0, now);
+        channel.sink.set_waiting(can_pass && channel.blocked, now);
+        let able = wants && credit > 0 || can_pass && !channel.blocked;
+        if able && !channel.queued {
+            channel.queued = true;
+            self.turns.push((stream, direction), channel.passed);
+        } else if wants && credit == 0 && !channel.full && channel.held < window && !channel.starved {
+            channel.starved = true;
+            self.starved.push_back((stream, direction));
         }
     }
 
-    /// Lets lanes that waited for the pool look again.
-    fn quench(&mut self) {
+    /// Bytes that are left in the pool.
+    fn pooled(&self) -> usize {
+        self.pool.saturating_sub(self.held)
+    }
+
+    /// Queues the channels that wait for the pool, once it has room.
+    fn requeue_starved(&mut self) {
         if self.held >= self.pool {
             return;
         }
-        for _ in 0..self.thirsty.len() {
-            let Some((stream, way)) = self.thirsty.pop_front() else { return };
-            let Some(lane) = self.streams.get_mut(&stream).map(|s| s.lane(way)) else { continue };
-            lane.thirsty = false;
-            if !lane.queued && lane.reads() && lane.readable {
-                lane.queued = true;
-                let line = if lane.passed < SHORT_CHANNEL_BYTES { &mut self.young } else { &mut self.turns };
-                line.push_back((stream, way));
+        for _ in 0..self.starved.len() {
+            let Some((stream, direction)) = self.starved.pop_front() else { return };
+            let Some(channel) = self.streams.get_mut(&stream).map(|s| s.channel(direction)) else { continue };
+            channel.starved = false;
+            if !channel.queued && channel.reads() && channel.readable {
+                channel.queued = true;
+                self.turns.push((stream, direction), channel.passed);
             }
         }
     }
 
-    /// Peers that have been too slow or too silent by now. Each is told once; its stream is to be closed, or the lane
-    /// put to another use.
+    /// Peers that have been too slow or too silent by now, by stream. The caller is to close the stream, or to pause or
+    /// release the channel.
     pub fn expire(&mut self, now: f64) -> Vec<GiveUp> {
         let mut out = Vec::new();
         for (&stream, s) in &mut self.streams {
-            for way in [Way::Up, Way::Down] {
-                let lane = s.lane(way);
-                let source = lane.source.check(now).map(|verdict| (Side::Source, verdict));
-                let verdict = source.or_else(|| lane.sink.check(now).map(|verdict| (Side::Sink, verdict)));
-                if let Some((side, verdict)) = verdict {
-                    out.push(GiveUp { stream, way, side, verdict });
+            for direction in [Direction::Up, Direction::Down] {
+                let channel = s.channel(direction);
+                let source = channel.source.check(now).map(|failure| (Side::Source, failure));
+                let failure = source.or_else(|| channel.sink.check(now).map(|failure| (Side::Sink, failure)));
+                if let Some((side, failure)) = failure {
+                    out.push(GiveUp { stream, direction, side, failure });
                 }
             }
         }
-        // The map's order must not decide.
-        out.sort_unstable_by_key(|g| (g.stream, g.way == Way::Down));
+        // The order of a hash map must not decide who is given up first.
+        out.sort_unstable_by_key(|g| (g.stream, g.direction == Direction::Down));
         out
     }
 
     /// When `expire` is to be called next, at the latest.
-    pub fn due(&self) -> f64 {
-        let lanes = self.streams.values().flat_map(|s| [&s.up, &s.down]);
-        lanes.map(|lane| lane.source.due().min(lane.sink.due())).fold(f64::INFINITY, f64::min)
+    pub fn next_deadline(&self) -> f64 {
+        let channels = self.streams.values().flat_map(|s| [&s.up, &s.down]);
+        channels
+            .map(|channel| channel.source.next_deadline().min(channel.sink.next_deadline()))
+            .fold(f64::INFINITY, f64::min)
     }
 }
 
-/// Bytes that a lane may hold more.
-fn room(lane: &Lane, window: usize, pool: usize, held: usize) -> usize {
-    let pooled = pool.saturating_sub(held);
-    let least = MIN_CHANNEL_BYTES.saturating_sub(lane.held);
-    window.saturating_sub(lane.held).min(pooled.max(least))
-}
-
-/// Bytes that a lane may read now.
-fn credit(lane: &Lane, window: usize, pool: usize, held: usize) -> usize {
-    if lane.reads() && lane.readable && !lane.full { room(lane, window, pool, held) } else { 0 }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -196,7 +196,7 @@
     /// Takes over a file that fits, and its identity.
     pub fn reload(&mut self, config: Config, identity: Option<Identity>) {
         self.core.reconfigure(config.site.clone(), config.peers * JOBS_PER_CONNECTION);
-        self.record.adopt(config.record.0, config.record.1);
+        self.record.reconfigure(config.record.0, config.record.1);
         (self.config, self.identity) = (config, identity);
     }
 
--- a/src/frontend/gearman/record.rs
+++ b/src/frontend/gearman/record.rs
@@ -57,7 +57,7 @@
     }
 
     /// Takes over other bounds.
-    pub fn adopt(&mut self, entries: usize, bytes: usize) {
+    pub fn reconfigure(&mut self, entries: usize, bytes: usize) {
         (self.entries, self.bytes) = (entries, bytes);
     }
 
--- a/src/frontend/streaming/clients.rs
+++ b/src/frontend/streaming/clients.rs
@@ -2,7 +2,7 @@
 
 use super::StreamingFrontend;
 use super::relay::{Exchange, Up};
-use crate::flow::{Dispatch, Hold, StreamId, Way};
+use crate::flow::{Direction, DispatchCondition, Hold, StreamId};
 use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Decoder};
 use crate::net::head::{self, RequestHead};
@@ -25,7 +25,7 @@
     Head,
     /// A stream has it.
     Busy(StreamId),
-    /// Its last answer is out or on its way; what it still sends is dropped.
+    /// Its last answer is out or on its direction; what it still sends is dropped.
     Ending,
 }
 
@@ -85,8 +85,8 @@
                 if conn.is_reset() {
                     return self.client_gone(net, stream);
                 }
-                self.flow.readable(stream, Way::Up, now);
-                self.flow.writable(stream, Way::Down, now);
+                self.flow.on_readable(stream, Direction::Up, now);
+                self.flow.on_writable(stream, Direction::Down, now);
             }
             At::Ending => self.drain(net, id),
             At::Idle | At::Head => self.read_head(net, id),
@@ -161,8 +161,8 @@
         }
         // The server is to say whether it wants the body: there is nothing to hold back for.
         let asks = http::value(&head.headers, "expect").is_some();
-        let when = if asks { Dispatch::Head } else { of.dispatch };
-        let hold = Hold::new(when, of.hold, of.allowance.pace.least, now);
+        let when = if asks { DispatchCondition::Head } else { of.dispatch };
+        let hold = Hold::new(when, of.hold, of.allowance.pace.min_bytes_per_s, now);
         let (of, close) = (of.clone(), head.close);
         self.last += 1;
         let stream = self.last;
@@ -181,7 +181,7 @@
         if whole || asks {
             return self.route(net, stream);
         }
-        self.flow.hold(stream, Way::Up, now);
+        self.flow.hold(stream, Direction::Up, now);
     }
 
     /// Writes an answer of the front's own to a client that is at no stream (any more).
@@ -296,11 +296,11 @@
     pub(super) fn consider(&mut self, net: &mut Sockets, stream: StreamId, now: f64) {
         let Some(exchange) = self.exchanges.get(&stream) else { return };
         let Up::Held(hold) = &exchange.up else { return };
-        let came = exchange.prefix.as_ref().map_or(0, Vec::len);
-        match hold.next(came, exchange.decoder.is_done(), now) {
-            crate::flow::Next::Wait => {}
-            crate::flow::Next::Go => self.route(net, stream),
-            crate::flow::Next::GiveUp => {
+        let received = exchange.prefix.as_ref().map_or(0, Vec::len);
+        match hold.decide(received, exchange.decoder.is_done(), now) {
+            crate::flow::HoldDecision::Wait => {}
+            crate::flow::HoldDecision::Dispatch => self.route(net, stream),
+            crate::flow::HoldDecision::GiveUp => {
                 self.counters.slow_clients += 1;
                 self.refuse(net, stream, 408, 0.0);
             }
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::core::{ListedEndpoint, micros};
-use crate::flow::{Allowance, Bounds, Dispatch, MIN_CHANNEL_BYTES, Pace};
+use crate::flow::{Allowance, Bounds, DispatchCondition, MIN_CHANNEL_BYTES, Pace};
 use crate::routing::{
     Capabilities, Class, Endpoint, EndpointId, EndpointStatus, Idempotency, ServiceRules, Settings,
 };
@@ -70,7 +70,7 @@
     pub listen: SocketAddr,
     /// Client connections at most.
     pub connections: usize,
-    /// The memory for bodies on their way, in MiB.
+    /// The memory for bodies on their direction, in MiB.
     pub memory_mb: f64,
     /// Bytes read of one stream before others have their turn, in KiB.
     pub turn_kb: f64,
@@ -230,10 +230,10 @@
     /// How long the answer may take to begin once all of the request is with its server.
     #[serde(default = "answer_s")]
     pub answer_s: f64,
-    /// Most of a body, each way, in MiB.
+    /// Most of a body, each direction, in MiB.
     #[serde(default = "body_mb")]
     pub body_mb: f64,
-    /// Bytes held each way, in KiB.
+    /// Bytes held each direction, in KiB.
     #[serde(default = "kb")]
     pub window_kb: f64,
     /// The prefix that is held, and can be sent again, in KiB.
@@ -287,7 +287,7 @@
     /// Windows and pace.
     pub allowance: Allowance,
     /// When its requests are dispatched.
-    pub dispatch: Dispatch,
+    pub dispatch: DispatchCondition,
     /// The prefix.
     pub hold: usize,
     /// Most of a body.
@@ -309,7 +309,7 @@
     pub classes: Vec<StreamClass>,
     /// Bounds on streams.
     pub bounds: Bounds,
-    /// Bytes that all lanes may hold together.
+    /// Bytes that all channels may hold together.
     pub pool: usize,
     /// Bytes of a turn.
     pub quantum: usize,
@@ -358,7 +358,7 @@
         if self.servers.is_empty() == self.discovery.is_none() {
             errors.push(ConfigError::Servers);
         }
-        // Beside the pool each stream may read its least each way, and keep its prefix to send it again.
+        // Beside the pool each stream may read its least each direction, and keep its prefix to send it again.
         let prefix = self.class.iter().map(|c| c.hold_kb).fold(0.0, f64::max);
         let kept_kb = prefix + 2.0 * MIN_CHANNEL_BYTES as f64 / 1024.0;
         let needed_mb = kept_kb * self.streams.total as f64 / 1024.0;
@@ -374,7 +374,7 @@
         Ok(Config {
             site: self.site(),
             classes: self.class.iter().map(ClassTable::stream).collect(),
-            bounds: Bounds { total, tenant, server },
+            bounds: Bounds { total, tenant, endpoint: server },
             pool,
             quantum: (self.turn_kb * 1024.0) as usize,
             lines: self.servers.iter().map(ServerTable::line).collect(),
@@ -482,14 +482,17 @@
 impl ClassTable {
     fn stream(&self) -> StreamClass {
         let kb = |kb: f64| (kb * 1024.0) as usize;
-        let pace =
-            Pace { least: self.least_kb_s * 1024.0, over: self.over_s * 1e3, silence: self.silence_s * 1e3 };
+        let pace = Pace {
+            min_bytes_per_s: self.least_kb_s * 1024.0,
+            window_ms: self.over_s * 1e3,
+            max_silence_ms: self.silence_s * 1e3,
+        };
         StreamClass {
             allowance: Allowance { window: kb(self.window_kb), pace },
             dispatch: match self.dispatch {
-                DispatchTable::Head => Dispatch::Head,
-                DispatchTable::Prefix => Dispatch::Prefix,
-                DispatchTable::Pace => Dispatch::Pace,
+                DispatchTable::Head => DispatchCondition::Head,
+                DispatchTable::Prefix => DispatchCondition::Prefix,
+                DispatchTable::Pace => DispatchCondition::Pace,
             },
             hold: kb(self.hold_kb),
             body: (self.body_mb * 1024.0 * 1024.0) as u64,
--- a/src/frontend/streaming/counters.rs
+++ b/src/frontend/streaming/counters.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::flow::{GiveUp, Side, Verdict, Way};
+use crate::flow::{Direction, GiveUp, PaceFailure, Side};
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default)]
@@ -32,12 +32,12 @@
 impl Counters {
     /// Counts a peer that was given up.
     pub fn give_up(&mut self, given: &GiveUp) {
-        let client = (given.way == Way::Up) == (given.side == Side::Source);
-        let count = match (client, given.verdict) {
-            (true, Verdict::Slow) => &mut self.slow_clients,
-            (true, Verdict::Silent) => &mut self.silent_clients,
-            (false, Verdict::Slow) => &mut self.slow_servers,
-            (false, Verdict::Silent) => &mut self.silent_servers,
+        let client = (given.direction == Direction::Up) == (given.side == Side::Source);
+        let count = match (client, given.failure) {
+            (true, PaceFailure::Slow) => &mut self.slow_clients,
+            (true, PaceFailure::Silent) => &mut self.silent_clients,
+            (false, PaceFailure::Slow) => &mut self.slow_servers,
+            (false, PaceFailure::Silent) => &mut self.silent_servers,
         };
         *count += 1;
     }
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -72,7 +72,7 @@
             sessions: FxHashMap::default(),
             flow: Flow::new(config.pool, config.quantum),
             admission: Admission::new(config.bounds),
-            slots: Slots::new(config.bounds.server),
+            slots: Slots::new(config.bounds.endpoint),
             pipes: Pipes::new(config.table.pipes),
             discovery,
             counters: Counters::default(),
@@ -104,10 +104,10 @@
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.core.reconfigure(config.site.clone(), config.bounds.total);
         self.pool.keep_below(config.site.connection_idle_ms);
-        self.flow.adopt(config.pool, config.quantum);
-        self.admission.adopt(config.bounds);
-        self.slots.adopt(config.bounds.server);
-        self.pipes.adopt(config.table.pipes);
+        self.flow.reconfigure(config.pool, config.quantum);
+        self.admission.reconfigure(config.bounds);
+        self.slots.reconfigure(config.bounds.endpoint);
+        self.pipes.reconfigure(config.table.pipes);
         let now = self.now();
         if let Some(discovery) = &mut self.discovery {
             let heard = discovery.follow(net, now, config.table.discovery, &self.core.site().settings);
@@ -225,7 +225,7 @@
         self.carry_out(net);
         let mut moved = 0;
         while moved < MAX_BYTES_PER_TICK
-            && let Some(turn) = self.flow.turn()
+            && let Some(turn) = self.flow.next_turn()
         {
             // A turn that moves nothing costs a call or two: as much as some bytes do.
             moved += self.take_turn(net, turn).max(4096);
@@ -252,7 +252,7 @@
         let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call_ms.max(now + 20.0));
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let discovery = self.discovery.as_ref().map_or(f64::INFINITY, Discovery::next_deadline);
-        let due = wake.min(stop).min(discovery).min(self.flow.due());
+        let due = wake.min(stop).min(discovery).min(self.flow.next_deadline());
         let answers = self.exchanges.values().map(|e| e.answer_by);
         clients.chain(servers).chain(answers).fold(due, f64::min)
     }
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -3,7 +3,7 @@
 use super::StreamingFrontend;
 use super::config::StreamClass;
 use crate::core::{FinalAnswer, JobRequest};
-use crate::flow::{Hold, Moved, Side, StreamId, Turn, Way};
+use crate::flow::{Direction, Hold, Moved, Side, StreamId, Turn};
 use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Decoder, Framing, chunk_head, last_chunk};
 use crate::net::head::{self, AnswerHead, RequestHead};
@@ -227,7 +227,7 @@
     }
 }
 
-/// What came of a lane's turn at its two connections.
+/// What came of a channel's turn at its two connections.
 #[derive(Clone, Copy, Debug, Default)]
 struct Passed {
     read: usize,
@@ -266,7 +266,7 @@
     }
 }
 
-/// A lane's turn: through a pipe where the rest of the body is long, has a length and is in no buffer, else through
+/// A channel's turn: through a pipe where the rest of the body is long, has a length and is in no buffer, else through
 /// the source's ring.
 fn pass(
     source: &mut Conn,
@@ -313,7 +313,7 @@
         let now = self.now();
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         exchange.up = Up::Rests;
-        self.flow.rest(stream, Way::Up, now);
+        self.flow.pause(stream, Direction::Up, now);
         let request = JobRequest {
             class: exchange.class,
             deadline_ms: now + exchange.of.longest,
@@ -333,11 +333,11 @@
         }
     }
 
-    /// A lane's turn; the bytes that it moved.
+    /// A channel's turn; the bytes that it moved.
     pub(super) fn take_turn(&mut self, net: &mut Sockets, turn: Turn) -> usize {
-        match turn.way {
-            Way::Up => self.turn_up(net, turn),
-            Way::Down => self.turn_down(net, turn),
+        match turn.direction {
+            Direction::Up => self.turn_up(net, turn),
+            Direction::Down => self.turn_down(net, turn),
         }
     }
 
@@ -348,7 +348,7 @@
             (Up::Held(_), _) => return self.turn_held(net, turn),
             (Up::Passes, Some(_)) => {}
             _ => {
-                self.flow.moved(turn, Moved::default(), now);
+                self.flow.on_moved(turn, Moved::default(), now);
                 return 0;
             }
         }
@@ -357,7 +357,7 @@
         if !server.come_up() {
             let held = client.rx.len() + server.tx.len();
             let moved = Moved { more: true, held, blocked: true, full: true, ..Moved::default() };
-            self.flow.moved(turn, moved, now);
+            self.flow.on_moved(turn, moved, now);
             return 0;
         }
         let sent = server.sent;
@@ -388,7 +388,7 @@
         let held = server.tx.len() + piped + if done { 0 } else { client.rx.len() };
         let progress = RequestProgress::of(client, server, done.then_some(held), blocked);
         self.counters.up += taken as u64;
-        self.flow.moved(turn, Moved { read, more, taken, held, blocked, full }, now);
+        self.flow.on_moved(turn, Moved { read, more, taken, held, blocked, full }, now);
         self.on_request_progress(net, stream, progress, now);
         read + taken
     }
@@ -408,12 +408,12 @@
                 let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
                 exchange.up = Up::Rests;
                 exchange.close = true;
-                self.flow.rest(stream, Way::Up, now);
+                self.flow.pause(stream, Direction::Up, now);
                 // The server may have answered why before it stopped to read.
                 self.read_answer(net, stream);
             }
             RequestProgress::Ended { is_written } => {
-                self.flow.ended(stream, Way::Up, now);
+                self.flow.on_source_ended(stream, Direction::Up, now);
                 if is_written {
                     self.request_relayed(stream, now);
                 }
@@ -430,7 +430,7 @@
         let answer_has_begun = exchange.down.is_some();
         exchange.answer_by = if answer_has_begun { f64::INFINITY } else { now + exchange.of.answer };
         let (session, attempt) = (exchange.session, exchange.attempt);
-        self.flow.rest(stream, Way::Up, now);
+        self.flow.pause(stream, Direction::Up, now);
         if let Some(session) = session {
             self.core.on_body_relayed(session, attempt);
         }
@@ -462,7 +462,7 @@
         let done = exchange.decoder.is_done();
         let held = prefix.len() + if done { 0 } else { conn.rx.len() };
         let (broken, ended) = (conn.broken, conn.eof);
-        self.flow.moved(turn, Moved { read, more, held, ..Moved::default() }, now);
+        self.flow.on_moved(turn, Moved { read, more, held, ..Moved::default() }, now);
         if let Some(error) = error {
             let (status, _) = status_of(error);
             self.refuse(net, stream, status, 0.0);
@@ -517,9 +517,9 @@
         let window = exchange.of.allowance.window;
         server.rx.bound((window + http::MAX_HEAD_BYTES + 1).max(crate::net::MAX_BUFFERED_BYTES), window);
         let held = client.tx.len() + server.rx.len();
-        self.flow.pass(stream, Way::Down, held, now);
+        self.flow.release(stream, Direction::Down, held, now);
         if done {
-            self.flow.ended(stream, Way::Down, now);
+            self.flow.on_source_ended(stream, Direction::Down, now);
         }
     }
 
@@ -527,7 +527,7 @@
         let (now, stream) = (self.now(), turn.stream);
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return 0 };
         let (Some(down), Some((server, _))) = (&mut exchange.down, exchange.server) else {
-            self.flow.moved(turn, Moved::default(), now);
+            self.flow.on_moved(turn, Moved::default(), now);
             return 0;
         };
         let Some([client, server]) = net.pair(exchange.client, server) else { return 0 };
@@ -558,11 +558,11 @@
         let held = client.tx.len() + piped + if done { 0 } else { server.rx.len() };
         let (gone, ended) = (client.mute || client.broken, server.eof || server.broken);
         self.counters.down += taken as u64;
-        self.flow.moved(turn, Moved { read, more, taken, held, blocked, full }, now);
+        self.flow.on_moved(turn, Moved { read, more, taken, held, blocked, full }, now);
         if gone {
             self.client_gone(net, stream);
         } else if done {
-            self.flow.ended(stream, Way::Down, now);
+            self.flow.on_source_ended(stream, Direction::Down, now);
             if held == 0 && (!chunked || self.exchanges[&stream].down.as_ref().is_some_and(|d| d.ended)) {
                 self.completed(net, stream);
             }
@@ -595,8 +595,8 @@
         exchange.up = Up::Rests;
         exchange.pipe = None;
         let (session, attempt) = (exchange.session, exchange.attempt);
-        self.flow.rest(stream, Way::Up, now);
-        self.flow.rest(stream, Way::Down, now);
+        self.flow.pause(stream, Direction::Up, now);
+        self.flow.pause(stream, Direction::Down, now);
         if let Some(session) = session {
             self.core.on_attempt_ended(session, attempt, outcome, report, Vec::new());
         }
@@ -673,7 +673,7 @@
     pub(super) fn expire_streams(&mut self, net: &mut Sockets, now: f64) {
         for given in self.flow.expire(now) {
             self.counters.give_up(&given);
-            let client = (given.way == Way::Up) == (given.side == Side::Source);
+            let client = (given.direction == Direction::Up) == (given.side == Side::Source);
             if client {
                 self.refuse(net, given.stream, 408, 0.0);
             } else {
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -5,7 +5,7 @@
 use super::StreamingFrontend;
 use super::relay::{Exchange, Up};
 
-use crate::flow::{StreamId, Way};
+use crate::flow::{Direction, StreamId};
 use crate::frontend::Sockets;
 use crate::net::head;
 use crate::net::http::MAX_HEAD_BYTES;
@@ -46,9 +46,9 @@
             return self.attempt_over(net, stream, Outcome::Unfit);
         }
         let held = conn.tx.len() + if done { 0 } else { waiting };
-        self.flow.pass(stream, Way::Up, held, now);
+        self.flow.release(stream, Direction::Up, held, now);
         if done {
-            self.flow.ended(stream, Way::Up, now);
+            self.flow.on_source_ended(stream, Direction::Up, now);
         }
     }
 
@@ -90,8 +90,8 @@
         let Some(exchange) = self.exchanges.get_mut(&stream).filter(|e| e.attempt == attempt) else { return };
         (exchange.up, exchange.answer_by) = (Up::Rests, f64::INFINITY);
         let now = self.now();
-        self.flow.rest(stream, Way::Up, now);
-        self.flow.rest(stream, Way::Down, now);
+        self.flow.pause(stream, Direction::Up, now);
+        self.flow.pause(stream, Direction::Down, now);
         self.release(net, stream, false);
     }
 
@@ -141,9 +141,9 @@
         }
         // It may have been found up elsewhere: the time to connect is over all the same.
         server.until = f64::INFINITY;
-        self.flow.writable(stream, Way::Up, now);
+        self.flow.on_writable(stream, Direction::Up, now);
         if self.exchanges.get(&stream).is_some_and(|e| e.down.is_some()) {
-            self.flow.readable(stream, Way::Down, now);
+            self.flow.on_readable(stream, Direction::Down, now);
         } else {
             self.read_answer(net, stream);
         }
--- a/src/net/splice.rs
+++ b/src/net/splice.rs
@@ -26,7 +26,7 @@
     }
 
     /// Takes over another bound; pipes beyond it go on.
-    pub fn adopt(&mut self, most: usize) {
+    pub fn reconfigure(&mut self, most: usize) {
         self.most = most;
     }
 
