--- a/src/frontend/console/mod.rs
+++ b/src/frontend/console/mod.rs
@@ -107,7 +107,7 @@
     }
 
     /// Reads what a caller has sent; gives what it asks once its line is whole. What is wrong is answered here.
-    pub fn ready(&mut self, net: &mut Sockets, id: ConnId, now: f64) -> Option<Call> {
+    pub fn on_ready(&mut self, net: &mut Sockets, id: ConnId, now: f64) -> Option<Call> {
         let caller = self.callers.get_mut(&id)?;
         let conn = net.conn(id)?;
         conn.pump();
--- a/src/frontend/files.rs
+++ b/src/frontend/files.rs
@@ -45,7 +45,7 @@
         /// The file.
         path: String,
         /// What is wrong.
-        cause: String,
+        cause: gearman::ConfigError,
     },
     /// The platform's configuration does not fit.
     #[error("{path}: {cause}")]
--- a/src/frontend/gateway.rs
+++ b/src/frontend/gateway.rs
@@ -8,9 +8,9 @@
 use super::console::{Call, Console};
 use super::files::{Configs, Files, FilesError};
 use super::fleet::{Departure, Fleet, PolicyFileError};
-use super::gearman::GearmanFrontend;
+use super::gearman::{self, GearmanFrontend};
 use super::http::HttpFrontend;
-use super::streaming::StreamingFrontend;
+use super::streaming::{self, StreamingFrontend};
 use super::{Sockets, handover};
 use crate::core::{Clock, Core, IncompatibleSettings};
 use crate::lifecycle::{Cause, Lifecycle, Phase};
@@ -34,13 +34,21 @@
         /// Why.
         cause: IncompatibleSettings,
     },
-    /// Another frontend's file takes a restart, or its identity does not read.
+    /// Gearman's file takes a restart, or its identity does not read.
     #[error("{path}: {cause}")]
-    Frontend {
+    Gearman {
         /// The file.
         path: String,
         /// Why.
-        cause: String,
+        cause: gearman::IncompatibleConfig,
+    },
+    /// The streaming frontend's file takes a restart.
+    #[error("{path}: {cause}")]
+    Streaming {
+        /// The file.
+        path: String,
+        /// Why.
+        cause: streaming::IncompatibleConfig,
     },
 }
 
@@ -206,13 +214,13 @@
         let identity = match (&self.gearman, &gearman) {
             (Some(frontend), Some(config)) => {
                 let path = self.files.gearman_path().cloned().unwrap_or_default();
-                frontend.fits(config).map_err(|cause| ReloadError::Frontend { path, cause })?
+                frontend.check_compatible(config).map_err(|cause| ReloadError::Gearman { path, cause })?
             }
             _ => None,
         };
         if let (Some(frontend), Some(config)) = (&self.streaming, &streaming) {
             let path = self.files.operator.clone().unwrap_or_default();
-            frontend.fits(config).map_err(|cause| ReloadError::Frontend { path, cause })?;
+            frontend.check_compatible(config).map_err(|cause| ReloadError::Streaming { path, cause })?;
         }
         if let (Some(frontend), Some(config)) = (&mut self.streaming, streaming) {
             frontend.reload(&mut self.net, config);
@@ -232,8 +240,8 @@
     /// Whether all of it has stopped.
     pub fn is_stopped(&mut self) -> bool {
         let http = self.http.as_mut().is_none_or(|frontend| frontend.is_stopped(&mut self.net));
-        let gearman = self.gearman.as_mut().is_none_or(|frontend| frontend.stopped(&mut self.net));
-        http && gearman && self.streaming.as_mut().is_none_or(|frontend| frontend.stopped(&mut self.net))
+        let gearman = self.gearman.as_mut().is_none_or(|frontend| frontend.is_stopped(&mut self.net));
+        http && gearman && self.streaming.as_mut().is_none_or(|frontend| frontend.is_stopped(&mut self.net))
     }
 
     /// The counters of all frontends.
@@ -271,7 +279,7 @@
     fn ready(&mut self, conn: ConnId) {
         if let Some(console) = self.console.as_mut().filter(|console| console.owns(conn)) {
             let now_ms = self.clock.now();
-            if let Some(call) = console.ready(&mut self.net, conn, now_ms) {
+            if let Some(call) = console.on_ready(&mut self.net, conn, now_ms) {
                 let answer = self.call(call);
                 if let Some(console) = &mut self.console {
                     console.answer(&mut self.net, conn, now_ms, &answer);
@@ -282,9 +290,9 @@
         if let Some(http) = self.http.as_mut().filter(|frontend| frontend.owns(conn)) {
             http.on_ready(&mut self.net, conn);
         } else if let Some(streaming) = self.streaming.as_mut().filter(|frontend| frontend.owns(conn)) {
-            streaming.ready(&mut self.net, conn);
+            streaming.on_ready(&mut self.net, conn);
         } else if let Some(gearman) = &mut self.gearman {
-            gearman.ready(&mut self.net, conn);
+            gearman.on_ready(&mut self.net, conn);
         }
     }
 
--- a/src/frontend/gearman/config.rs
+++ b/src/frontend/gearman/config.rs
@@ -3,10 +3,82 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::identity::IdentityFiles;
+use thiserror::Error;
+
+use super::identity::{IdentityFiles, IdentityFilesError};
 use crate::json::{JsonValue, field, number, text};
 use crate::routing::{Class, Settings};
-use crate::settings::{ClientClass, Site};
+use crate::settings::{ClientClass, SettingsError, Site};
+
+/// Connections at most where the file names no bound.
+const DEFAULT_PEERS: f64 = 128.0;
+/// Most connections that the file may ask for: each has buffers of its own.
+const MAX_PEERS: f64 = 1024.0;
+/// Jobs in the record where the file names no bound.
+const DEFAULT_RECORD_ENTRIES: f64 = 65_536.0;
+/// Bytes in the record where the file names no bound.
+const DEFAULT_RECORD_BYTES: f64 = 67_108_864.0;
+/// How long an answer is kept where the file does not say, in seconds.
+const DEFAULT_KEEP_S: f64 = 300.0;
+
+/// What is wrong with the file.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// It has no settings, nor has the deployment.
+    #[error("no `settings`")]
+    NoSettings,
+    /// The settings do not read.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// It has no address to listen at.
+    #[error("no `listen`")]
+    NoListen,
+    /// The address to listen at does not read.
+    #[error("`listen` is no address: {0}")]
+    Listen(String),
+    /// It has no table of functions.
+    #[error("no `functions`")]
+    NoFunctionTable,
+    /// It offers no function.
+    #[error("no functions")]
+    NoFunctions,
+    /// The name of a function is not valid.
+    #[error("function \"{0}\": a name has no blanks and is not empty")]
+    FunctionName(String),
+    /// A function names no class.
+    #[error("function {0}: no `class`")]
+    NoClass(String),
+    /// A function names a class that the settings do not have.
+    #[error("function {function}: the settings have no class {class}")]
+    UnknownClass {
+        /// The function.
+        function: String,
+        /// The class.
+        class: String,
+    },
+    /// A function names a tenant that the settings do not have.
+    #[error("function {function}: the settings have no tenant {tenant}")]
+    UnknownTenant {
+        /// The function.
+        function: String,
+        /// The tenant.
+        tenant: String,
+    },
+    /// There are more kinds of workers than numbers for them.
+    #[error("too many kinds")]
+    TooManyKinds,
+    /// The part on identities is not valid.
+    #[error(transparent)]
+    Identity(#[from] IdentityFilesError),
+    /// A client's identity names a tenant that the settings do not have.
+    #[error("identity {id}: the settings have no tenant {tenant}")]
+    UnknownIdentityTenant {
+        /// The identity.
+        id: String,
+        /// The tenant.
+        tenant: String,
+    },
+}
 
 /// A function that is offered.
 #[derive(Clone, Debug)]
@@ -53,20 +125,23 @@
 
 impl Offered {
     /// Adds the function of a line.
-    fn add(&mut self, site: &Site, name: &str, line: &JsonValue) -> Result<(), String> {
+    fn add(&mut self, site: &Site, name: &str, line: &JsonValue) -> Result<(), ConfigError> {
         if name.is_empty() || name.bytes().any(|b| b <= b' ') {
-            return Err(format!("function \"{name}\": a name has no blanks and is not empty"));
+            return Err(ConfigError::FunctionName(name.to_string()));
         }
-        let class = text(line, "class").ok_or_else(|| format!("function {name}: no `class`"))?;
+        let class = text(line, "class").ok_or_else(|| ConfigError::NoClass(name.to_string()))?;
         let at = site.client_classes.iter().position(|known| known.name == class);
-        let at = at.ok_or_else(|| format!("function {name}: the settings have no class {class}"))?;
+        let at = at.ok_or_else(|| ConfigError::UnknownClass {
+            function: name.to_string(),
+            class: class.to_string(),
+        })?;
         let tenant = text(line, "tenant").unwrap_or("").to_string();
         if !tenant.is_empty() && !site.tenants.contains(&tenant) {
-            return Err(format!("function {name}: the settings have no tenant {tenant}"));
+            return Err(ConfigError::UnknownTenant { function: name.to_string(), tenant });
         }
         let kind = self.kind(text(line, "kind").unwrap_or(name));
         let mut class = site.settings.classes[at].clone();
-        class.kind = Some(u16::try_from(kind).map_err(|_| "too many kinds")?);
+        class.kind = Some(u16::try_from(kind).map_err(|_| ConfigError::TooManyKinds)?);
         self.classes.push(class);
         self.client_classes.push(site.client_classes[at].clone());
         let wait = site.client_classes[at].max_wait_ms;
@@ -98,40 +173,42 @@
     ///
     /// # Errors
     /// Where a part is missing or does not read, or a name is not one of the settings'.
-    pub fn read(file: &JsonValue, deployment: Option<&JsonValue>) -> Result<Config, String> {
-        let settings = field(file, "settings").or(deployment).ok_or("no `settings`")?;
-        let mut site = Site::read(settings).map_err(|e| e.to_string())?;
-        let listen = text(file, "listen").ok_or("no `listen`")?;
-        let listen = listen.parse().map_err(|_| format!("`listen` is no address: {listen}"))?;
+    pub fn read(file: &JsonValue, deployment: Option<&JsonValue>) -> Result<Config, ConfigError> {
+        let settings = field(file, "settings").or(deployment).ok_or(ConfigError::NoSettings)?;
+        let mut site = Site::read(settings)?;
+        let listen = text(file, "listen").ok_or(ConfigError::NoListen)?;
+        let listen = listen.parse().map_err(|_| ConfigError::Listen(listen.to_string()))?;
         let lines = field(file, "functions").and_then(JsonValue::get);
-        let lines: &std::collections::HashMap<String, JsonValue> = lines.ok_or("no `functions`")?;
+        let lines: &std::collections::HashMap<String, JsonValue> =
+            lines.ok_or(ConfigError::NoFunctionTable)?;
         let lines: BTreeMap<&String, &JsonValue> = lines.iter().collect();
         let mut offered = Offered::default();
         for (name, line) in lines {
             offered.add(&site, name, line)?;
         }
         if offered.functions.is_empty() {
-            return Err("no functions".into());
+            return Err(ConfigError::NoFunctions);
         }
         let Offered { functions, kinds, classes, client_classes } = offered;
         (site.settings.classes, site.client_classes) = (classes, client_classes);
         set_for_gearman(&mut site.settings);
         let record = field(file, "record").unwrap_or(&JsonValue::Null);
-        let bound = |name, usual: f64| number(record, name).unwrap_or(usual).max(1.0) as usize;
+        let bound = |name, default: f64| number(record, name).unwrap_or(default).max(1.0) as usize;
         let identity = field(file, "identity").map(IdentityFiles::read).transpose()?;
         if let Some(identity) = &identity
             && let Some((id, tenant)) = identity.clients.iter().find(|(_, t)| !site.tenants.contains(t))
         {
-            return Err(format!("identity {id}: the settings have no tenant {tenant}"));
+            let (id, tenant) = (id.clone(), tenant.clone());
+            return Err(ConfigError::UnknownIdentityTenant { id, tenant });
         }
         Ok(Config {
             listen,
-            peers: number(file, "peers").unwrap_or(128.0).clamp(1.0, 1024.0) as usize,
+            peers: number(file, "peers").unwrap_or(DEFAULT_PEERS).clamp(1.0, MAX_PEERS) as usize,
             functions,
             kinds,
             site,
-            record: (bound("entries", 65_536.0), bound("bytes", 67_108_864.0)),
-            keep: number(record, "keep_s").unwrap_or(300.0).max(0.0) * 1e3,
+            record: (bound("entries", DEFAULT_RECORD_ENTRIES), bound("bytes", DEFAULT_RECORD_BYTES)),
+            keep: number(record, "keep_s").unwrap_or(DEFAULT_KEEP_S).max(0.0) * 1e3,
             identity,
         })
     }
--- a/src/frontend/gearman/identity.rs
+++ b/src/frontend/gearman/identity.rs
@@ -1,4 +1,9 @@
 //! Identities: X.509-SVIDs of SPIFFE over mutual TLS, and what each identity may do.
+//!
+//! Owns the identity files, which it reads again once they change, and the roles of the identities that the operator
+//! lists. Connections and packets are the frontend's; it must call `reread` each time it does what is due.
+
+mod errors;
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -12,13 +17,15 @@
 
 use crate::json::{JsonValue, field, text, texts};
 
-/// Time between two looks at the files, in milliseconds.
+pub use errors::{IdentityError, IdentityFilesError, InvalidSpiffeId, RoleError, SvidError};
+
+/// Time between two checks whether the files have changed, in milliseconds.
 const RELOAD_INTERVAL_MS: f64 = 1000.0;
 
 /// The operator's part on identities.
 #[derive(Clone, Debug)]
 pub struct IdentityFiles {
-    /// Own X.509-SVID with its chain, its key, and the trust bundle, all PEM.
+    /// The program's X.509-SVID with its chain, its key, and the trust bundle, all PEM.
     pub files: [PathBuf; 3],
     /// The trust domain.
     pub trust_domain: String,
@@ -33,25 +40,26 @@
     ///
     /// # Errors
     /// Where a part is missing, or the trust domain or an identity is not valid.
-    pub fn read(part: &JsonValue) -> Result<IdentityFiles, String> {
-        let need = |name| text(part, name).ok_or_else(|| format!("identity: no `{name}`"));
-        let trust_domain = need("trust_domain")?.to_string();
+    pub fn read(part: &JsonValue) -> Result<IdentityFiles, IdentityFilesError> {
+        let required = |name| text(part, name).ok_or(IdentityFilesError::NoField(name));
+        let trust_domain = required("trust_domain")?.to_string();
         if !is_trust_domain(&trust_domain) {
-            return Err(format!("identity: no trust domain: {trust_domain}"));
+            return Err(IdentityFilesError::TrustDomain(trust_domain));
         }
         let pairs = field(part, "clients").and_then(JsonValue::get);
         let pairs: Option<&std::collections::HashMap<String, JsonValue>> = pairs;
         let mut clients = Vec::new();
         for (id, tenant) in pairs.into_iter().flatten() {
             let tenant: Option<&String> = tenant.get();
-            clients.push((id.clone(), tenant.ok_or_else(|| format!("identity {id}: no tenant"))?.clone()));
+            let tenant = tenant.ok_or_else(|| IdentityFilesError::NoTenant(id.clone()))?;
+            clients.push((id.clone(), tenant.clone()));
         }
         let workers = texts(part, "workers");
         if let Some(id) = clients.iter().map(|c| &c.0).chain(&workers).find(|id| domain(id).is_err()) {
-            return Err(format!("identity: no SPIFFE ID: {id}"));
+            return Err(IdentityFilesError::SpiffeId(id.clone()));
         }
         Ok(IdentityFiles {
-            files: [need("certificate")?.into(), need("key")?.into(), need("bundle")?.into()],
+            files: [required("certificate")?.into(), required("key")?.into(), required("bundle")?.into()],
             trust_domain,
             clients,
             workers,
@@ -87,14 +95,16 @@
     }
 }
 
+/// What tells that a file has changed: when it was modified, and its size. None where it cannot be read.
 type Stamp = Option<(SystemTime, u64)>;
 
-/// Own identity, as last read.
+/// The program's identity, as last read.
 pub struct Identity {
     files: IdentityFiles,
     config: Arc<ServerConfig>,
     stamps: [Stamp; 3],
-    look: f64,
+    /// When the files are checked next, in milliseconds of the clock.
+    next_check: f64,
 }
 
 impl Identity {
@@ -102,19 +112,19 @@
     ///
     /// # Errors
     /// Where a file cannot be read, or the certificate is not of the trust domain or not a leaf's.
-    pub fn load(files: IdentityFiles) -> Result<Identity, String> {
+    pub fn load(files: IdentityFiles) -> Result<Identity, IdentityError> {
         let stamps = stamps(&files);
         let config = config(&files)?;
-        Ok(Identity { files, config, stamps, look: 0.0 })
+        Ok(Identity { files, config, stamps, next_check: 0.0 })
     }
 
     /// Reads the files again if they have changed. Files that do not read, as when only some of them are
     /// replaced yet, leave the old ones in force.
     pub fn reread(&mut self, now: f64) {
-        if now < self.look {
+        if now < self.next_check {
             return;
         }
-        self.look = now + RELOAD_INTERVAL_MS;
+        self.next_check = now + RELOAD_INTERVAL_MS;
         let stamps = stamps(&self.files);
         if stamps == self.stamps {
             return;
@@ -138,15 +148,15 @@
     ///
     /// # Errors
     /// Where the certificate is not a valid X.509-SVID of the trust domain, or its identity is not listed.
-    pub fn role(&self, chain: &[CertificateDer<'_>]) -> Result<Role, String> {
-        let id = spiffe_id(chain.first().ok_or("no certificate")?)?;
+    pub fn role(&self, chain: &[CertificateDer<'_>]) -> Result<Role, RoleError> {
+        let id = spiffe_id(chain.first().ok_or(RoleError::NoCertificate)?)?;
         if domain(&id)? != self.files.trust_domain {
-            return Err(format!("{id} is of another trust domain"));
+            return Err(RoleError::TrustDomain(id));
         }
         let tenant = self.files.clients.iter().find(|(client, _)| *client == id).map(|(_, t)| t.clone());
         let worker = self.files.workers.contains(&id);
         if tenant.is_none() && !worker {
-            return Err(format!("{id} is neither a client nor a worker here"));
+            return Err(RoleError::NotListed(id));
         }
         Ok(Role { client: tenant.is_some(), tenant, worker })
     }
@@ -159,76 +169,80 @@
     })
 }
 
-fn config(files: &IdentityFiles) -> Result<Arc<ServerConfig>, String> {
+/// All certificates of a file, one at least.
+fn read_certificates(path: &PathBuf) -> Result<Vec<CertificateDer<'static>>, IdentityError> {
+    let certificates = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
+    match certificates {
+        Ok(certificates) if !certificates.is_empty() => Ok(certificates),
+        Ok(_) => Err(IdentityError::NoCertificate(path.clone())),
+        Err(cause) => Err(IdentityError::Pem { path: path.clone(), cause }),
+    }
+}
+
+fn config(files: &IdentityFiles) -> Result<Arc<ServerConfig>, IdentityError> {
     let [certificate, key, bundle] = &files.files;
-    let read = |path: &PathBuf| {
-        let certs = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
-        match certs {
-            Ok(certs) if !certs.is_empty() => Ok(certs),
-            Ok(_) => Err(format!("{}: no certificate", path.display())),
-            Err(e) => Err(format!("{}: {e}", path.display())),
-        }
-    };
-    let chain = read(certificate)?;
-    let own = spiffe_id(&chain[0]).map_err(|e| format!("{}: {e}", certificate.display()))?;
-    if domain(&own)? != files.trust_domain {
-        return Err(format!("{}: {own} is of another trust domain", certificate.display()));
+    let rejected = |path: &PathBuf, cause| IdentityError::Rejected { path: path.clone(), cause };
+    let chain = read_certificates(certificate)?;
+    let id =
+        spiffe_id(&chain[0]).map_err(|cause| IdentityError::Svid { path: certificate.clone(), cause })?;
+    if domain(&id)? != files.trust_domain {
+        return Err(IdentityError::TrustDomain { path: certificate.clone(), id });
     }
-    let private = PrivateKeyDer::from_pem_file(key).map_err(|e| format!("{}: {e}", key.display()))?;
+    let private =
+        PrivateKeyDer::from_pem_file(key).map_err(|cause| IdentityError::Pem { path: key.clone(), cause })?;
     let mut roots = RootCertStore::empty();
-    for root in read(bundle)? {
-        roots.add(root).map_err(|e| format!("{}: {e}", bundle.display()))?;
+    for root in read_certificates(bundle)? {
+        roots.add(root).map_err(|cause| rejected(bundle, cause))?;
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), Arc::clone(&provider))
         .build()
-        .map_err(|e| format!("{}: {e}", bundle.display()))?;
+        .map_err(|cause| IdentityError::Verifier { path: bundle.clone(), cause })?;
     let config = ServerConfig::builder_with_provider(provider)
-        .with_safe_default_protocol_versions()
-        .map_err(|e| e.to_string())?
+        .with_safe_default_protocol_versions()?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain, private)
-        .map_err(|e| format!("{}: {e}", certificate.display()))?;
+        .map_err(|cause| rejected(certificate, cause))?;
     Ok(Arc::new(config))
 }
 
-/// The SPIFFE ID of an X.509-SVID: its one URI SAN. The certificate is a leaf's, which signs no others.
-fn spiffe_id(certificate: &CertificateDer<'_>) -> Result<String, String> {
-    let (_, parsed) = X509Certificate::from_der(certificate).map_err(|e| format!("certificate: {e}"))?;
-    let names = parsed.subject_alternative_name().map_err(|e| format!("certificate: {e}"))?;
+/// The SPIFFE ID of an X.509-SVID: its one URI SAN. The certificate must be a leaf's, which signs no others.
+fn spiffe_id(certificate: &CertificateDer<'_>) -> Result<String, SvidError> {
+    let (_, parsed) = X509Certificate::from_der(certificate).map_err(SvidError::Parse)?;
+    let names = parsed.subject_alternative_name().map_err(SvidError::Extension)?;
     let names = names.map(|names| names.value.general_names.as_slice()).unwrap_or_default();
     let uris: Vec<&str> = names
         .iter()
         .filter_map(|name| if let GeneralName::URI(uri) = name { Some(*uri) } else { None })
         .collect();
-    let [uri] = uris[..] else { return Err(format!("{} URI SANs in place of one", uris.len())) };
+    let [uri] = uris[..] else { return Err(SvidError::UriNames(uris.len())) };
     if domain(uri)?.len() + "spiffe://".len() == uri.len() {
-        return Err(format!("{uri} has no path"));
+        return Err(SvidError::NoPath(uri.to_string()));
     }
     if parsed.is_ca() {
-        return Err(format!("{uri} is a signing certificate's"));
+        return Err(SvidError::SigningCertificate(uri.to_string()));
     }
-    let usage = parsed.key_usage().map_err(|e| format!("certificate: {e}"))?;
+    let usage = parsed.key_usage().map_err(SvidError::Extension)?;
     if usage.is_none_or(|u| !u.value.digital_signature() || u.value.key_cert_sign() || u.value.crl_sign()) {
-        return Err(format!("{uri}: the key usage is no leaf's"));
+        return Err(SvidError::KeyUsage(uri.to_string()));
     }
     Ok(uri.to_string())
 }
 
 fn is_trust_domain(name: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || matches!(b, b'.' | b'-' | b'_');
-    (1..=255).contains(&name.len()) && name.bytes().all(fits)
+    let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || matches!(b, b'.' | b'-' | b'_');
+    (1..=255).contains(&name.len()) && name.bytes().all(allowed)
 }
 
 /// The trust domain of a valid SPIFFE ID.
-fn domain(id: &str) -> Result<&str, String> {
-    let bad = || format!("no SPIFFE ID: {id}");
+fn domain(id: &str) -> Result<&str, InvalidSpiffeId> {
+    let bad = || InvalidSpiffeId(id.to_string());
     let rest = id.strip_prefix("spiffe://").filter(|_| id.len() <= 2048).ok_or_else(bad)?;
     let (domain, path) = rest.split_once('/').map_or((rest, None), |(domain, path)| (domain, Some(path)));
-    let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'-' | b'_');
-    let segment = |s: &str| !s.is_empty() && s != "." && s != ".." && s.bytes().all(fits);
-    let whole = is_trust_domain(domain) && path.is_none_or(|path| path.split('/').all(segment));
-    if whole { Ok(domain) } else { Err(bad()) }
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'-' | b'_');
+    let segment = |s: &str| !s.is_empty() && s != "." && s != ".." && s.bytes().all(allowed);
+    let is_valid = is_trust_domain(domain) && path.is_none_or(|path| path.split('/').all(segment));
+    if is_valid { Ok(domain) } else { Err(bad()) }
 }
 
 #[cfg(test)]
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -14,15 +14,16 @@
 use std::net::IpAddr;
 
 use rustc_hash::FxHashMap;
+use thiserror::Error;
 
 use super::Sockets;
 use super::shutdown::Shutdown;
-use crate::core::{Clock, Command, Core, ListScope};
+use crate::core::{Clock, Command, Core, IncompatibleSettings, ListScope};
 use crate::net::{Conn, ConnId, MAX_BUFFERED_BYTES};
 use crate::routing::{EndpointId, JobId};
 
-pub use config::{Config, Function};
-use identity::{Identity, Role};
+pub use config::{Config, ConfigError, Function};
+use identity::{Identity, IdentityError, Role};
 use packets::{Incoming, answer, kind, take};
 use record::{Key, Record};
 use workers::Worker;
@@ -44,6 +45,23 @@
 /// A dispatch: its session and its number.
 type FlightId = (JobId, usize);
 
+/// Why a file that was read again is not taken over.
+#[derive(Debug, Error)]
+pub enum IncompatibleConfig {
+    /// It has other functions or kinds of workers.
+    #[error("other functions or kinds take a restart")]
+    Functions,
+    /// It begins or ends with identities.
+    #[error("to begin or end with `identity` takes a restart")]
+    Identity,
+    /// Its settings take a restart.
+    #[error(transparent)]
+    Settings(#[from] IncompatibleSettings),
+    /// Its identity files cannot be used.
+    #[error(transparent)]
+    IdentityFiles(#[from] IdentityError),
+}
+
 /// A connection, of a client, a worker, or both.
 struct Peer {
     role: Role,
@@ -156,7 +174,12 @@
     ///
     /// # Errors
     /// Where the identity files cannot be used.
-    pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> Result<GearmanFrontend, String> {
+    pub fn new(
+        config: Config,
+        seed: u64,
+        clock: Clock,
+        listener: usize,
+    ) -> Result<GearmanFrontend, IdentityError> {
         let identity = config.identity.clone().map(Identity::load).transpose()?;
         let mut core = Core::new(config.site.clone(), seed, clock, config.peers * JOBS_PER_CONNECTION);
         core.on_list(Vec::new(), ListScope::Complete);
@@ -176,24 +199,24 @@
         })
     }
 
-    /// Whether a file that was read again can be taken over without a restart, and the identity that goes with
-    /// it. Functions are numbers in all that is open.
+    /// Checks whether a file that was read again can be taken over without a restart: open jobs name functions by their
+    /// numbers. Returns the identity that goes with it, for `reload`.
     ///
     /// # Errors
     /// Where a change needs a restart, or the identity files cannot be used.
-    pub fn fits(&self, config: &Config) -> Result<Option<Identity>, String> {
+    pub fn check_compatible(&self, config: &Config) -> Result<Option<Identity>, IncompatibleConfig> {
         let names = |c: &Config| c.functions.iter().map(|f| (f.name.clone(), f.kind)).collect::<Vec<_>>();
         if names(config) != names(&self.config) || config.kinds != self.config.kinds {
-            return Err("other functions or kinds take a restart".into());
+            return Err(IncompatibleConfig::Functions);
         }
         if config.identity.is_some() != self.identity.is_some() {
-            return Err("to begin or end with `identity` takes a restart".into());
+            return Err(IncompatibleConfig::Identity);
         }
-        self.core.check_compatible(&config.site).map_err(|e| e.to_string())?;
-        config.identity.clone().map(Identity::load).transpose()
+        self.core.check_compatible(&config.site)?;
+        Ok(config.identity.clone().map(Identity::load).transpose()?)
     }
 
-    /// Takes over a file that fits, and its identity.
+    /// Takes over a compatible file, and its identity.
     pub fn reload(&mut self, config: Config, identity: Option<Identity>) {
         self.core.reconfigure(config.site.clone(), config.peers * JOBS_PER_CONNECTION);
         self.record.reconfigure(config.record.0, config.record.1);
@@ -245,7 +268,7 @@
     }
 
     /// A connection can be read or written, or broke.
-    pub fn ready(&mut self, net: &mut Sockets, conn: ConnId) {
+    pub fn on_ready(&mut self, net: &mut Sockets, conn: ConnId) {
         self.look(net, conn);
         self.carry_out(net);
     }
@@ -450,7 +473,7 @@
     }
 
     /// Whether all that was taken is answered, and written as far as peers read.
-    pub fn stopped(&mut self, net: &mut Sockets) -> bool {
+    pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
         let now = self.core.clock().now();
         let Some(leaving) = self.stopping.as_mut().filter(|_| self.core.open_jobs() == 0) else {
             return false;
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -9,11 +9,12 @@
 mod upstream;
 
 use rustc_hash::FxHashMap;
+use thiserror::Error;
 
 use super::Sockets;
 use super::discovery::{Discovery, DiscoveryUpdate};
 use super::shutdown::Shutdown;
-use crate::core::{Clock, Command, Core, FinalAnswer, ListScope};
+use crate::core::{Clock, Command, Core, FinalAnswer, IncompatibleSettings, ListScope};
 use crate::flow::{Admission, Flow, Slots, StreamId};
 use crate::net::{ConnId, Pipes, Pool};
 use crate::routing::{EndpointId, JobId};
@@ -27,7 +28,21 @@
 /// Bytes moved before the loop looks at the sockets again: what small requests wait for beside full-speed streams.
 const MAX_BYTES_PER_TICK: usize = 1 << 20;
 
-/// The front.
+/// Why a file that was read again is not taken over.
+#[derive(Debug, Error)]
+pub enum IncompatibleConfig {
+    /// It begins or ends with discovery.
+    #[error("to begin or end with `discovery` takes a restart")]
+    Discovery,
+    /// It has other classes.
+    #[error("other classes take a restart")]
+    Classes,
+    /// Its settings take a restart.
+    #[error(transparent)]
+    Settings(#[from] IncompatibleSettings),
+}
+
+/// The frontend.
 pub struct StreamingFrontend {
     core: Core,
     config: Config,
@@ -84,23 +99,23 @@
         }
     }
 
-    /// Whether a file that was read again can be taken over without a restart. Classes are numbers in all that is
-    /// open.
+    /// Checks whether a file that was read again can be taken over without a restart: open streams name classes by their
+    /// numbers.
     ///
     /// # Errors
     /// Where a change needs a restart.
-    pub fn fits(&self, config: &Config) -> Result<(), String> {
+    pub fn check_compatible(&self, config: &Config) -> Result<(), IncompatibleConfig> {
         if config.table.discovery.is_some() != self.discovery.is_some() {
-            return Err("to begin or end with `discovery` takes a restart".into());
+            return Err(IncompatibleConfig::Discovery);
         }
         let names = |c: &Config| c.table.class.iter().map(|c| c.name.clone()).collect::<Vec<_>>();
         if names(config) != names(&self.config) {
-            return Err("other classes take a restart".into());
+            return Err(IncompatibleConfig::Classes);
         }
-        self.core.check_compatible(&config.site).map_err(|e| e.to_string())
+        Ok(self.core.check_compatible(&config.site)?)
     }
 
-    /// Takes over a file that fits. Streams that run go on under what they began with.
+    /// Takes over a compatible file. Open streams go on under the class that they began with.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.core.reconfigure(config.site.clone(), config.bounds.total);
         self.pool.keep_below(config.site.connection_idle_ms);
@@ -152,7 +167,7 @@
     }
 
     /// A connection can be read or written, came up or broke.
-    pub fn ready(&mut self, net: &mut Sockets, conn: ConnId) {
+    pub fn on_ready(&mut self, net: &mut Sockets, conn: ConnId) {
         if self.clients.contains_key(&conn) {
             self.client_ready(net, conn);
         } else if self.servers.contains_key(&conn) {
@@ -270,7 +285,7 @@
     }
 
     /// Whether all that was taken is answered, and written as far as peers read.
-    pub fn stopped(&mut self, net: &mut Sockets) -> bool {
+    pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
         let now = self.now();
         let open = self.core.open_jobs() + self.exchanges.len();
         let Some(leaving) = self.stopping.as_mut().filter(|_| open == 0) else { return false };
--- a/src/main.rs
+++ b/src/main.rs
@@ -213,7 +213,7 @@
 ) -> Result<GearmanFrontend, String> {
     let (listener, _) = listen(net, config.listen, false, "gearman")?;
     // Alone in its list, it need not differ from others in what it draws.
-    GearmanFrontend::new(config, clock.now() as u64, clock.clone(), listener)
+    GearmanFrontend::new(config, clock.now() as u64, clock.clone(), listener).map_err(|e| e.to_string())
 }
 
 fn open_http(
