--- a/src/frontend/gearman/config.rs
+++ b/src/frontend/gearman/config.rs
@@ -88,7 +88,7 @@
     /// The tenant whose jobs it carries.
     pub tenant: String,
     /// How long a client waits at most, in milliseconds; it is the class's.
-    pub wait: f64,
+    pub max_wait_ms: f64,
     /// Its kind of worker, by number.
     pub kind: usize,
 }
@@ -109,7 +109,7 @@
     /// Jobs in the record, and bytes in it.
     pub record: (usize, usize),
     /// How long an answer is kept for sure, in milliseconds.
-    pub keep: f64,
+    pub keep_ms: f64,
     /// Where peers prove who they are.
     pub identity: Option<IdentityFiles>,
 }
@@ -144,8 +144,8 @@
         class.kind = Some(u16::try_from(kind).map_err(|_| ConfigError::TooManyKinds)?);
         self.classes.push(class);
         self.client_classes.push(site.client_classes[at].clone());
-        let wait = site.client_classes[at].max_wait_ms;
-        self.functions.push(Function { name: name.as_bytes().to_vec(), tenant, wait, kind });
+        let max_wait_ms = site.client_classes[at].max_wait_ms;
+        self.functions.push(Function { name: name.as_bytes().to_vec(), tenant, max_wait_ms, kind });
         Ok(())
     }
 
@@ -208,7 +208,7 @@
             kinds,
             site,
             record: (bound("entries", DEFAULT_RECORD_ENTRIES), bound("bytes", DEFAULT_RECORD_BYTES)),
-            keep: number(record, "keep_s").unwrap_or(DEFAULT_KEEP_S).max(0.0) * 1e3,
+            keep_ms: number(record, "keep_s").unwrap_or(DEFAULT_KEEP_S).max(0.0) * 1e3,
             identity,
         })
     }
--- a/src/frontend/gearman/identity.rs
+++ b/src/frontend/gearman/identity.rs
@@ -140,7 +140,7 @@
     }
 
     /// A new TLS session of the server's side.
-    pub fn session(&self) -> Option<ServerConnection> {
+    pub fn new_tls_session(&self) -> Option<ServerConnection> {
         ServerConnection::new(Arc::clone(&self.config)).ok()
     }
 
--- a/src/frontend/gearman/packets.rs
+++ b/src/frontend/gearman/packets.rs
@@ -69,7 +69,7 @@
     Line(String),
 }
 
-/// Takes what is whole off the buffer; an error ends the connection.
+/// Takes a complete packet or line off the buffer; an error ends the connection.
 ///
 /// # Errors
 /// The protocol's code of the error, where the bytes cannot become a packet or a line.
--- a/src/frontend/gearman/record/tests.rs
+++ b/src/frontend/gearman/record/tests.rs
@@ -9,9 +9,9 @@
 #[test]
 fn what_must_be_kept_is_not_dropped_for_room() {
     let mut record = Record::new(2, 1000);
-    record.run(key("a"), JobId(1));
-    record.over(&key("a"), "H:1".into(), Answer::Failed, 100.0);
-    record.run(key("b"), JobId(2));
+    record.start(key("a"), JobId(1));
+    record.finish(&key("a"), "H:1".into(), Answer::Failed, 100.0);
+    record.start(key("b"), JobId(2));
     assert!(!record.make_room(50.0), "one runs and one must be kept");
     assert!(record.make_room(100.0), "the kept one has had its time");
     assert_eq!(record.get(&key("a")), None);
@@ -21,10 +21,10 @@
 #[test]
 fn answers_count_against_the_bytes() {
     let mut record = Record::new(10, 100);
-    record.run(key("a"), JobId(1));
-    record.over(&key("a"), "H:1".into(), Answer::Complete(vec![0; 200]), 100.0);
+    record.start(key("a"), JobId(1));
+    record.finish(&key("a"), "H:1".into(), Answer::Complete(vec![0; 200]), 100.0);
     assert!(!record.make_room(50.0));
     assert!(record.make_room(100.0));
-    record.run(key("b"), JobId(2));
+    record.start(key("b"), JobId(2));
     assert!(record.make_room(100.0));
 }
--- a/src/frontend/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -1,62 +1,75 @@
-//! Workers: each connection is a backend server that is offered dispatches and fetches them.
+//! Workers: each connection of one is an endpoint of the core, is offered attempts at jobs, and fetches them.
+//!
+//! ```text
+//! Gone --all functions of a kind--> Ready <--> Draining --the connection ends--> Gone
+//! ```
+//!
+//! An attempt is offered, then assigned once the worker has fetched it, and abandoned once nobody waits for its result while
+//! the worker is still at it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use rustc_hash::FxHashMap;
 
 use super::packets::{answer, arguments, kind};
-use super::record::{Answer, Key};
-use super::{FlightId, GearmanFrontend};
+use super::record::{Answer, Entry, Key};
+use super::{AttemptId, GearmanFrontend};
 use crate::core::{ListScope, ListedEndpoint};
 use crate::frontend::Sockets;
 use crate::net::ConnId;
 use crate::routing::{Endpoint, EndpointId, EndpointStatus, JobId, LoadReport, Outcome};
 
-/// Jobs that a worker may hold or be offered.
+/// Attempts that a worker may be offered at once: it fetches them one by one.
 const MAX_JOBS_PER_WORKER: usize = 64;
 
-/// A dispatch that a worker has fetched.
+/// An attempt that a worker has fetched.
 struct Assigned {
-    flight: FlightId,
+    attempt: AttemptId,
     key: Option<Key>,
-    /// Nobody waits for it any more, but the worker is still at it.
+    /// Nobody waits for its result any more, but the worker is still at it.
     abandoned: bool,
-    until: f64,
+    /// When the worker's own time limit is over, in milliseconds of the clock.
+    deadline_ms: f64,
 }
 
 /// What is known of a worker.
 pub(super) struct Worker {
-    server: EndpointId,
-    /// Its place in the server table, free again when it leaves.
-    place: usize,
+    endpoint: EndpointId,
+    /// Its slot in the endpoint list, free again when it leaves.
+    list_slot: usize,
     name: String,
-    /// What it can do, by number, and within which time, in milliseconds.
+    /// The functions that it can run, by number, each with its time limit in milliseconds.
     functions: BTreeMap<usize, f64>,
-    sleeps: bool,
-    /// Dispatches that it was offered and has not fetched, with the time of the offer.
-    offered: VecDeque<(FlightId, f64)>,
+    /// It has said that it sleeps until it is woken by a NOOP.
+    is_asleep: bool,
+    /// Attempts that it was offered and has not fetched, each with the time of its offer.
+    offered: VecDeque<(AttemptId, f64)>,
     assigned: FxHashMap<JobId, Assigned>,
     state: EndpointStatus,
-    /// How long it may leave an offer while it has nothing else to do.
-    patience: f64,
+    /// How long it may leave an offer while it has nothing else to do, in milliseconds.
+    offer_timeout_ms: f64,
 }
 
 impl Worker {
-    /// When something of it is due.
-    pub fn next(&self) -> f64 {
-        let offer = self.offered.front().filter(|_| self.assigned.is_empty()).map(|o| o.1 + self.patience);
-        let assigned = self.assigned.values().filter(|a| !a.abandoned).map(|a| a.until);
+    /// When its next offer or time limit runs out, in milliseconds of the clock.
+    pub fn next_deadline(&self) -> f64 {
+        let offer =
+            self.offered.front().filter(|_| self.assigned.is_empty()).map(|o| o.1 + self.offer_timeout_ms);
+        let assigned = self.assigned.values().filter(|a| !a.abandoned).map(|a| a.deadline_ms);
         assigned.chain(offer).fold(f64::INFINITY, f64::min)
     }
 
+    /// The numbers of the functions that it can run.
     pub fn functions(&self) -> impl Iterator<Item = usize> + '_ {
         self.functions.keys().copied()
     }
 
-    pub fn takes_work(&self) -> bool {
+    /// Whether it is offered attempts.
+    pub fn is_ready(&self) -> bool {
         self.state == EndpointStatus::Ready
     }
 
+    /// The jobs that it has fetched.
     pub fn running(&self) -> impl Iterator<Item = JobId> + '_ {
         self.assigned.keys().copied()
     }
@@ -84,18 +97,17 @@
     )
 }
 
-/// A worker holds one job at a time as far as the module goes; what it holds are own dispatches all, which the
-/// module subtracts itself.
-fn one_slot() -> LoadReport {
+/// The load report of a worker: one slot for the decision module, which subtracts its own attempts itself.
+fn one_free_slot() -> LoadReport {
     LoadReport { free_slots: Some(1.0), ..LoadReport::default() }
 }
 
 impl GearmanFrontend {
-    /// Reads a worker's packet; false where it does not read.
+    /// Handles a worker's packet. False where its arguments are not valid.
     pub(super) fn worker_packet(&mut self, net: &mut Sockets, id: ConnId, number: u32, body: &[u8]) -> bool {
         let Some(peer) = self.peers.get(&id) else { return true };
         if !peer.role.may_work() {
-            self.error(net, id, "forbidden", "this identity is no worker's");
+            self.send_error(net, id, "forbidden", "this identity is no worker's");
             return true;
         }
         match number {
@@ -109,39 +121,39 @@
             }
             kind::CANT_DO => {
                 let function = self.config.function(body);
-                self.change(id, |w| function.map(|f| w.functions.remove(&f)));
+                self.update_worker(id, |w| function.map(|f| w.functions.remove(&f)));
             }
-            kind::RESET_ABILITIES => self.change(id, |w| w.functions.clear()),
+            kind::RESET_ABILITIES => self.update_worker(id, |w| w.functions.clear()),
             kind::PRE_SLEEP => {
                 if let Some(worker) = self.worker(id) {
-                    worker.sleeps = worker.offered.is_empty();
-                    if !worker.sleeps {
-                        self.put(net, id, answer(kind::NOOP, &[]));
+                    worker.is_asleep = worker.offered.is_empty();
+                    if !worker.is_asleep {
+                        self.send(net, id, answer(kind::NOOP, &[]));
                     }
                 }
             }
             kind::ALL_YOURS => {}
-            kind::GRAB_JOB | kind::GRAB_JOB_UNIQ | kind::GRAB_JOB_ALL => self.grab(net, id, number),
+            kind::GRAB_JOB | kind::GRAB_JOB_UNIQ | kind::GRAB_JOB_ALL => self.assign(net, id, number),
             kind::WORK_STATUS => {
                 let Some([handle, done, all]) = arguments::<3>(body) else { return false };
-                self.told(net, id, number, &[handle, done, all]);
+                self.on_progress(net, id, number, &[handle, done, all]);
             }
             kind::WORK_DATA | kind::WORK_WARNING => {
                 let Some([handle, data]) = arguments::<2>(body) else { return false };
-                self.told(net, id, number, &[handle, data]);
+                self.on_progress(net, id, number, &[handle, data]);
             }
             kind::WORK_COMPLETE => {
                 let Some([handle, data]) = arguments::<2>(body) else { return false };
-                self.finished(id, handle, Outcome::Served, data.to_vec());
+                self.on_finished(id, handle, Outcome::Served, data.to_vec());
             }
             kind::WORK_EXCEPTION => {
                 let Some([handle, data]) = arguments::<2>(body) else { return false };
-                self.told(net, id, number, &[handle, data]);
-                // Some workers send a WORK_FAIL behind it and some do not: this ends the dispatch, and what
-                // comes behind it names one that is over.
-                self.finished(id, handle, Outcome::Error, Vec::new());
+                self.on_progress(net, id, number, &[handle, data]);
+                // Some workers send a WORK_FAIL behind it and some do not: this packet ends the attempt, and what
+                // comes behind it names one that has ended.
+                self.on_finished(id, handle, Outcome::Error, Vec::new());
             }
-            _ => self.finished(id, body, Outcome::Error, Vec::new()),
+            _ => self.on_finished(id, body, Outcome::Error, Vec::new()),
         }
         true
     }
@@ -152,37 +164,37 @@
 
     fn can_do(&mut self, net: &mut Sockets, id: ConnId, name: &[u8], limit: f64) {
         let Some(function) = self.config.function(name) else {
-            return self.error(net, id, "unknown_function", "the operator's file has no such function");
+            return self.send_error(net, id, "unknown_function", "the operator's file has no such function");
         };
         let kind = self.config.functions[function].kind;
         let known = self.peers.get(&id).and_then(|p| p.worker.as_ref());
         if known.is_some_and(|w| w.functions().any(|f| self.config.functions[f].kind != kind)) {
-            return self.error(net, id, "other_kind", "a worker's functions are of one kind");
+            return self.send_error(net, id, "other_kind", "a worker's functions are of one kind");
         }
-        let patience = self.config.site.connect_timeout_ms;
-        // Guards against a table that grows with each worker that comes back: places are used again.
+        let offer_timeout_ms = self.config.site.connect_timeout_ms;
+        // Guards against a list that grows with each worker that connects again: slots are used again.
         let taken: BTreeSet<usize> =
-            self.peers.values().filter_map(|p| Some(p.worker.as_ref()?.place)).collect();
-        let place = (0..).find(|place| !taken.contains(place)).unwrap_or(0);
+            self.peers.values().filter_map(|p| Some(p.worker.as_ref()?.list_slot)).collect();
+        let list_slot = (0..).find(|list_slot| !taken.contains(list_slot)).unwrap_or(0);
         if let Some(peer) = self.peers.get_mut(&id) {
             peer.worker.get_or_insert_with(|| Worker {
-                server: EndpointId::default(),
-                place,
-                name: format!("worker-{place}"),
+                endpoint: EndpointId::default(),
+                list_slot,
+                name: format!("worker-{list_slot}"),
                 functions: BTreeMap::new(),
-                sleeps: false,
+                is_asleep: false,
                 offered: VecDeque::new(),
                 assigned: FxHashMap::default(),
                 state: EndpointStatus::Gone,
-                patience,
+                offer_timeout_ms,
             });
         }
-        self.change(id, |w| w.functions.insert(function, limit));
+        self.update_worker(id, |w| w.functions.insert(function, limit));
     }
 
-    /// Changes what is known of a worker, and its line in the server table with it. It takes work once it can
-    /// do all functions of its kind, unless it is still at a job that nobody waits for.
-    fn change<T>(&mut self, id: ConnId, change: impl FnOnce(&mut Worker) -> T) {
+    /// Changes a worker's state, and its entry in the endpoint list with it. It is ready once it can run all functions of
+    /// its kind, unless it is still at a job that nobody waits for.
+    fn update_worker<T>(&mut self, id: ConnId, change: impl FnOnce(&mut Worker) -> T) {
         let Some(worker) = self.peers.get_mut(&id).and_then(|p| p.worker.as_mut()) else { return };
         change(worker);
         let functions = &self.config.functions;
@@ -191,7 +203,7 @@
             functions
                 .iter()
                 .enumerate()
-                .all(|(f, line)| line.kind != kind || worker.functions.contains_key(&f))
+                .all(|(f, function)| function.kind != kind || worker.functions.contains_key(&f))
         };
         let busy = worker.assigned.values().any(|a| a.abandoned);
         let state = match kind {
@@ -202,66 +214,66 @@
         if state == worker.state {
             return;
         }
-        let member = self.core.endpoints().get(worker.server).map(|s| s.endpoint).unwrap_or_default();
-        let kind = kind.map_or(member.kind, |kind| kind as u16);
-        // Told apart from the one that had its place before by when it started, which is long ago: a worker
-        // that fetches one job at a time cannot be pushed over, and is not held to be cold.
-        let member = Endpoint { kind, size: 1.0, status: state, started_at: id, ..member };
-        let line = ListedEndpoint { name: worker.name.clone(), address: String::new(), endpoint: member };
+        let endpoint = self.core.endpoints().get(worker.endpoint).map(|s| s.endpoint).unwrap_or_default();
+        let kind = kind.map_or(endpoint.kind, |kind| kind as u16);
+        // The time of its start tells it apart from the worker that had its slot before. It is long ago, so that there is
+        // no slow start: a worker that fetches one job at a time cannot be overloaded.
+        let endpoint = Endpoint { kind, size: 1.0, status: state, started_at: id, ..endpoint };
+        let listed = ListedEndpoint { name: worker.name.clone(), address: String::new(), endpoint };
         worker.state = state;
         let name = worker.name.clone();
-        // Guards the drain: what it was offered and has not fetched goes elsewhere at once.
-        let returned: Vec<FlightId> = match state {
+        // Guards the drain: attempts that it was offered and has not fetched go elsewhere at once.
+        let returned: Vec<AttemptId> = match state {
             EndpointStatus::Ready => Vec::new(),
-            _ => worker.offered.drain(..).map(|(flight, _)| flight).collect(),
+            _ => worker.offered.drain(..).map(|(attempt, _)| attempt).collect(),
         };
-        self.core.on_list(vec![line], ListScope::Changes);
-        if let Some(server) = self.core.endpoints().id(&name) {
-            self.servers.insert(server, id);
+        self.core.on_list(vec![listed], ListScope::Changes);
+        if let Some(endpoint) = self.core.endpoints().id(&name) {
+            self.endpoints.insert(endpoint, id);
             if let Some(worker) = self.worker(id) {
-                worker.server = server;
+                worker.endpoint = endpoint;
             }
         }
-        for (session, attempt) in returned {
-            self.core.on_attempt_ended(session, attempt, Outcome::NotSent, LoadReport::default(), Vec::new());
+        for attempt in returned {
+            self.end_attempt(attempt, Outcome::NotSent);
         }
     }
 
-    /// Offers a dispatch to a worker, and wakes it if it sleeps.
-    pub(super) fn offer(&mut self, net: &mut Sockets, flight: FlightId, server: EndpointId) {
+    /// Reports to the core that an attempt ended without a result.
+    fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
+        let AttemptId { job, number } = attempt;
+        self.core.on_attempt_ended(job, number, outcome, LoadReport::default(), Vec::new());
+    }
+
+    /// Offers an attempt to a worker, and wakes it if it sleeps.
+    pub(super) fn offer(&mut self, net: &mut Sockets, attempt: AttemptId, endpoint: EndpointId) {
         let now = self.core.clock().now();
-        let id = self.servers.get(&server).copied();
+        let id = self.endpoints.get(&endpoint).copied();
         let worker = id
             .and_then(|id| self.worker(id))
-            .filter(|w| w.takes_work() && w.offered.len() < MAX_JOBS_PER_WORKER);
+            .filter(|w| w.is_ready() && w.offered.len() < MAX_JOBS_PER_WORKER);
         let (Some(id), Some(worker)) = (id, worker) else {
-            self.core.on_attempt_ended(
-                flight.0,
-                flight.1,
-                Outcome::NotSent,
-                LoadReport::default(),
-                Vec::new(),
-            );
+            self.end_attempt(attempt, Outcome::NotSent);
             return;
         };
-        worker.offered.push_back((flight, now));
-        if std::mem::take(&mut worker.sleeps) {
-            self.put(net, id, answer(kind::NOOP, &[]));
+        worker.offered.push_back((attempt, now));
+        if std::mem::take(&mut worker.is_asleep) {
+            self.send(net, id, answer(kind::NOOP, &[]));
         }
     }
 
-    /// A worker fetches a job.
-    fn grab(&mut self, net: &mut Sockets, id: ConnId, number: u32) {
+    /// Assigns the oldest offer to a worker that asks for a job.
+    fn assign(&mut self, net: &mut Sockets, id: ConnId, number: u32) {
         let now = self.core.clock().now();
         loop {
-            let Some((flight, _)) = self.worker(id).and_then(|w| w.offered.pop_front()) else {
-                return self.put(net, id, answer(kind::NO_JOB, &[]));
+            let Some((attempt, _)) = self.worker(id).and_then(|w| w.offered.pop_front()) else {
+                return self.send(net, id, answer(kind::NO_JOB, &[]));
             };
-            let Some(job) = self.jobs.get_mut(&flight.0) else { continue };
-            // From here on it may have run.
-            job.assigned = true;
+            let Some(job) = self.jobs.get_mut(&attempt.job) else { continue };
+            // From here on the job may have run.
+            job.was_assigned = true;
             let (function, key) = (job.function, job.key.clone());
-            let handle = Self::handle(flight.0);
+            let handle = Self::handle(attempt.job);
             let name = &self.config.functions[function].name;
             let (handle, unique, data) = (handle.as_bytes(), &job.unique, &job.data);
             let packet = match number {
@@ -270,106 +282,98 @@
                 _ => answer(kind::JOB_ASSIGN_ALL, &[handle, name, unique, b"", data]),
             };
             if let Some(worker) = self.worker(id) {
-                let until = now + worker.functions.get(&function).copied().unwrap_or(f64::INFINITY);
-                worker.assigned.insert(flight.0, Assigned { flight, key, abandoned: false, until });
+                let deadline_ms = now + worker.functions.get(&function).copied().unwrap_or(f64::INFINITY);
+                worker.assigned.insert(attempt.job, Assigned { attempt, key, abandoned: false, deadline_ms });
             }
-            self.put(net, id, packet);
-            self.core.on_request_sent(flight.0, flight.1);
-            return self.core.on_attempt_started(flight.0, flight.1);
+            self.send(net, id, packet);
+            self.core.on_request_sent(attempt.job, attempt.number);
+            return self.core.on_attempt_started(attempt.job, attempt.number);
         }
     }
 
-    /// Passes on what a worker tells of a job that it has and that is not over.
-    fn told(&mut self, net: &mut Sockets, id: ConnId, number: u32, fields: &[&[u8]]) {
-        let Some(session) = Self::session(fields[0]) else { return };
-        if self.worker(id).and_then(|w| w.assigned.get(&session)).is_some_and(|a| !a.abandoned) {
-            self.pass_on(net, session, number, fields);
+    /// Forwards a worker's packet on a job that it has and that has not ended.
+    fn on_progress(&mut self, net: &mut Sockets, id: ConnId, number: u32, fields: &[&[u8]]) {
+        let Some(job_id) = Self::job_of_handle(fields[0]) else { return };
+        if self.worker(id).and_then(|w| w.assigned.get(&job_id)).is_some_and(|a| !a.abandoned) {
+            self.forward(net, job_id, number, fields);
         }
     }
 
-    /// A worker has finished a job that it had. One that it had not, or that is over, changes nothing.
-    fn finished(&mut self, id: ConnId, handle: &[u8], outcome: Outcome, result: Vec<u8>) {
-        let session = Self::session(handle);
-        let assigned = session.and_then(|session| self.worker(id)?.assigned.remove(&session));
-        let Some(Assigned { flight, key, abandoned, .. }) = assigned else { return };
+    /// A worker has finished a job. One that it does not have, or that has ended, changes nothing.
+    fn on_finished(&mut self, id: ConnId, handle: &[u8], outcome: Outcome, result: Vec<u8>) {
+        let job_id = Self::job_of_handle(handle);
+        let assigned = job_id.and_then(|job_id| self.worker(id)?.assigned.remove(&job_id));
+        let Some(Assigned { attempt, key, abandoned, .. }) = assigned else { return };
         if !abandoned {
-            self.core.on_attempt_ended(flight.0, flight.1, outcome, one_slot(), result);
+            self.core.on_attempt_ended(attempt.job, attempt.number, outcome, one_free_slot(), result);
             return;
         }
-        // The client was told that it failed. One that asks again hears what really came of it.
+        // The client was answered that it failed. One that submits it again gets the result.
         if let (Some(key), Outcome::Served) = (key, outcome)
-            && matches!(
-                self.record.get(&key),
-                Some(super::record::Entry::Over { answer: Answer::Failed, .. })
-            )
+            && matches!(self.record.get(&key), Some(Entry::Answered { answer: Answer::Failed, .. }))
         {
-            let keep = self.core.clock().now() + self.config.keep;
-            self.record.over(&key, Self::handle(flight.0), Answer::Complete(result), keep);
+            let keep_until = self.core.clock().now() + self.config.keep_ms;
+            self.record.finish(&key, Self::handle(attempt.job), Answer::Complete(result), keep_until);
         }
-        self.change(id, |_| ());
+        self.update_worker(id, |_| ());
     }
 
-    /// Calls a dispatch off: one that was not fetched is taken back, for any other its worker is left alone
-    /// until it has finished.
-    pub(super) fn call_off(&mut self, flight: FlightId) {
+    /// Cancels an attempt: one that was not fetched is taken back; for any other its worker gets no job until it has
+    /// finished.
+    pub(super) fn cancel(&mut self, attempt: AttemptId) {
         let id = self.peers.iter().find_map(|(&id, p)| {
             let worker = p.worker.as_ref()?;
-            let has = worker.offered.iter().any(|(f, _)| *f == flight);
-            let at = worker.assigned.get(&flight.0).is_some_and(|a| a.flight == flight);
-            (has || at).then_some(id)
+            let is_offered = worker.offered.iter().any(|(f, _)| *f == attempt);
+            let is_assigned = worker.assigned.get(&attempt.job).is_some_and(|a| a.attempt == attempt);
+            (is_offered || is_assigned).then_some(id)
         });
         let Some(id) = id else { return };
-        self.change(id, |worker| {
-            worker.offered.retain(|(f, _)| *f != flight);
-            if let Some(assigned) = worker.assigned.get_mut(&flight.0) {
+        self.update_worker(id, |worker| {
+            worker.offered.retain(|(f, _)| *f != attempt);
+            if let Some(assigned) = worker.assigned.get_mut(&attempt.job) {
                 assigned.abandoned = true;
             }
         });
     }
 
-    /// A worker has gone: what it had not fetched never ran, what it had may have.
-    pub(super) fn worker_left(&mut self, worker: Worker) {
-        self.servers.remove(&worker.server);
+    /// A worker's connection has ended: attempts that it had not fetched never ran, those that it had may have.
+    pub(super) fn on_worker_left(&mut self, worker: Worker) {
+        self.endpoints.remove(&worker.endpoint);
         if worker.state != EndpointStatus::Gone {
-            let member = self.core.endpoints().get(worker.server).map(|s| s.endpoint).unwrap_or_default();
-            let member = Endpoint { status: EndpointStatus::Gone, ..member };
+            let endpoint = self.core.endpoints().get(worker.endpoint).map(|s| s.endpoint).unwrap_or_default();
+            let endpoint = Endpoint { status: EndpointStatus::Gone, ..endpoint };
             self.core.on_list(
-                vec![ListedEndpoint { name: worker.name, address: String::new(), endpoint: member }],
+                vec![ListedEndpoint { name: worker.name, address: String::new(), endpoint }],
                 ListScope::Changes,
             );
         }
-        for (flight, _) in worker.offered {
-            self.core.on_attempt_ended(
-                flight.0,
-                flight.1,
-                Outcome::Unreachable,
-                LoadReport::default(),
-                Vec::new(),
-            );
+        for (attempt, _) in worker.offered {
+            self.end_attempt(attempt, Outcome::Unreachable);
         }
-        for Assigned { flight, .. } in worker.assigned.into_values().filter(|a| !a.abandoned) {
-            self.core.on_attempt_ended(flight.0, flight.1, Outcome::Reset, LoadReport::default(), Vec::new());
+        for Assigned { attempt, .. } in worker.assigned.into_values().filter(|a| !a.abandoned) {
+            self.end_attempt(attempt, Outcome::Reset);
         }
     }
 
-    /// Takes back what idle workers do not fetch, and gives up jobs whose workers' own time is over.
+    /// Takes back offers that idle workers do not fetch, and ends attempts whose workers' time limit is over.
     pub(super) fn expire_workers(&mut self, now: f64) {
-        let due = self.peers.iter().filter(|(_, p)| p.worker.as_ref().is_some_and(|w| w.next() <= now));
+        let due =
+            self.peers.iter().filter(|(_, p)| p.worker.as_ref().is_some_and(|w| w.next_deadline() <= now));
         for id in due.map(|(&id, _)| id).collect::<Vec<_>>() {
             let Some(worker) = self.worker(id) else { continue };
             let mut ended = Vec::new();
             if worker.assigned.is_empty() {
-                while worker.offered.front().is_some_and(|o| o.1 + worker.patience <= now) {
+                while worker.offered.front().is_some_and(|o| o.1 + worker.offer_timeout_ms <= now) {
                     ended.extend(worker.offered.pop_front().map(|(f, _)| (f, Outcome::Unreachable)));
                 }
             }
-            for assigned in worker.assigned.values_mut().filter(|a| !a.abandoned && a.until <= now) {
+            for assigned in worker.assigned.values_mut().filter(|a| !a.abandoned && a.deadline_ms <= now) {
                 assigned.abandoned = true;
-                ended.push((assigned.flight, Outcome::TimedOut));
+                ended.push((assigned.attempt, Outcome::TimedOut));
             }
-            self.change(id, |_| ());
-            for (flight, outcome) in ended {
-                self.core.on_attempt_ended(flight.0, flight.1, outcome, LoadReport::default(), Vec::new());
+            self.update_worker(id, |_| ());
+            for (attempt, outcome) in ended {
+                self.end_attempt(attempt, outcome);
             }
         }
     }
