--- /dev/null
+++ b/src/frontend/streaming/answers.rs
@@ -0,0 +1,164 @@
+//! Answers: passed on from an endpoint to the client, as they come.
+
+use super::StreamingFrontend;
+use super::exchange::{AnswerState, RequestPhase};
+use super::transfer::{Relayed, relay_body, relay_buffered};
+use crate::flow::{Direction, Moved, StreamId, Turn};
+use crate::frontend::Sockets;
+use crate::net::body::{Decoder, Framing};
+use crate::net::head::{self, AnswerHead};
+use crate::net::{MAX_BUFFERED_BYTES, Pipe, http};
+use crate::routing::Outcome;
+
+/// Interim answers (of status 1xx) that are passed on for one request: a bound on what an endpoint can have a client read.
+const MAX_INTERIM_ANSWERS: u8 = 16;
+
+impl StreamingFrontend {
+    /// The answer's head has come.
+    pub(super) fn begin_answer(&mut self, net: &mut Sockets, stream: StreamId, answer: &AnswerHead) {
+        let now = self.now();
+        let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
+        let (Some(job), Some((server, _))) = (exchange.job, exchange.upstream) else { return };
+        let declined = http::value(&answer.headers, "srv-declined") == Some("1");
+        if declined && matches!(answer.status, 503 | 504) && exchange.prefix.is_some() {
+            return self.end_attempt(net, stream, Outcome::Full);
+        }
+        let Ok(decoder) = Decoder::new(answer.framing, exchange.class_rules.max_body_bytes) else {
+            return self.end_attempt(net, stream, Outcome::Unfit);
+        };
+        let framing = match answer.framing {
+            Framing::Chunked | Framing::UntilClose if exchange.head.old => Framing::UntilClose,
+            Framing::UntilClose => Framing::Chunked,
+            other => other,
+        };
+        // An answer before the body's end leaves the connections in the middle of a message.
+        exchange.closes_client |= framing == Framing::UntilClose || !exchange.decoder.is_done();
+        let spoken_of = match answer.framing {
+            Framing::Empty if exchange.head.method == "HEAD" => {
+                http::value(&answer.headers, "content-length").and_then(|v| v.parse().ok())
+            }
+            _ => None,
+        };
+        // Guards against an answer to a dispatch that is over.
+        if !self.core.on_response_started(job, exchange.attempt) {
+            return;
+        }
+        exchange.answer_deadline = f64::INFINITY;
+        let bytes = head::write_answer(answer, framing, spoken_of, exchange.closes_client);
+        let done = decoder.is_done();
+        let closes_upstream = answer.close || !matches!(exchange.request, RequestPhase::Done);
+        exchange.answer = Some(AnswerState {
+            decoder,
+            framing,
+            last_chunk_written: false,
+            pipe: None,
+            status: answer.status,
+            closes_upstream,
+        });
+        let Some([client, server]) = net.pair(exchange.client, server) else { return };
+        if !client.tx.push(&bytes) {
+            return self.end_attempt(net, stream, Outcome::Error);
+        }
+        let window = exchange.class_rules.allowance.window;
+        server.rx.bound((window + http::MAX_HEAD_BYTES + 1).max(MAX_BUFFERED_BYTES), window);
+        let held = client.tx.len() + server.rx.len();
+        self.flow.release(stream, Direction::Down, held, now);
+        if done {
+            self.flow.on_source_ended(stream, Direction::Down, now);
+        }
+    }
+
+    pub(super) fn relay_answer(&mut self, net: &mut Sockets, turn: Turn) -> usize {
+        let (now, stream) = (self.now(), turn.stream);
+        let Some(exchange) = self.exchanges.get_mut(&stream) else { return 0 };
+        let (Some(answer), Some((server, _))) = (&mut exchange.answer, exchange.upstream) else {
+            self.flow.on_moved(turn, Moved::default(), now);
+            return 0;
+        };
+        let Some([client, server]) = net.pair(exchange.client, server) else { return 0 };
+        let sent = client.sent;
+        let chunked = answer.framing == Framing::Chunked;
+        let framing = (chunked, &mut answer.last_chunk_written);
+        let passed = relay_body(
+            server,
+            client,
+            &mut answer.decoder,
+            &mut answer.pipe,
+            (&self.pipes, framing),
+            turn.read,
+            |_| (),
+        );
+        let Ok(Relayed { read, more, mut blocked, full }) = passed else {
+            self.end_attempt(net, stream, Outcome::Error);
+            return 0;
+        };
+        if server.eof && server.rx.is_empty() && !answer.decoder.is_done() && answer.decoder.end() {
+            // All that came before the end was the body.
+            let ended = relay_buffered(
+                server,
+                client,
+                &mut answer.decoder,
+                (chunked, &mut answer.last_chunk_written),
+                |_| (),
+            );
+            blocked = ended.unwrap_or(false);
+        }
+        let done = answer.decoder.is_done();
+        let taken = (client.sent - sent) as usize;
+        let piped = answer.pipe.as_ref().map_or(0, Pipe::held);
+        let held = client.tx.len() + piped + if done { 0 } else { server.rx.len() };
+        let (gone, ended) = (client.mute || client.broken, server.eof || server.broken);
+        self.counters.down += taken as u64;
+        self.flow.on_moved(turn, Moved { read, more, taken, held, blocked, full }, now);
+        if gone {
+            self.on_client_left(net, stream);
+        } else if done {
+            self.flow.on_source_ended(stream, Direction::Down, now);
+            if held == 0
+                && (!chunked || self.exchanges[&stream].answer.as_ref().is_some_and(|d| d.last_chunk_written))
+            {
+                self.on_answer_relayed(net, stream);
+            }
+        } else if ended && !blocked {
+            // Guards against an answer that looks whole and is not.
+            self.end_attempt(net, stream, Outcome::Reset);
+        }
+        read + taken
+    }
+
+    /// The answer is out, all of it.
+    fn on_answer_relayed(&mut self, net: &mut Sockets, stream: StreamId) {
+        let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
+        exchange.is_complete = true;
+        let (job, attempt) = (exchange.job, exchange.attempt);
+        let (status, close) = exchange.answer.as_ref().map_or((0, true), |d| (d.status, d.closes_upstream));
+        let outcome = if status < 500 { Outcome::Served } else { Outcome::Error };
+        let report = self.release_upstream(net, stream, !close);
+        if let Some(job) = job {
+            self.core.on_attempt_ended(job, attempt, outcome, report, Vec::new());
+        }
+    }
+
+    /// Passes an interim answer on. False where there are too many, or its client takes none.
+    pub(super) fn forward_interim(
+        &mut self,
+        net: &mut Sockets,
+        stream: StreamId,
+        answer: &AnswerHead,
+    ) -> bool {
+        let Some(exchange) = self.exchanges.get_mut(&stream) else { return false };
+        exchange.interim_answers += 1;
+        if answer.status == 101 || exchange.interim_answers > MAX_INTERIM_ANSWERS {
+            return false;
+        }
+        if exchange.head.old {
+            return true;
+        }
+        net.write(exchange.client, &head::write_answer(answer, Framing::Empty, None, false))
+    }
+
+    /// Whether an exchange is a HEAD's.
+    pub(super) fn is_to_head(&self, stream: StreamId) -> bool {
+        self.exchanges.get(&stream).is_some_and(|e| e.head.method == "HEAD")
+    }
+}
--- a/src/frontend/streaming/clients.rs
+++ b/src/frontend/streaming/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: their connections and heads, what is refused before it is taken, and answers of the front's own.
 
 use super::StreamingFrontend;
-use super::relay::{Exchange, Up};
+use super::exchange::{Exchange, RequestPhase};
 use crate::flow::{Direction, DispatchCondition, Hold, StreamId};
 use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Decoder};
@@ -18,11 +18,11 @@
 
 /// What a client's connection is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
+enum ClientState {
     /// Between requests.
     Idle,
     /// Some of a head has come.
-    Head,
+    ReadingHead,
     /// A stream has it.
     Busy(StreamId),
     /// Its last answer is out or on its direction; what it still sends is dropped.
@@ -31,15 +31,15 @@
 
 /// A connection that was accepted.
 pub(super) struct Client {
-    at: At,
+    state: ClientState,
     /// When it is over, for what it is at.
-    pub until: f64,
+    pub deadline: f64,
 }
 
 impl Client {
     pub fn stream(&self) -> Option<StreamId> {
-        match self.at {
-            At::Busy(stream) => Some(stream),
+        match self.state {
+            ClientState::Busy(stream) => Some(stream),
             _ => None,
         }
     }
@@ -51,12 +51,12 @@
     pub fn accept(&mut self, net: &mut Sockets) {
         for _ in 0..64 {
             if self.clients.len() >= self.config.table.connections {
-                let idle = self.clients.iter().filter(|(_, c)| c.at == At::Idle);
-                let idle = idle.min_by(|a, b| a.1.until.total_cmp(&b.1.until)).map(|(&id, _)| id);
+                let idle = self.clients.iter().filter(|(_, c)| c.state == ClientState::Idle);
+                let idle = idle.min_by(|a, b| a.1.deadline.total_cmp(&b.1.deadline)).map(|(&id, _)| id);
                 if let Some(idle) = idle {
                     // What has come by now is taken or refused first.
-                    self.client_ready(net, idle);
-                    if self.clients.get(&idle).is_some_and(|c| c.at == At::Idle) {
+                    self.on_client_ready(net, idle);
+                    if self.clients.get(&idle).is_some_and(|c| c.state == ClientState::Idle) {
                         self.drop_client(net, idle);
                     }
                 }
@@ -64,32 +64,32 @@
             let Some(id) = net.accept(self.listener) else { return };
             // Guards against a backlog that keeps the loop awake and its clients without a word.
             if self.clients.len() >= self.config.table.connections {
-                self.counters.full += 1;
+                self.counters.rejected_full += 1;
                 let advice = [("Retry-After", self.config.table.retry_after_s.ceil().to_string())];
                 net.write(id, &http::answer(503, &advice, b"too many connections\n", true));
                 net.close(id);
                 continue;
             }
-            let until = self.now() + self.config.table.head_s * 1e3;
-            self.clients.insert(id, Client { at: At::Idle, until });
+            let deadline = self.now() + self.config.table.head_s * 1e3;
+            self.clients.insert(id, Client { state: ClientState::Idle, deadline });
         }
     }
 
-    pub(super) fn client_ready(&mut self, net: &mut Sockets, id: ConnId) {
+    pub(super) fn on_client_ready(&mut self, net: &mut Sockets, id: ConnId) {
         let now = self.now();
-        let Some(at) = self.clients.get(&id).map(|c| c.at) else { return };
+        let Some(at) = self.clients.get(&id).map(|c| c.state) else { return };
         let Some(conn) = net.conn(id) else { return };
         match at {
-            At::Busy(stream) => {
+            ClientState::Busy(stream) => {
                 // While nobody reads it, only this tells that it is gone.
                 if conn.is_reset() {
-                    return self.client_gone(net, stream);
+                    return self.on_client_left(net, stream);
                 }
                 self.flow.on_readable(stream, Direction::Up, now);
                 self.flow.on_writable(stream, Direction::Down, now);
             }
-            At::Ending => self.drain(net, id),
-            At::Idle | At::Head => self.read_head(net, id),
+            ClientState::Ending => self.drain(net, id),
+            ClientState::Idle | ClientState::ReadingHead => self.read_head(net, id),
         }
     }
 
@@ -106,8 +106,9 @@
             let (gone, begun) = (conn.eof || conn.broken, !conn.rx.is_empty());
             let read = head::request(&mut conn.rx);
             let Some(client) = self.clients.get_mut(&id) else { return };
-            if begun && client.at == At::Idle {
-                (client.at, client.until) = (At::Head, now + self.config.table.head_s * 1e3);
+            if begun && client.state == ClientState::Idle {
+                (client.state, client.deadline) =
+                    (ClientState::ReadingHead, now + self.config.table.head_s * 1e3);
             }
             return match read {
                 Ok(Some(head)) => self.request(net, id, head),
@@ -120,15 +121,15 @@
                         Bad::TooLarge => 413,
                         Bad::Unsupported => 501,
                     };
-                    self.turn_away(net, id, status, "the request does not read\n");
+                    self.reject_unread(net, id, status, "the request does not read\n");
                 }
             };
         }
     }
 
     /// Answers a request that was not taken, and ends the connection: what comes behind its head is not read.
-    fn turn_away(&mut self, net: &mut Sockets, id: ConnId, status: u16, why: &str) {
-        self.counters.unread += 1;
+    fn reject_unread(&mut self, net: &mut Sockets, id: ConnId, status: u16, why: &str) {
+        self.counters.rejected_unread += 1;
         self.reply(net, id, status, 0.0, why, true);
     }
 
@@ -136,47 +137,47 @@
         let now = self.now();
         let name = head.target.split(['/', '?']).nth(1).unwrap_or("");
         let Some(class) = self.config.table.class.iter().position(|c| c.name == name) else {
-            return self.turn_away(net, id, 404, "no such class\n");
+            return self.reject_unread(net, id, 404, "no such class\n");
         };
         if REJECTED_METHODS.contains(&head.method.as_str()) {
-            return self.turn_away(net, id, 405, "no such method here\n");
+            return self.reject_unread(net, id, 405, "no such method here\n");
         }
-        let of = &self.config.classes[class];
-        let up = match Decoder::new(head.framing, of.body) {
+        let class_rules = &self.config.classes[class];
+        let up = match Decoder::new(head.framing, class_rules.max_body_bytes) {
             Ok(up) => up,
             Err(BodyError::TooLong) => {
-                return self.turn_away(net, id, 413, "the body is longer than its class allows\n");
+                return self.reject_unread(net, id, 413, "the body is longer than its class allows\n");
             }
-            Err(_) => return self.turn_away(net, id, 400, "the body does not read\n"),
+            Err(_) => return self.reject_unread(net, id, 400, "the body does not read\n"),
         };
         let tenant = http::value(&head.headers, &self.config.table.tenant_header).unwrap_or("").to_string();
-        if self.closes() {
+        if self.is_past_last_call() {
             return self.reply(net, id, 503, 0.0, "stopping\n", true);
         }
         if let Err(full) = self.admission.enter(&tenant) {
-            self.counters.full += 1;
+            self.counters.rejected_full += 1;
             let close = !up.is_done();
             let advice = self.config.table.retry_after_s * 1e3;
             return self.reply(net, id, 503, advice, &format!("{full}\n"), close);
         }
         // The server is to say whether it wants the body: there is nothing to hold back for.
         let asks = http::value(&head.headers, "expect").is_some();
-        let when = if asks { DispatchCondition::Head } else { of.dispatch };
-        let hold = Hold::new(when, of.hold, of.allowance.pace.min_bytes_per_s, now);
-        let (of, close) = (of.clone(), head.close);
-        self.last += 1;
-        let stream = self.last;
-        self.flow.open(stream, of.allowance);
+        let when = if asks { DispatchCondition::Head } else { class_rules.dispatch };
+        let hold = Hold::new(when, class_rules.prefix_bytes, class_rules.allowance.pace.min_bytes_per_s, now);
+        let (class_rules, close) = (class_rules.clone(), head.close);
+        self.last_stream += 1;
+        let stream = self.last_stream;
+        self.flow.open(stream, class_rules.allowance);
         if let Some(client) = self.clients.get_mut(&id) {
-            (client.at, client.until) = (At::Busy(stream), f64::INFINITY);
+            (client.state, client.deadline) = (ClientState::Busy(stream), f64::INFINITY);
         }
         if let Some(conn) = net.conn(id) {
             // What a window lets in beside what came with the head.
-            let most = of.allowance.window + MAX_HEAD_BYTES + 1;
-            conn.rx.bound(most.max(MAX_BUFFERED_BYTES), of.allowance.window);
+            let most = class_rules.allowance.window + MAX_HEAD_BYTES + 1;
+            conn.rx.bound(most.max(MAX_BUFFERED_BYTES), class_rules.allowance.window);
         }
         let whole = up.is_done();
-        let exchange = Exchange::new(id, class, of, tenant, head, up, hold, close);
+        let exchange = Exchange::new(id, class, class_rules, tenant, head, up, hold, close);
         self.exchanges.insert(stream, exchange);
         if whole || asks {
             return self.route(net, stream);
@@ -194,7 +195,7 @@
         why: &str,
         close: bool,
     ) {
-        let close = close || self.closes();
+        let close = close || self.is_past_last_call();
         let mut headers = vec![("Content-Type", "text/plain".to_string())];
         if retry_after > 0.0 {
             headers.push(("Retry-After", format!("{}", (retry_after / 1e3).ceil())));
@@ -207,23 +208,23 @@
 
     /// A client's connection is between requests again; its next one may have come.
     pub(super) fn free_client(&mut self, net: &mut Sockets, id: ConnId) {
-        let until = self.now() + self.config.table.idle_s * 1e3;
+        let deadline = self.now() + self.config.table.idle_s * 1e3;
         let (Some(client), Some(conn)) = (self.clients.get_mut(&id), net.conn(id)) else { return };
-        (client.at, client.until) = (At::Idle, until);
+        (client.state, client.deadline) = (ClientState::Idle, deadline);
         conn.rx.bound(MAX_BUFFERED_BYTES, 0);
-        self.later.push(id);
+        self.clients_to_read.push(id);
     }
 
     /// A client's connection ends once its answer is written. What it still sends is read and dropped for a while: a
     /// close with bytes unread would take the answer back.
     pub(super) fn end_client(&mut self, net: &mut Sockets, id: ConnId) {
-        let until = self.now() + LINGER_TIMEOUT_MS;
+        let deadline = self.now() + LINGER_TIMEOUT_MS;
         let (Some(client), Some(conn)) = (self.clients.get_mut(&id), net.conn(id)) else { return };
-        if client.at != At::Ending {
-            (client.at, client.until) = (At::Ending, until);
+        if client.state != ClientState::Ending {
+            (client.state, client.deadline) = (ClientState::Ending, deadline);
             conn.rx.consume(conn.rx.len());
             conn.rx.bound(MAX_BUFFERED_BYTES, 0);
-            self.later.push(id);
+            self.clients_to_read.push(id);
         }
     }
 
@@ -247,7 +248,7 @@
             }
             // Guards against a client that sends without end: others have their turn.
             if drained >= MAX_DRAINED_BYTES {
-                return self.later.push(id);
+                return self.clients_to_read.push(id);
             }
         }
     }
@@ -256,7 +257,7 @@
         let stream = self.clients.get(&id).and_then(Client::stream);
         // Its stream may be over, and its own answer have found no room.
         match stream.filter(|stream| self.exchanges.contains_key(stream)) {
-            Some(stream) => self.client_gone(net, stream),
+            Some(stream) => self.on_client_left(net, stream),
             None => self.cut_client(net, id),
         }
     }
@@ -268,12 +269,14 @@
     }
 
     pub(super) fn expire_clients(&mut self, net: &mut Sockets, now: f64) {
-        let over = self.clients.iter().filter(|(_, c)| c.until <= now).map(|(&id, c)| (id, c.at));
-        let mut over: Vec<(ConnId, At)> = over.collect();
+        let over = self.clients.iter().filter(|(_, c)| c.deadline <= now).map(|(&id, c)| (id, c.state));
+        let mut over: Vec<(ConnId, ClientState)> = over.collect();
         over.sort_unstable_by_key(|&(id, _)| id);
         for (id, at) in over {
             match at {
-                At::Head => self.turn_away(net, id, 408, "the request's head took too long\n"),
+                ClientState::ReadingHead => {
+                    self.reject_unread(net, id, 408, "the request's head took too long\n")
+                }
                 _ => self.drop_client(net, id),
             }
         }
@@ -281,28 +284,28 @@
 
     /// Closes connections between requests, once the program stops.
     pub(super) fn close_idle(&mut self, net: &mut Sockets) {
-        let idle = self.clients.iter().filter(|(_, c)| c.at == At::Idle).map(|(&id, _)| id);
+        let idle = self.clients.iter().filter(|(_, c)| c.state == ClientState::Idle).map(|(&id, _)| id);
         for id in idle.collect::<Vec<_>>() {
             // What has come by now is read first, and turned away.
-            self.client_ready(net, id);
+            self.on_client_ready(net, id);
             let written = net.conn(id).is_none_or(|conn| conn.tx.is_empty());
-            if written && self.clients.get(&id).is_some_and(|c| c.at == At::Idle) {
+            if written && self.clients.get(&id).is_some_and(|c| c.state == ClientState::Idle) {
                 self.drop_client(net, id);
             }
         }
     }
 
     /// A request whose body is held: whether it is time to dispatch it.
-    pub(super) fn consider(&mut self, net: &mut Sockets, stream: StreamId, now: f64) {
+    pub(super) fn dispatch_if_ready(&mut self, net: &mut Sockets, stream: StreamId, now: f64) {
         let Some(exchange) = self.exchanges.get(&stream) else { return };
-        let Up::Held(hold) = &exchange.up else { return };
+        let RequestPhase::Held(hold) = &exchange.request else { return };
         let received = exchange.prefix.as_ref().map_or(0, Vec::len);
         match hold.decide(received, exchange.decoder.is_done(), now) {
             crate::flow::HoldDecision::Wait => {}
             crate::flow::HoldDecision::Dispatch => self.route(net, stream),
             crate::flow::HoldDecision::GiveUp => {
                 self.counters.slow_clients += 1;
-                self.refuse(net, stream, 408, 0.0);
+                self.reject(net, stream, 408, 0.0);
             }
         }
     }
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -26,7 +26,7 @@
     NoClass,
     /// Two classes, or two servers, of one name.
     #[error("stream: `{0}` is named twice")]
-    Twice(String),
+    DuplicateName(String),
     /// A class's name cannot be the first part of a path.
     #[error("stream: class name `{0}` cannot stand in a path: letters, digits, `-`, `_` and `.` only")]
     ClassName(String),
@@ -35,7 +35,7 @@
     Servers,
     /// A figure that is out of its bounds.
     #[error("stream: `{name}` is {value}, and must be from {least} to {most}")]
-    OutOf {
+    OutOfBounds {
         /// Its key.
         name: String,
         /// What it is.
@@ -289,13 +289,13 @@
     /// When its requests are dispatched.
     pub dispatch: DispatchCondition,
     /// The prefix.
-    pub hold: usize,
+    pub prefix_bytes: usize,
     /// Most of a body.
-    pub body: u64,
+    pub max_body_bytes: u64,
     /// Until the answer begins.
-    pub longest: f64,
+    pub answer_start_limit_ms: f64,
     /// Until the answer begins, once the request is with its server.
-    pub answer: f64,
+    pub answer_timeout_ms: f64,
 }
 
 /// All that the table says, checked.
@@ -310,17 +310,17 @@
     /// Bounds on streams.
     pub bounds: Bounds,
     /// Bytes that all channels may hold together.
-    pub pool: usize,
+    pub pool_bytes: usize,
     /// Bytes of a turn.
-    pub quantum: usize,
+    pub turn_bytes: usize,
     /// The backend servers of the file.
-    pub lines: Vec<ListedEndpoint>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// Adds an error where a figure is out of its bounds.
 fn check_bound(errors: &mut Vec<ConfigError>, name: &str, value: f64, least: f64, most: f64) {
     if !(least..=most).contains(&value) {
-        errors.push(ConfigError::OutOf { name: name.into(), value, least, most });
+        errors.push(ConfigError::OutOfBounds { name: name.into(), value, least, most });
     }
 }
 
@@ -375,9 +375,9 @@
             site: self.site(),
             classes: self.class.iter().map(ClassTable::stream).collect(),
             bounds: Bounds { total, tenant, endpoint: server },
-            pool,
-            quantum: (self.turn_kb * 1024.0) as usize,
-            lines: self.servers.iter().map(ServerTable::line).collect(),
+            pool_bytes: pool,
+            turn_bytes: (self.turn_kb * 1024.0) as usize,
+            endpoints: self.servers.iter().map(ServerTable::line).collect(),
             table: self,
         })
     }
@@ -420,13 +420,13 @@
                 errors.push(ConfigError::ClassName(class.name.clone()));
             }
             if !names.insert(class.name.as_str()) {
-                errors.push(ConfigError::Twice(class.name.clone()));
+                errors.push(ConfigError::DuplicateName(class.name.clone()));
             }
         }
         let mut names = BTreeSet::new();
         for server in &self.servers {
             if !names.insert(server.name.as_str()) {
-                errors.push(ConfigError::Twice(server.name.clone()));
+                errors.push(ConfigError::DuplicateName(server.name.clone()));
             }
         }
     }
@@ -494,10 +494,10 @@
                 DispatchTable::Prefix => DispatchCondition::Prefix,
                 DispatchTable::Pace => DispatchCondition::Pace,
             },
-            hold: kb(self.hold_kb),
-            body: (self.body_mb * 1024.0 * 1024.0) as u64,
-            longest: self.longest_s * 1e3,
-            answer: self.answer_s * 1e3,
+            prefix_bytes: kb(self.hold_kb),
+            max_body_bytes: (self.body_mb * 1024.0 * 1024.0) as u64,
+            answer_start_limit_ms: self.longest_s * 1e3,
+            answer_timeout_ms: self.answer_s * 1e3,
         }
     }
 }
--- a/src/frontend/streaming/counters.rs
+++ b/src/frontend/streaming/counters.rs
@@ -8,13 +8,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
     /// Streams whose answer went out whole.
-    pub whole: u64,
+    pub completed: u64,
     /// Streams whose answer had begun, and was cut so that the client sees it.
     pub cut: u64,
     /// Requests refused before they were taken: they do not read, or are too large or of no class.
-    pub unread: u64,
+    pub rejected_unread: u64,
     /// Requests turned away by a bound on streams.
-    pub full: u64,
+    pub rejected_full: u64,
     /// Clients given up as too slow, and as silent.
     pub slow_clients: u64,
     /// As silent.
@@ -31,7 +31,7 @@
 
 impl Counters {
     /// Counts a peer that was given up.
-    pub fn give_up(&mut self, given: &GiveUp) {
+    pub fn count_given_up(&mut self, given: &GiveUp) {
         let client = (given.direction == Direction::Up) == (given.side == Side::Source);
         let count = match (client, given.failure) {
             (true, PaceFailure::Slow) => &mut self.slow_clients,
@@ -46,10 +46,10 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let rows = [
-            ("whole", self.whole),
+            ("whole", self.completed),
             ("cut", self.cut),
-            ("unread", self.unread),
-            ("full", self.full),
+            ("unread", self.rejected_unread),
+            ("full", self.rejected_full),
             ("slow_clients", self.slow_clients),
             ("silent_clients", self.silent_clients),
             ("slow_servers", self.slow_servers),
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -2,10 +2,14 @@
 //! as they come. It decides nothing: which server, again or not, and what is turned away is the module's; who is read
 //! next, how much, and who is too slow is `flow`'s.
 
+mod answers;
 mod clients;
 mod config;
 mod counters;
+mod endings;
+mod exchange;
 mod relay;
+mod transfer;
 mod upstream;
 
 use rustc_hash::FxHashMap;
@@ -22,8 +26,8 @@
 use clients::Client;
 pub use config::{Config, ConfigError, Table};
 use counters::Counters;
-use relay::Exchange;
-use upstream::Server;
+use exchange::Exchange;
+use upstream::UpstreamConnection;
 
 /// Bytes moved before the loop looks at the sockets again: what small requests wait for beside full-speed streams.
 const MAX_BYTES_PER_TICK: usize = 1 << 20;
@@ -48,10 +52,10 @@
     config: Config,
     listener: usize,
     clients: FxHashMap<ConnId, Client>,
-    servers: FxHashMap<ConnId, Server>,
+    upstreams: FxHashMap<ConnId, UpstreamConnection>,
     pool: Pool<EndpointId>,
     exchanges: FxHashMap<StreamId, Exchange>,
-    sessions: FxHashMap<JobId, StreamId>,
+    streams: FxHashMap<JobId, StreamId>,
     flow: Flow,
     admission: Admission,
     slots: Slots,
@@ -59,12 +63,12 @@
     discovery: Option<Discovery>,
     counters: Counters,
     /// The last stream's id.
-    last: StreamId,
+    last_stream: StreamId,
     /// Client connections that may hold a next request.
-    later: Vec<ConnId>,
-    stopping: Option<Shutdown>,
+    clients_to_read: Vec<ConnId>,
+    shutdown: Option<Shutdown>,
     /// When streams that still run are cut.
-    cut: f64,
+    cut_at_ms: f64,
 }
 
 impl StreamingFrontend {
@@ -75,26 +79,26 @@
         if discovery.is_some() {
             core.restore_list(Vec::new());
         } else {
-            core.on_list(config.lines.clone(), ListScope::Complete);
+            core.on_list(config.endpoints.clone(), ListScope::Complete);
         }
         StreamingFrontend {
             core,
             listener,
             clients: FxHashMap::default(),
-            servers: FxHashMap::default(),
+            upstreams: FxHashMap::default(),
             pool: Pool::new(config.site.connection_idle_ms),
             exchanges: FxHashMap::default(),
-            sessions: FxHashMap::default(),
-            flow: Flow::new(config.pool, config.quantum),
+            streams: FxHashMap::default(),
+            flow: Flow::new(config.pool_bytes, config.turn_bytes),
             admission: Admission::new(config.bounds),
             slots: Slots::new(config.bounds.endpoint),
             pipes: Pipes::new(config.table.pipes),
             discovery,
             counters: Counters::default(),
-            last: 0,
-            later: Vec::new(),
-            stopping: None,
-            cut: f64::INFINITY,
+            last_stream: 0,
+            clients_to_read: Vec::new(),
+            shutdown: None,
+            cut_at_ms: f64::INFINITY,
             config,
         }
     }
@@ -119,17 +123,17 @@
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.core.reconfigure(config.site.clone(), config.bounds.total);
         self.pool.keep_below(config.site.connection_idle_ms);
-        self.flow.reconfigure(config.pool, config.quantum);
+        self.flow.reconfigure(config.pool_bytes, config.turn_bytes);
         self.admission.reconfigure(config.bounds);
         self.slots.reconfigure(config.bounds.endpoint);
         self.pipes.reconfigure(config.table.pipes);
         let now = self.now();
         if let Some(discovery) = &mut self.discovery {
-            let heard = discovery.follow(net, now, config.table.discovery, &self.core.site().settings);
-            self.heard(net, heard);
+            let update = discovery.follow(net, now, config.table.discovery, &self.core.site().settings);
+            self.apply_discovery(net, update);
         } else {
-            let lines = config.lines.clone();
-            self.heard(net, Some(DiscoveryUpdate::List { lines, scope: ListScope::Complete }));
+            let lines = config.endpoints.clone();
+            self.apply_discovery(net, Some(DiscoveryUpdate::List { lines, scope: ListScope::Complete }));
         }
         self.config = config;
         self.carry_out(net);
@@ -163,26 +167,26 @@
     /// Whether a connection is one of its own.
     pub fn owns(&self, conn: ConnId) -> bool {
         let discovery = self.discovery.as_ref().is_some_and(|d| d.owns(conn));
-        discovery || self.clients.contains_key(&conn) || self.servers.contains_key(&conn)
+        discovery || self.clients.contains_key(&conn) || self.upstreams.contains_key(&conn)
     }
 
     /// A connection can be read or written, came up or broke.
     pub fn on_ready(&mut self, net: &mut Sockets, conn: ConnId) {
         if self.clients.contains_key(&conn) {
-            self.client_ready(net, conn);
-        } else if self.servers.contains_key(&conn) {
-            self.server_ready(net, conn);
+            self.on_client_ready(net, conn);
+        } else if self.upstreams.contains_key(&conn) {
+            self.on_upstream_ready(net, conn);
         } else if let Some(discovery) = &mut self.discovery {
-            let heard = discovery.on_ready(net, self.core.clock().now(), self.core.site());
-            self.heard(net, heard);
+            let update = discovery.on_ready(net, self.core.clock().now(), self.core.site());
+            self.apply_discovery(net, update);
         }
         self.carry_out(net);
     }
 
     /// Tells the core what discovery has brought.
-    fn heard(&mut self, net: &mut Sockets, heard: Option<DiscoveryUpdate>) {
-        for server in heard.map(|heard| heard.apply(&mut self.core)).unwrap_or_default() {
-            self.drop_idle(net, server);
+    fn apply_discovery(&mut self, net: &mut Sockets, update: Option<DiscoveryUpdate>) {
+        for endpoint in update.map(|update| update.apply(&mut self.core)).unwrap_or_default() {
+            self.close_idle_upstreams(net, endpoint);
         }
     }
 
@@ -190,20 +194,20 @@
     fn carry_out(&mut self, net: &mut Sockets) {
         while let Some(command) = self.core.next_command() {
             match command {
-                Command::Send { job: session, attempt, endpoint: server } => {
-                    self.send(net, session, attempt, server);
+                Command::Send { job, attempt, endpoint } => {
+                    self.send(net, job, attempt, endpoint);
                 }
-                Command::Cancel { job: session, attempt } => self.cancel(net, session, attempt),
-                Command::Answer { job: session, answer } => self.answer(net, session, &answer),
+                Command::Cancel { job, attempt } => self.cancel(net, job, attempt),
+                Command::Answer { job, answer } => self.answer(net, job, &answer),
                 // What a probe would ask is counted here: streams out at each server.
-                Command::Probe { endpoint: server } => {
-                    let report = self.slots.report(server);
-                    self.core.on_probe_ended(server, true, 0.0, report);
+                Command::Probe { endpoint } => {
+                    let report = self.slots.report(endpoint);
+                    self.core.on_probe_ended(endpoint, true, 0.0, report);
                 }
                 Command::Subscribe => {
                     if let Some(discovery) = &mut self.discovery {
-                        let heard = discovery.call(net, self.core.clock().now(), &self.core.site().settings);
-                        self.heard(net, heard);
+                        let update = discovery.call(net, self.core.clock().now(), &self.core.site().settings);
+                        self.apply_discovery(net, update);
                     }
                 }
             }
@@ -211,14 +215,14 @@
     }
 
     /// The final answer of a session, where its front has not given it already.
-    fn answer(&mut self, net: &mut Sockets, session: JobId, answer: &FinalAnswer) {
-        let Some(&stream) = self.sessions.get(&session) else { return };
+    fn answer(&mut self, net: &mut Sockets, job: JobId, answer: &FinalAnswer) {
+        let Some(&stream) = self.streams.get(&job) else { return };
         match answer {
             FinalAnswer::Served(_) => self.finish(net, stream),
             FinalAnswer::Rejected { retry_after_ms: retry_after } => {
-                self.refuse(net, stream, 503, *retry_after);
+                self.reject(net, stream, 503, *retry_after);
             }
-            FinalAnswer::Failed => self.refuse(net, stream, 502, 0.0),
+            FinalAnswer::Failed => self.reject(net, stream, 502, 0.0),
         }
     }
 
@@ -227,15 +231,15 @@
         let now = self.now();
         self.core.tick();
         self.carry_out(net);
-        for conn in std::mem::take(&mut self.later) {
-            self.client_ready(net, conn);
+        for conn in std::mem::take(&mut self.clients_to_read) {
+            self.on_client_ready(net, conn);
         }
         self.expire_clients(net, now);
-        self.expire_servers(net, now);
+        self.expire_upstreams(net, now);
         self.expire_streams(net, now);
         if let Some(discovery) = &mut self.discovery {
-            let heard = discovery.tick(net, now, &self.core.site().settings);
-            self.heard(net, heard);
+            let update = discovery.tick(net, now, &self.core.site().settings);
+            self.apply_discovery(net, update);
         }
         self.carry_out(net);
         let mut moved = 0;
@@ -246,10 +250,10 @@
             moved += self.take_turn(net, turn).max(4096);
             self.carry_out(net);
         }
-        if self.closes() {
+        if self.is_past_last_call() {
             self.core.reject_new_jobs();
             self.close_idle(net);
-            if now >= self.cut {
+            if now >= self.cut_at_ms {
                 self.cut_all(net);
             }
             self.carry_out(net);
@@ -259,37 +263,37 @@
     /// When `tick` is to be called next.
     pub fn next_deadline(&self) -> f64 {
         let now = self.now();
-        if self.flow.has_turns() || !self.later.is_empty() {
+        if self.flow.has_turns() || !self.clients_to_read.is_empty() {
             return now;
         }
-        let clients = self.clients.values().map(|c| c.until);
-        let servers = self.servers.values().map(|s| s.until);
-        let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call_ms.max(now + 20.0));
+        let clients = self.clients.values().map(|c| c.deadline);
+        let servers = self.upstreams.values().map(|s| s.connect_deadline);
+        let stop = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.last_call_ms.max(now + 20.0));
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let discovery = self.discovery.as_ref().map_or(f64::INFINITY, Discovery::next_deadline);
         let due = wake.min(stop).min(discovery).min(self.flow.next_deadline());
-        let answers = self.exchanges.values().map(|e| e.answer_by);
+        let answers = self.exchanges.values().map(|e| e.answer_deadline);
         clients.chain(servers).chain(answers).fold(due, f64::min)
     }
 
     /// Begins to stop.
     pub fn stop(&mut self) {
         let span = self.config.table.stop_s * 1e3;
-        self.cut = self.cut.min(self.now() + span);
-        self.stopping.get_or_insert_with(|| Shutdown::within(&mut self.core, span));
+        self.cut_at_ms = self.cut_at_ms.min(self.now() + span);
+        self.shutdown.get_or_insert_with(|| Shutdown::within(&mut self.core, span));
     }
 
     /// Whether it is past its last call.
-    fn closes(&self) -> bool {
-        self.stopping.is_some_and(|leaving| self.core.clock().now() >= leaving.last_call_ms)
+    fn is_past_last_call(&self) -> bool {
+        self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.last_call_ms)
     }
 
     /// Whether all that was taken is answered, and written as far as peers read.
     pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
         let now = self.now();
         let open = self.core.open_jobs() + self.exchanges.len();
-        let Some(leaving) = self.stopping.as_mut().filter(|_| open == 0) else { return false };
-        leaving.is_over(now, || {
+        let Some(shutdown) = self.shutdown.as_mut().filter(|_| open == 0) else { return false };
+        shutdown.is_over(now, || {
             self.clients.keys().all(|&id| net.conn(id).is_none_or(|c| c.is_written() || c.broken))
         })
     }
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -3,8 +3,7 @@
 use std::net::SocketAddr;
 
 use super::StreamingFrontend;
-use super::relay::{Exchange, Up};
-
+use super::exchange::{Exchange, RequestPhase};
 use crate::flow::{Direction, StreamId};
 use crate::frontend::Sockets;
 use crate::net::head;
@@ -13,37 +12,40 @@
 use crate::routing::{EndpointId, JobId, Outcome};
 
 /// A connection to a backend server.
-pub(super) struct Server {
-    worker: EndpointId,
+pub(super) struct UpstreamConnection {
+    endpoint: EndpointId,
     stream: Option<StreamId>,
     /// It is to have come up by then.
-    pub until: f64,
+    pub connect_deadline: f64,
     /// Bytes that it had taken before this dispatch.
-    base: u64,
+    sent_before: u64,
 }
 
 impl StreamingFrontend {
     /// Sends a dispatch, as far as its body has come.
-    pub(super) fn send(&mut self, net: &mut Sockets, session: JobId, attempt: usize, worker: EndpointId) {
+    pub(super) fn send(&mut self, net: &mut Sockets, job: JobId, attempt: usize, endpoint: EndpointId) {
         let now = self.now();
-        let Some(&stream) = self.sessions.get(&session) else { return };
+        let Some(&stream) = self.streams.get(&job) else { return };
         let opening = self.exchanges.get_mut(&stream).and_then(Exchange::opening);
         // Guards against half a body: what has gone past the prefix is nowhere any more.
-        let Some(opening) = opening else { return self.unsent(session, attempt, Outcome::Unfit, worker) };
-        if !self.slots.take(worker) {
-            return self.unsent(session, attempt, Outcome::Full, worker);
+        let Some(opening) = opening else {
+            return self.end_unsent_attempt(job, attempt, Outcome::Unfit, endpoint);
+        };
+        if !self.slots.take(endpoint) {
+            return self.end_unsent_attempt(job, attempt, Outcome::Full, endpoint);
         }
-        let Some(conn) = self.acquire(net, worker, stream) else {
-            self.slots.give_back(worker);
-            return self.unsent(session, attempt, Outcome::Unreachable, worker);
+        let Some(conn) = self.acquire(net, endpoint, stream) else {
+            self.slots.give_back(endpoint);
+            return self.end_unsent_attempt(job, attempt, Outcome::Unreachable, endpoint);
         };
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
-        (exchange.server, exchange.attempt, exchange.up) = (Some((conn, worker)), attempt, Up::Passes);
+        (exchange.upstream, exchange.attempt, exchange.request) =
+            (Some((conn, endpoint)), attempt, RequestPhase::Relaying);
         let waiting = net.conn(exchange.client).map_or(0, |c| c.rx.len());
         let done = exchange.decoder.is_done();
         let Some(conn) = net.conn(conn) else { return };
         if !conn.tx.push(&opening) {
-            return self.attempt_over(net, stream, Outcome::Unfit);
+            return self.end_attempt(net, stream, Outcome::Unfit);
         }
         let held = conn.tx.len() + if done { 0 } else { waiting };
         self.flow.release(stream, Direction::Up, held, now);
@@ -53,96 +55,104 @@
     }
 
     /// Tells the core of a dispatch of which nothing was sent.
-    fn unsent(&mut self, session: JobId, attempt: usize, outcome: Outcome, worker: EndpointId) {
-        let report = self.slots.report(worker);
-        self.core.on_attempt_ended(session, attempt, outcome, report, Vec::new());
+    fn end_unsent_attempt(&mut self, job: JobId, attempt: usize, outcome: Outcome, endpoint: EndpointId) {
+        let report = self.slots.report(endpoint);
+        self.core.on_attempt_ended(job, attempt, outcome, report, Vec::new());
     }
 
     /// A connection to a backend server: an idle one that is whole, or a new one. None proves that nothing was sent.
-    fn acquire(&mut self, net: &mut Sockets, worker: EndpointId, stream: StreamId) -> Option<ConnId> {
+    fn acquire(&mut self, net: &mut Sockets, endpoint: EndpointId, stream: StreamId) -> Option<ConnId> {
         let now = self.now();
-        while let Some(id) = self.pool.take(worker, now) {
+        while let Some(id) = self.pool.take(endpoint, now) {
             // Guards against a connection that the peer has closed: a request written there would be lost.
             if let Some(conn) = net.conn(id).filter(|conn| conn.is_fresh()) {
-                let base = conn.sent;
-                let server = Server { worker, stream: Some(stream), until: f64::INFINITY, base };
-                self.servers.insert(id, server);
+                let sent_before = conn.sent;
+                let upstream = UpstreamConnection {
+                    endpoint,
+                    stream: Some(stream),
+                    connect_deadline: f64::INFINITY,
+                    sent_before,
+                };
+                self.upstreams.insert(id, upstream);
                 return Some(id);
             }
-            self.close_server(net, id);
+            self.close_upstream(net, id);
         }
         // Idle connections to others make room: there is one for each stream that there may be.
-        while self.servers.len() >= self.config.bounds.total
+        while self.upstreams.len() >= self.config.bounds.total
             && let Some(idle) = self.pool.oldest()
         {
-            self.close_server(net, idle);
+            self.close_upstream(net, idle);
         }
-        let address: SocketAddr = self.core.endpoints().get(worker)?.address.parse().ok()?;
+        let address: SocketAddr = self.core.endpoints().get(endpoint)?.address.parse().ok()?;
         let id = net.open(address).ok()?;
-        let until = now + self.config.site.connect_timeout_ms;
-        self.servers.insert(id, Server { worker, stream: Some(stream), until, base: 0 });
+        let connect_deadline = now + self.config.site.connect_timeout_ms;
+        self.upstreams.insert(
+            id,
+            UpstreamConnection { endpoint, stream: Some(stream), connect_deadline, sent_before: 0 },
+        );
         Some(id)
     }
 
     /// A dispatch is called off.
-    pub(super) fn cancel(&mut self, net: &mut Sockets, session: JobId, attempt: usize) {
-        let Some(&stream) = self.sessions.get(&session) else { return };
+    pub(super) fn cancel(&mut self, net: &mut Sockets, job: JobId, attempt: usize) {
+        let Some(&stream) = self.streams.get(&job) else { return };
         let Some(exchange) = self.exchanges.get_mut(&stream).filter(|e| e.attempt == attempt) else { return };
-        (exchange.up, exchange.answer_by) = (Up::Rests, f64::INFINITY);
+        (exchange.request, exchange.answer_deadline) = (RequestPhase::Paused, f64::INFINITY);
         let now = self.now();
         self.flow.pause(stream, Direction::Up, now);
         self.flow.pause(stream, Direction::Down, now);
-        self.release(net, stream, false);
+        self.release_upstream(net, stream, false);
     }
 
     /// A connection has no dispatch any more.
-    pub(super) fn free_server(&mut self, net: &mut Sockets, id: ConnId, keep: bool) {
+    pub(super) fn free_upstream(&mut self, net: &mut Sockets, id: ConnId, keep: bool) {
         let now = self.now();
-        let (Some(server), Some(conn)) = (self.servers.get_mut(&id), net.conn(id)) else { return };
+        let (Some(upstream), Some(conn)) = (self.upstreams.get_mut(&id), net.conn(id)) else { return };
         let whole = conn.rx.is_empty() && conn.tx.is_empty() && !(conn.eof || conn.broken || conn.mute);
         if !(keep && whole) {
-            return self.close_server(net, id);
+            return self.close_upstream(net, id);
         }
         conn.rx.bound(MAX_BUFFERED_BYTES, 0);
-        (server.stream, server.until) = (None, f64::INFINITY);
-        self.pool.put(server.worker, id, now);
+        (upstream.stream, upstream.connect_deadline) = (None, f64::INFINITY);
+        self.pool.put(upstream.endpoint, id, now);
     }
 
-    fn close_server(&mut self, net: &mut Sockets, id: ConnId) {
+    fn close_upstream(&mut self, net: &mut Sockets, id: ConnId) {
         net.close(id);
-        if let Some(server) = self.servers.remove(&id) {
-            self.pool.remove(server.worker, id);
+        if let Some(upstream) = self.upstreams.remove(&id) {
+            self.pool.remove(upstream.endpoint, id);
         }
     }
 
     /// Closes idle connections to a backend server that has moved or was started again.
-    pub(super) fn drop_idle(&mut self, net: &mut Sockets, worker: EndpointId) {
-        while let Some(id) = self.pool.take(worker, f64::NEG_INFINITY) {
-            self.close_server(net, id);
+    pub(super) fn close_idle_upstreams(&mut self, net: &mut Sockets, endpoint: EndpointId) {
+        while let Some(id) = self.pool.take(endpoint, f64::NEG_INFINITY) {
+            self.close_upstream(net, id);
         }
     }
 
-    pub(super) fn server_ready(&mut self, net: &mut Sockets, id: ConnId) {
+    pub(super) fn on_upstream_ready(&mut self, net: &mut Sockets, id: ConnId) {
         let now = self.now();
-        let Some(server) = self.servers.get_mut(&id) else { return };
-        let (stream, Some(conn)) = (server.stream, net.conn(id)) else { return };
+        let Some(upstream) = self.upstreams.get_mut(&id) else { return };
+        let (stream, Some(conn)) = (upstream.stream, net.conn(id)) else { return };
         let Some(stream) = stream else {
             // An idle one that says something, or ends. What was told of bytes that were read meanwhile is neither.
             if !conn.is_fresh() {
-                self.close_server(net, id);
+                self.close_upstream(net, id);
             }
             return;
         };
         if conn.connecting && !conn.come_up() {
             if conn.broken {
-                self.broke(net, stream);
+                self.on_upstream_broken(net, stream);
             }
             return;
         }
         // It may have been found up elsewhere: the time to connect is over all the same.
-        server.until = f64::INFINITY;
+        upstream.connect_deadline = f64::INFINITY;
         self.flow.on_writable(stream, Direction::Up, now);
-        if self.exchanges.get(&stream).is_some_and(|e| e.down.is_some()) {
+        if self.exchanges.get(&stream).is_some_and(|e| e.answer.is_some()) {
             self.flow.on_readable(stream, Direction::Down, now);
         } else {
             self.read_answer(net, stream);
@@ -153,50 +163,51 @@
     pub(super) fn read_answer(&mut self, net: &mut Sockets, stream: StreamId) {
         let to_head = self.is_to_head(stream);
         loop {
-            let Some(exchange) = self.exchanges.get(&stream).filter(|e| e.down.is_none()) else { return };
-            let Some((id, _)) = exchange.server else { return };
+            let Some(exchange) = self.exchanges.get(&stream).filter(|e| e.answer.is_none()) else { return };
+            let Some((id, _)) = exchange.upstream else { return };
             let Some(conn) = net.conn(id) else { return };
             let more = conn.read_some((MAX_HEAD_BYTES + 1).saturating_sub(conn.rx.len()));
             let ended = conn.eof || conn.broken;
             match head::answer(&mut conn.rx, to_head) {
                 Ok(Some(answer)) if answer.status >= 200 => return self.begin_answer(net, stream, &answer),
                 Ok(Some(answer)) => {
-                    if !self.interim(net, stream, &answer) {
-                        return self.attempt_over(net, stream, Outcome::Error);
+                    if !self.forward_interim(net, stream, &answer) {
+                        return self.end_attempt(net, stream, Outcome::Error);
                     }
                 }
                 Ok(None) if more => {}
-                Ok(None) if ended => return self.broke(net, stream),
+                Ok(None) if ended => return self.on_upstream_broken(net, stream),
                 Ok(None) => return,
-                Err(_) => return self.attempt_over(net, stream, Outcome::Error),
+                Err(_) => return self.end_attempt(net, stream, Outcome::Error),
             }
         }
     }
 
     /// The connection of a dispatch broke before an answer. Only where no byte of the dispatch was written is it sure
     /// that it never ran: an HTTP server may begin with the first.
-    fn broke(&mut self, net: &mut Sockets, stream: StreamId) {
-        let id = self.exchanges.get(&stream).and_then(|e| e.server).map(|(id, _)| id);
+    fn on_upstream_broken(&mut self, net: &mut Sockets, stream: StreamId) {
+        let id = self.exchanges.get(&stream).and_then(|e| e.upstream).map(|(id, _)| id);
         let Some(id) = id else { return };
-        let base = self.servers.get(&id).map_or(0, |s| s.base);
+        let sent_before = self.upstreams.get(&id).map_or(0, |s| s.sent_before);
         let sent = net.conn(id).map_or(0, |c| c.sent);
-        let outcome = if sent > base { Outcome::Reset } else { Outcome::Unreachable };
-        self.attempt_over(net, stream, outcome);
+        let outcome = if sent > sent_before { Outcome::Reset } else { Outcome::Unreachable };
+        self.end_attempt(net, stream, outcome);
     }
 
-    pub(super) fn expire_servers(&mut self, net: &mut Sockets, now: f64) {
-        let over = self.servers.iter().filter(|(_, s)| s.until <= now).map(|(&id, s)| (id, s.stream));
+    pub(super) fn expire_upstreams(&mut self, net: &mut Sockets, now: f64) {
+        let over =
+            self.upstreams.iter().filter(|(_, s)| s.connect_deadline <= now).map(|(&id, s)| (id, s.stream));
         let mut over: Vec<(ConnId, Option<StreamId>)> = over.collect();
         over.sort_unstable_by_key(|&(id, _)| id);
         for (id, stream) in over {
             match stream {
                 // Only the connecting has a time limit of its own.
-                Some(stream) => self.broke(net, stream),
-                None => self.close_server(net, id),
+                Some(stream) => self.on_upstream_broken(net, stream),
+                None => self.close_upstream(net, id),
             }
         }
         for id in self.pool.expired(now) {
-            self.close_server(net, id);
+            self.close_upstream(net, id);
         }
     }
 }
