--- a/src/frontend/gearman/peers.rs
+++ b/src/frontend/gearman/peers.rs
@@ -31,7 +31,7 @@
     pub client_id: Vec<u8>,
     /// Its address, for the list of workers.
     pub address: Option<IpAddr>,
-    /// It wants WORK_EXCEPTION packets.
+    /// It wants `WORK_EXCEPTION` packets.
     pub wants_exceptions: bool,
     /// Jobs whose answers it waits for, once for each submission.
     pub awaited_jobs: Vec<JobId>,
@@ -75,6 +75,15 @@
         moved
     }
 
+    /// Whether its packets are left unread until it has taken some of its answers.
+    ///
+    /// Guards against a cut for a client that reads more slowly than answers come. A worker is always read, since the results
+    /// that it sends make room.
+    fn is_behind(&self, conn: &Conn) -> bool {
+        let unread = conn.tx.len() + self.outbox.iter().map(Vec::len).sum::<usize>();
+        self.worker.is_none() && (unread > HIGH_WATER_BYTES || self.awaited_jobs.len() >= MAX_AWAITED_ANSWERS)
+    }
+
     /// Looks up what the peer may do by its certificate.
     pub fn identify(&mut self, conn: &Conn, identity: Option<&Identity>) -> Identification {
         let Some(chain) = conn.peer_certificates() else {
@@ -132,12 +141,7 @@
                     Identification::Rejected => return self.on_peer_left(net, id),
                 }
             }
-            // Guards against a cut for a client that reads more slowly than answers come: what it submits is left
-            // unread until it has taken some. A worker is always read, since the results that it sends make room.
-            let unread = conn.tx.len() + peer.outbox.iter().map(Vec::len).sum::<usize>();
-            if peer.worker.is_none()
-                && (unread > HIGH_WATER_BYTES || peer.awaited_jobs.len() >= MAX_AWAITED_ANSWERS)
-            {
+            if peer.is_behind(conn) {
                 peer.read_deadline = None;
                 return;
             }
--- a/src/frontend/operator.rs
+++ b/src/frontend/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's own file: TOML, a table a front, no key that is not known.
+//! The operator's file: TOML, with a table for each frontend; unknown keys are rejected.
 
 use std::path::Path;
 
@@ -43,7 +43,7 @@
         /// All that is wrong.
         errors: Vec<fleet::ConfigError>,
     },
-    /// It has no front's table.
+    /// It has no frontend's table.
     #[error("{file}: neither [fleet], [gearman], [stream] nor `console`: there is nothing to set up")]
     Empty {
         /// Its path.
@@ -57,7 +57,7 @@
 
 /// What the file sets up.
 pub struct Operator {
-    /// Gearman's table, as its front reads it.
+    /// Gearman's table, as its frontend reads it.
     pub gearman: Option<JsonValue>,
     /// The stream front's.
     pub stream: Option<streaming::Config>,
--- a/src/frontend/streaming/answers.rs
+++ b/src/frontend/streaming/answers.rs
@@ -1,8 +1,8 @@
 //! Answers: passed on from an endpoint to the client, as they come.
 
 use super::StreamingFrontend;
-use super::exchange::{AnswerState, RequestPhase};
-use super::transfer::{Relayed, relay_body, relay_buffered};
+use super::exchange::{AnswerState, RequestPhase, Upstream};
+use super::transfer::{BodyRelay, Relayed};
 use crate::flow::{Direction, Moved, StreamId, Turn};
 use crate::frontend::Sockets;
 use crate::net::body::{Decoder, Framing};
@@ -14,11 +14,11 @@
 const MAX_INTERIM_ANSWERS: u8 = 16;
 
 impl StreamingFrontend {
-    /// The answer's head has come.
+    /// Handles the head of an answer: passes it on, or ends the attempt.
     pub(super) fn begin_answer(&mut self, net: &mut Sockets, stream: StreamId, answer: &AnswerHead) {
         let now = self.now();
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
-        let (Some(job), Some((server, _))) = (exchange.job, exchange.upstream) else { return };
+        let (Some(job), Some(Upstream { conn, .. })) = (exchange.job, exchange.upstream) else { return };
         let declined = http::value(&answer.headers, "srv-declined") == Some("1");
         if declined && matches!(answer.status, 503 | 504) && exchange.prefix.is_some() {
             return self.end_attempt(net, stream, Outcome::Full);
@@ -33,18 +33,18 @@
         };
         // An answer before the body's end leaves the connections in the middle of a message.
         exchange.closes_client |= framing == Framing::UntilClose || !exchange.decoder.is_done();
-        let spoken_of = match answer.framing {
+        let stated_length = match answer.framing {
             Framing::Empty if exchange.head.method == "HEAD" => {
                 http::value(&answer.headers, "content-length").and_then(|v| v.parse().ok())
             }
             _ => None,
         };
-        // Guards against an answer to a dispatch that is over.
+        // Guards against an answer to an attempt that has ended.
         if !self.core.on_response_started(job, exchange.attempt) {
             return;
         }
         exchange.answer_deadline = f64::INFINITY;
-        let bytes = head::write_answer(answer, framing, spoken_of, exchange.closes_client);
+        let bytes = head::write_answer(answer, framing, stated_length, exchange.closes_client);
         let done = decoder.is_done();
         let closes_upstream = answer.close || !matches!(exchange.request, RequestPhase::Done);
         exchange.answer = Some(AnswerState {
@@ -55,59 +55,51 @@
             status: answer.status,
             closes_upstream,
         });
-        let Some([client, server]) = net.pair(exchange.client, server) else { return };
+        let Some([client, upstream]) = net.pair(exchange.client, conn) else { return };
         if !client.tx.push(&bytes) {
             return self.end_attempt(net, stream, Outcome::Error);
         }
         let window = exchange.class_rules.allowance.window;
-        server.rx.bound((window + http::MAX_HEAD_BYTES + 1).max(MAX_BUFFERED_BYTES), window);
-        let held = client.tx.len() + server.rx.len();
+        upstream.rx.bound((window + http::MAX_HEAD_BYTES + 1).max(MAX_BUFFERED_BYTES), window);
+        let held = client.tx.len() + upstream.rx.len();
         self.flow.release(stream, Direction::Down, held, now);
         if done {
             self.flow.on_source_ended(stream, Direction::Down, now);
         }
     }
 
+    /// Takes a turn of the channel down.
     pub(super) fn relay_answer(&mut self, net: &mut Sockets, turn: Turn) -> usize {
         let (now, stream) = (self.now(), turn.stream);
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return 0 };
-        let (Some(answer), Some((server, _))) = (&mut exchange.answer, exchange.upstream) else {
+        let (Some(answer), Some(Upstream { conn, .. })) = (&mut exchange.answer, exchange.upstream) else {
             self.flow.on_moved(turn, Moved::default(), now);
             return 0;
         };
-        let Some([client, server]) = net.pair(exchange.client, server) else { return 0 };
+        let Some([client, upstream]) = net.pair(exchange.client, conn) else { return 0 };
         let sent = client.sent;
-        let chunked = answer.framing == Framing::Chunked;
-        let framing = (chunked, &mut answer.last_chunk_written);
-        let passed = relay_body(
-            server,
-            client,
-            &mut answer.decoder,
-            &mut answer.pipe,
-            (&self.pipes, framing),
-            turn.read,
-            |_| (),
-        );
-        let Ok(Relayed { read, more, mut blocked, full }) = passed else {
+        let is_chunked = answer.framing == Framing::Chunked;
+        let mut relay = BodyRelay {
+            decoder: &mut answer.decoder,
+            is_chunked,
+            last_chunk_written: &mut answer.last_chunk_written,
+            pipe: &mut answer.pipe,
+            pipes: &self.pipes,
+        };
+        let relayed = relay.relay(upstream, client, turn.read, |_| ());
+        let Ok(Relayed { read, more, mut blocked, full }) = relayed else {
             self.end_attempt(net, stream, Outcome::Error);
             return 0;
         };
-        if server.eof && server.rx.is_empty() && !answer.decoder.is_done() && answer.decoder.end() {
+        if upstream.eof && upstream.rx.is_empty() && !relay.decoder.is_done() && relay.decoder.end() {
             // All that came before the end was the body.
-            let ended = relay_buffered(
-                server,
-                client,
-                &mut answer.decoder,
-                (chunked, &mut answer.last_chunk_written),
-                |_| (),
-            );
-            blocked = ended.unwrap_or(false);
+            blocked = relay.relay_buffered(upstream, client, |_| ()).unwrap_or(false);
         }
         let done = answer.decoder.is_done();
         let taken = (client.sent - sent) as usize;
         let piped = answer.pipe.as_ref().map_or(0, Pipe::held);
-        let held = client.tx.len() + piped + if done { 0 } else { server.rx.len() };
-        let (gone, ended) = (client.mute || client.broken, server.eof || server.broken);
+        let held = client.tx.len() + piped + if done { 0 } else { upstream.rx.len() };
+        let (gone, ended) = (client.mute || client.broken, upstream.eof || upstream.broken);
         self.counters.down += taken as u64;
         self.flow.on_moved(turn, Moved { read, more, taken, held, blocked, full }, now);
         if gone {
@@ -115,18 +107,19 @@
         } else if done {
             self.flow.on_source_ended(stream, Direction::Down, now);
             if held == 0
-                && (!chunked || self.exchanges[&stream].answer.as_ref().is_some_and(|d| d.last_chunk_written))
+                && (!is_chunked
+                    || self.exchanges[&stream].answer.as_ref().is_some_and(|d| d.last_chunk_written))
             {
                 self.on_answer_relayed(net, stream);
             }
         } else if ended && !blocked {
-            // Guards against an answer that looks whole and is not.
+            // Guards against an answer that looks complete and is not.
             self.end_attempt(net, stream, Outcome::Reset);
         }
         read + taken
     }
 
-    /// The answer is out, all of it.
+    /// All of the answer is written.
     fn on_answer_relayed(&mut self, net: &mut Sockets, stream: StreamId) {
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         exchange.is_complete = true;
--- a/src/frontend/streaming/clients.rs
+++ b/src/frontend/streaming/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: their connections and heads, what is refused before it is taken, and answers of the front's own.
+//! Clients: their connections, the heads of their requests, what is rejected before its body is read, and the frontend's own
+//! answers.
 
 use super::StreamingFrontend;
 use super::exchange::{Exchange, RequestPhase};
@@ -9,11 +10,11 @@
 use crate::net::http::{self, Bad, MAX_HEAD_BYTES};
 use crate::net::{ConnId, MAX_BUFFERED_BYTES};
 
-/// How long the end of a connection waits for the peer to end its side, in milliseconds.
+/// How long a client may take to end its side once its last answer is written, in milliseconds.
 const LINGER_TIMEOUT_MS: f64 = 1000.0;
-/// Bytes of a refused request that are read and dropped at once, lest they keep its client from its answer.
+/// Bytes of a rejected request that are read and dropped in a turn, lest they keep its client from its answer.
 const MAX_DRAINED_BYTES: usize = 1 << 20;
-/// Methods that are not passed on: they ask for a tunnel, or for this very message back with its secrets.
+/// Methods that are not passed on: they ask for a tunnel, or for the request back with its secrets.
 const REJECTED_METHODS: [&str; 2] = ["CONNECT", "TRACE"];
 
 /// What a client's connection is at.
@@ -23,16 +24,16 @@
     Idle,
     /// Some of a head has come.
     ReadingHead,
-    /// A stream has it.
+    /// At a request of this stream.
     Busy(StreamId),
-    /// Its last answer is out or on its direction; what it still sends is dropped.
+    /// Its last answer is written or queued; what it still sends is dropped.
     Ending,
 }
 
 /// A connection that was accepted.
 pub(super) struct Client {
     state: ClientState,
-    /// When it is over, for what it is at.
+    /// When the state that it is in runs out, in milliseconds of the clock.
     pub deadline: f64,
 }
 
@@ -46,15 +47,15 @@
 }
 
 impl StreamingFrontend {
-    /// Accepts what waits. At the bound the connection that has been idle longest makes room; where all are at a
-    /// stream, a new one is told so and closed.
+    /// Accepts the connections that wait. At the bound the one that has been idle longest makes room; where all are at a
+    /// request, a new one gets a 503 and is closed.
     pub fn accept(&mut self, net: &mut Sockets) {
         for _ in 0..64 {
             if self.clients.len() >= self.config.table.connections {
                 let idle = self.clients.iter().filter(|(_, c)| c.state == ClientState::Idle);
                 let idle = idle.min_by(|a, b| a.1.deadline.total_cmp(&b.1.deadline)).map(|(&id, _)| id);
                 if let Some(idle) = idle {
-                    // What has come by now is taken or refused first.
+                    // What has come by now is accepted or rejected first.
                     self.on_client_ready(net, idle);
                     if self.clients.get(&idle).is_some_and(|c| c.state == ClientState::Idle) {
                         self.drop_client(net, idle);
@@ -62,7 +63,7 @@
                 }
             }
             let Some(id) = net.accept(self.listener) else { return };
-            // Guards against a backlog that keeps the loop awake and its clients without a word.
+            // Guards against a backlog that keeps the loop awake and its clients without an answer.
             if self.clients.len() >= self.config.table.connections {
                 self.counters.rejected_full += 1;
                 let advice = [("Retry-After", self.config.table.retry_after_s.ceil().to_string())];
@@ -77,9 +78,9 @@
 
     pub(super) fn on_client_ready(&mut self, net: &mut Sockets, id: ConnId) {
         let now = self.now();
-        let Some(at) = self.clients.get(&id).map(|c| c.state) else { return };
+        let Some(state) = self.clients.get(&id).map(|c| c.state) else { return };
         let Some(conn) = net.conn(id) else { return };
-        match at {
+        match state {
             ClientState::Busy(stream) => {
                 // While nobody reads it, only this tells that it is gone.
                 if conn.is_reset() {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Answers a request that was not taken, and ends the connection: what comes behind its head is not read.
+    /// Answers a request that was not accepted, and ends the connection: what comes behind its head is not read.
     fn reject_unread(&mut self, net: &mut Sockets, id: ConnId, status: u16, why: &str) {
         self.counters.rejected_unread += 1;
         self.reply(net, id, status, 0.0, why, true);
@@ -160,7 +161,7 @@
             let advice = self.config.table.retry_after_s * 1e3;
             return self.reply(net, id, 503, advice, &format!("{full}\n"), close);
         }
-        // The server is to say whether it wants the body: there is nothing to hold back for.
+        // The endpoint is to say whether it wants the body: there is nothing to hold the request for.
         let asks = http::value(&head.headers, "expect").is_some();
         let when = if asks { DispatchCondition::Head } else { class_rules.dispatch };
         let hold = Hold::new(when, class_rules.prefix_bytes, class_rules.allowance.pace.min_bytes_per_s, now);
@@ -185,7 +186,8 @@
         self.flow.hold(stream, Direction::Up, now);
     }
 
-    /// Writes an answer of the front's own to a client that is at no stream (any more).
+    /// Writes the frontend's own answer to a client that is at no stream (any more). `retry_after` is in milliseconds; 0
+    /// gives no advice.
     pub(super) fn reply(
         &mut self,
         net: &mut Sockets,
@@ -255,7 +257,7 @@
 
     pub(super) fn drop_client(&mut self, net: &mut Sockets, id: ConnId) {
         let stream = self.clients.get(&id).and_then(Client::stream);
-        // Its stream may be over, and its own answer have found no room.
+        // Its stream may have ended, and the frontend's own answer have found no room.
         match stream.filter(|stream| self.exchanges.contains_key(stream)) {
             Some(stream) => self.on_client_left(net, stream),
             None => self.cut_client(net, id),
@@ -275,7 +277,7 @@
         for (id, at) in over {
             match at {
                 ClientState::ReadingHead => {
-                    self.reject_unread(net, id, 408, "the request's head took too long\n")
+                    self.reject_unread(net, id, 408, "the request's head took too long\n");
                 }
                 _ => self.drop_client(net, id),
             }
@@ -286,7 +288,7 @@
     pub(super) fn close_idle(&mut self, net: &mut Sockets) {
         let idle = self.clients.iter().filter(|(_, c)| c.state == ClientState::Idle).map(|(&id, _)| id);
         for id in idle.collect::<Vec<_>>() {
-            // What has come by now is read first, and turned away.
+            // What has come by now is read first, and rejected.
             self.on_client_ready(net, id);
             let written = net.conn(id).is_none_or(|conn| conn.tx.is_empty());
             if written && self.clients.get(&id).is_some_and(|c| c.state == ClientState::Idle) {
@@ -295,7 +297,7 @@
         }
     }
 
-    /// A request whose body is held: whether it is time to dispatch it.
+    /// Dispatches a request whose body is held, once it is time to.
     pub(super) fn dispatch_if_ready(&mut self, net: &mut Sockets, stream: StreamId, now: f64) {
         let Some(exchange) = self.exchanges.get(&stream) else { return };
         let RequestPhase::Held(hold) = &exchange.request else { return };
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -1,11 +1,11 @@
-//! The table `stream` of the operator's file.
+//! The table `stream` of the operator's file, checked, and what the frontend is set up by.
 
 use std::collections::BTreeSet;
-use std::net::SocketAddr;
 
-use serde::Deserialize;
 use thiserror::Error;
 
+pub use super::table::Table;
+use super::table::{ClassTable, DispatchTable, RepeatTable, ServerTable, StreamsTable};
 use crate::core::{ListedEndpoint, micros};
 use crate::flow::{Allowance, Bounds, DispatchCondition, MIN_CHANNEL_BYTES, Pace};
 use crate::routing::{
@@ -13,18 +13,18 @@
 };
 use crate::settings::{ClientClass, Site};
 
-/// Most of a body's prefix that can be held: it must fit a connection's buffer with its head.
+/// Longest prefix of a body that can be held, in KiB: it must fit into a connection's buffer with the request's head.
 pub const MAX_PREFIX_KB: f64 = 64.0;
-/// Shortest time between two calls of the module with different clocks, in milliseconds.
+/// Shortest time between two calls of the decision module with different clocks, in milliseconds.
 const CLOCK_QUANTUM_MS: f64 = 1.0;
 
 /// What is wrong with the table.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
-    /// There is no class, or none of this name.
+    /// There is no class.
     #[error("stream: no [[stream.class]] is given")]
     NoClass,
-    /// Two classes, or two servers, of one name.
+    /// Two classes or two endpoints of one name.
     #[error("stream: `{0}` is named twice")]
     DuplicateName(String),
     /// A class's name cannot be the first part of a path.
@@ -38,11 +38,11 @@
     OutOfBounds {
         /// Its key.
         name: String,
-        /// What it is.
+        /// Its value.
         value: f64,
-        /// Its least.
+        /// Its lower bound.
         least: f64,
-        /// Its most.
+        /// Its upper bound.
         most: f64,
     },
     /// The memory cannot hold what the bounds allow.
@@ -53,234 +53,15 @@
     Memory {
         /// Streams in all.
         streams: usize,
-        /// KiB that each may keep.
+        /// KiB that each may hold.
         kept_kb: f64,
-        /// MiB that this takes.
+        /// MiB that they need.
         needed_mb: f64,
-        /// MiB that there are.
+        /// MiB that the table gives.
         given_mb: f64,
     },
 }
 
-/// The table as it is written. All spans end in their unit.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Table {
-    /// Where clients connect.
-    pub listen: SocketAddr,
-    /// Client connections at most.
-    pub connections: usize,
-    /// The memory for bodies on their direction, in MiB.
-    pub memory_mb: f64,
-    /// Bytes read of one stream before others have their turn, in KiB.
-    pub turn_kb: f64,
-    /// Pipes through which long bodies with a length go past the process, at most; each takes two descriptors. 0: none.
-    pub pipes: usize,
-    /// How long a client may take for a request's head.
-    pub head_s: f64,
-    /// How long a connection may stand idle.
-    pub idle_s: f64,
-    /// How long a backend server keeps an idle connection.
-    pub server_idle_s: f64,
-    /// How long a connection to a backend server may take to come up.
-    pub connect_s: f64,
-    /// How long streams may go on after SIGTERM.
-    pub stop_s: f64,
-    /// The header that names a request's tenant.
-    pub tenant_header: String,
-    /// Advice to those turned away.
-    pub retry_after_s: f64,
-    /// Dispatches for one request at most.
-    pub attempts: usize,
-    /// How many dispatchers there are, and the number of this one.
-    pub dispatchers: u32,
-    /// Number of this dispatcher, from 0.
-    pub number: u32,
-    /// Where discovery is.
-    pub discovery: Option<SocketAddr>,
-    /// The backend servers, where there is no discovery.
-    pub servers: Vec<ServerTable>,
-    /// Bounds on streams.
-    pub streams: StreamsTable,
-    /// What is asked of a server that has just started.
-    pub cold: ColdTable,
-    /// The classes.
-    pub class: Vec<ClassTable>,
-}
-
-impl Default for Table {
-    fn default() -> Table {
-        Table {
-            listen: SocketAddr::from(([127, 0, 0, 1], 8090)),
-            connections: 512,
-            memory_mb: 48.0,
-            turn_kb: 128.0,
-            pipes: 64,
-            head_s: 5.0,
-            idle_s: 60.0,
-            server_idle_s: 15.0,
-            connect_s: 1.0,
-            stop_s: 10.0,
-            tenant_header: "Req-Owner".into(),
-            retry_after_s: 2.0,
-            attempts: 3,
-            dispatchers: 1,
-            number: 0,
-            discovery: None,
-            servers: Vec::new(),
-            streams: StreamsTable::default(),
-            cold: ColdTable::default(),
-            class: Vec::new(),
-        }
-    }
-}
-
-/// A backend server of the file.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ServerTable {
-    /// Its name.
-    pub name: String,
-    /// Its address.
-    pub dial: SocketAddr,
-    /// Its size beside others.
-    #[serde(default = "one")]
-    pub share: f64,
-    /// It finishes what it has and gets nothing new.
-    #[serde(default)]
-    pub draining: bool,
-}
-
-fn one() -> f64 {
-    1.0
-}
-
-/// Bounds on streams.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct StreamsTable {
-    /// In all.
-    pub total: usize,
-    /// Of one tenant.
-    pub tenant: usize,
-    /// At one backend server.
-    pub server: usize,
-}
-
-impl Default for StreamsTable {
-    fn default() -> StreamsTable {
-        StreamsTable { total: 256, tenant: 256, server: 64 }
-    }
-}
-
-/// The figures of the rule on servers that have just started.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct ColdTable {
-    /// Part of its capacity that it has then.
-    pub from: f64,
-    /// When it has all.
-    pub warm_s: f64,
-    /// Multiple of its capacity that pushes it over.
-    pub multiple: f64,
-}
-
-impl Default for ColdTable {
-    fn default() -> ColdTable {
-        ColdTable { from: 0.14, warm_s: 22.0, multiple: 2.5 }
-    }
-}
-
-/// Whether a class may run twice.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum RepeatTable {
-    /// Any number of times.
-    Safe,
-    /// Never.
-    Never,
-}
-
-/// When a class's requests are dispatched.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum DispatchTable {
-    /// At the head.
-    Head,
-    /// Once a prefix is held.
-    Prefix,
-    /// As with a prefix, if the client kept the least pace.
-    Pace,
-}
-
-/// A class.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ClassTable {
-    /// Its name: the first part of the path.
-    pub name: String,
-    /// Whether it may run twice.
-    pub repeat: RepeatTable,
-    /// How long a request may wait for a backend server.
-    #[serde(default = "wait_s")]
-    pub wait_s: f64,
-    /// How long a request may take until its answer begins.
-    #[serde(default = "longest_s")]
-    pub longest_s: f64,
-    /// How long the answer may take to begin once all of the request is with its server.
-    #[serde(default = "answer_s")]
-    pub answer_s: f64,
-    /// Most of a body, each direction, in MiB.
-    #[serde(default = "body_mb")]
-    pub body_mb: f64,
-    /// Bytes held each direction, in KiB.
-    #[serde(default = "kb")]
-    pub window_kb: f64,
-    /// The prefix that is held, and can be sent again, in KiB.
-    #[serde(default = "kb")]
-    pub hold_kb: f64,
-    /// When its requests are dispatched.
-    #[serde(default = "dispatch")]
-    pub dispatch: DispatchTable,
-    /// Least pace of a peer that is waited for, in KiB a second.
-    #[serde(default = "least")]
-    pub least_kb_s: f64,
-    /// The time waited over which it is measured.
-    #[serde(default = "over_s")]
-    pub over_s: f64,
-    /// Longest wait without a byte.
-    #[serde(default = "silence_s")]
-    pub silence_s: f64,
-}
-
-fn wait_s() -> f64 {
-    2.0
-}
-fn longest_s() -> f64 {
-    3600.0
-}
-fn answer_s() -> f64 {
-    30.0
-}
-fn body_mb() -> f64 {
-    1024.0
-}
-fn kb() -> f64 {
-    64.0
-}
-fn dispatch() -> DispatchTable {
-    DispatchTable::Prefix
-}
-fn least() -> f64 {
-    8.0
-}
-fn over_s() -> f64 {
-    20.0
-}
-fn silence_s() -> f64 {
-    30.0
-}
-
 /// What a class's streams go by, times in milliseconds and sizes in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StreamClass {
@@ -288,13 +69,13 @@
     pub allowance: Allowance,
     /// When its requests are dispatched.
     pub dispatch: DispatchCondition,
-    /// The prefix.
+    /// Bytes of a body that can be held and sent again.
     pub prefix_bytes: usize,
-    /// Most of a body.
+    /// Longest body, each way.
     pub max_body_bytes: u64,
-    /// Until the answer begins.
+    /// How long a request may take until its answer begins.
     pub answer_start_limit_ms: f64,
-    /// Until the answer begins, once the request is with its server.
+    /// How long the answer may take to begin once all of the request is with its endpoint.
     pub answer_timeout_ms: f64,
 }
 
@@ -303,9 +84,9 @@
 pub struct Config {
     /// The table.
     pub table: Table,
-    /// What the module is told.
+    /// The settings of the core.
     pub site: Site,
-    /// The classes, in the module's order.
+    /// The classes, in the order of the core's.
     pub classes: Vec<StreamClass>,
     /// Bounds on streams.
     pub bounds: Bounds,
@@ -313,7 +94,7 @@
     pub pool_bytes: usize,
     /// Bytes of a turn.
     pub turn_bytes: usize,
-    /// The backend servers of the file.
+    /// The endpoints of the file.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
@@ -346,7 +127,7 @@
     /// Checks the table. All that is wrong with it is told.
     ///
     /// # Errors
-    /// All that is wrong, where a figure is out of its bounds, a name is missing, given twice or not valid, or the memory
+    /// All that is wrong: where a figure is out of its bounds, a name is missing, given twice or not valid, or the memory
     /// cannot hold what the bounds allow.
     pub fn check(self) -> Result<Config, Vec<ConfigError>> {
         let mut errors = Vec::new();
@@ -358,7 +139,7 @@
         if self.servers.is_empty() == self.discovery.is_none() {
             errors.push(ConfigError::Servers);
         }
-        // Beside the pool each stream may read its least each direction, and keep its prefix to send it again.
+        // Beside the pool each stream may read its least each way, and keep its prefix to send it again.
         let prefix = self.class.iter().map(|c| c.hold_kb).fold(0.0, f64::max);
         let kept_kb = prefix + 2.0 * MIN_CHANNEL_BYTES as f64 / 1024.0;
         let needed_mb = kept_kb * self.streams.total as f64 / 1024.0;
@@ -453,7 +234,7 @@
             classes: self.class.iter().map(class).collect(),
             live_sizes: false,
             must_subscribe: self.discovery.is_some(),
-            // A probe is answered by the front itself, out of its own count of streams.
+            // A probe is answered by the frontend itself, out of its own count of streams.
             capabilities: Capabilities {
                 max_attempts: self.attempts,
                 may_cancel: true,
--- a/src/frontend/streaming/counters.rs
+++ b/src/frontend/streaming/counters.rs
@@ -1,4 +1,4 @@
-//! What this front counts beside its core: why streams ended otherwise than whole.
+//! What this frontend counts beside its core: why streams ended without a complete answer.
 
 use std::fmt;
 
@@ -7,33 +7,33 @@
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
-    /// Streams whose answer went out whole.
+    /// Streams whose answer was written completely.
     pub completed: u64,
-    /// Streams whose answer had begun, and was cut so that the client sees it.
+    /// Streams whose answer had begun, and was broken off so that the client sees it.
     pub cut: u64,
-    /// Requests refused before they were taken: they do not read, or are too large or of no class.
+    /// Requests rejected before their body was read: they do not read, or are too large or of no class.
     pub rejected_unread: u64,
-    /// Requests turned away by a bound on streams.
+    /// Requests rejected by a bound on streams or connections.
     pub rejected_full: u64,
-    /// Clients given up as too slow, and as silent.
+    /// Clients given up as too slow.
     pub slow_clients: u64,
-    /// As silent.
+    /// Clients given up as silent.
     pub silent_clients: u64,
-    /// Backend servers given up as too slow, and as silent.
+    /// Endpoints given up as too slow.
     pub slow_servers: u64,
-    /// As silent.
+    /// Endpoints given up as silent.
     pub silent_servers: u64,
-    /// Bytes of bodies that sinks took, up and down.
+    /// Bytes of requests' bodies that endpoints took.
     pub up: u64,
-    /// Down.
+    /// Bytes of answers' bodies that clients took.
     pub down: u64,
 }
 
 impl Counters {
     /// Counts a peer that was given up.
     pub fn count_given_up(&mut self, given: &GiveUp) {
-        let client = (given.direction == Direction::Up) == (given.side == Side::Source);
-        let count = match (client, given.failure) {
+        let is_client = (given.direction == Direction::Up) == (given.side == Side::Source);
+        let count = match (is_client, given.failure) {
             (true, PaceFailure::Slow) => &mut self.slow_clients,
             (true, PaceFailure::Silent) => &mut self.silent_clients,
             (false, PaceFailure::Slow) => &mut self.slow_servers,
--- a/src/frontend/streaming/endings.rs
+++ b/src/frontend/streaming/endings.rs
@@ -1,14 +1,14 @@
 //! How attempts and exchanges end: served, rejected, cut, or given up.
 
 use super::StreamingFrontend;
-use super::exchange::{Exchange, RequestPhase};
+use super::exchange::{Exchange, RequestPhase, Upstream};
 use crate::flow::{Direction, Side, StreamId};
 use crate::frontend::Sockets;
 use crate::net::body::Framing;
 use crate::routing::{LoadReport, Outcome};
 
 impl StreamingFrontend {
-    /// A dispatch has ended otherwise than with a whole answer. What follows is the module's to say.
+    /// An attempt has ended otherwise than with a complete answer. The core decides what follows.
     pub(super) fn end_attempt(&mut self, net: &mut Sockets, stream: StreamId, outcome: Outcome) {
         let now = self.now();
         let report = self.release_upstream(net, stream, false);
@@ -24,16 +24,17 @@
         }
     }
 
-    /// Takes the backend server's connection off an exchange, and gives its slot back: to be used again, or closed.
+    /// Takes the connection to the endpoint off an exchange, and gives its slot back. The connection is used again where
+    /// `keep` allows it, or closed.
     pub(super) fn release_upstream(&mut self, net: &mut Sockets, stream: StreamId, keep: bool) -> LoadReport {
-        let server = self.exchanges.get_mut(&stream).and_then(|e| e.upstream.take());
-        let Some((conn, endpoint)) = server else { return LoadReport::default() };
+        let upstream = self.exchanges.get_mut(&stream).and_then(|e| e.upstream.take());
+        let Some(Upstream { conn, endpoint }) = upstream else { return LoadReport::default() };
         self.slots.give_back(endpoint);
         self.free_upstream(net, conn, keep);
         self.slots.report(endpoint)
     }
 
-    /// Takes an exchange out, with all that it holds but its client's connection and its session.
+    /// Takes an exchange out, with all that it holds but its client's connection.
     fn remove(&mut self, net: &mut Sockets, stream: StreamId) -> Option<Exchange> {
         self.release_upstream(net, stream, false);
         let exchange = self.exchanges.remove(&stream)?;
@@ -41,13 +42,13 @@
         self.admission.leave(&exchange.tenant);
         if let Some(job) = exchange.job {
             self.streams.remove(&job);
-            // Where it is not over already.
+            // Where the job has not ended already.
             self.core.on_client_left(job);
         }
         Some(exchange)
     }
 
-    /// An answer that was relayed whole is over.
+    /// Ends an exchange whose answer was relayed completely.
     pub(super) fn finish(&mut self, net: &mut Sockets, stream: StreamId) {
         let Some(exchange) = self.remove(net, stream) else { return };
         self.counters.completed += 1;
@@ -58,7 +59,8 @@
         }
     }
 
-    /// The front's own final answer: a status, or where the answer has begun, a cut that the client sees.
+    /// Gives the frontend's own final answer: a status, or where the answer has begun, a break that the client sees.
+    /// `retry_after` is in milliseconds; 0 gives no advice.
     pub(super) fn reject(&mut self, net: &mut Sockets, stream: StreamId, status: u16, retry_after: f64) {
         if self.exchanges.get(&stream).is_some_and(|e| e.is_complete) {
             return self.finish(net, stream);
@@ -84,19 +86,19 @@
         self.cut_client(net, exchange.client);
     }
 
-    /// The client is gone: nothing is owed any more.
+    /// The client has gone: the exchange ends without an answer.
     pub(super) fn on_client_left(&mut self, net: &mut Sockets, stream: StreamId) {
         if let Some(exchange) = self.remove(net, stream) {
             self.cut_client(net, exchange.client);
         }
     }
 
-    /// Gives up who is too slow or too silent, and servers that do not begin to answer.
+    /// Gives up peers that are too slow or too silent, and endpoints that do not begin to answer.
     pub(super) fn expire_streams(&mut self, net: &mut Sockets, now: f64) {
         for given in self.flow.expire(now) {
             self.counters.count_given_up(&given);
-            let client = (given.direction == Direction::Up) == (given.side == Side::Source);
-            if client {
+            let is_client = (given.direction == Direction::Up) == (given.side == Side::Source);
+            if is_client {
                 self.reject(net, given.stream, 408, 0.0);
             } else {
                 self.end_attempt(net, given.stream, Outcome::TimedOut);
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Ends all streams: the span of a stop is over.
+    /// Ends all streams: the time that a stop leaves them is over.
     pub(super) fn cut_all(&mut self, net: &mut Sockets) {
         let mut streams: Vec<StreamId> = self.exchanges.keys().copied().collect();
         streams.sort_unstable();
--- a/src/frontend/streaming/exchange.rs
+++ b/src/frontend/streaming/exchange.rs
@@ -1,4 +1,9 @@
-//! What is remembered of an exchange: a request and its answer, from the request's head until both bodies have passed.
+//! An exchange: a request and its answer, from the request's head until both bodies have passed.
+//!
+//! ```text
+//! Held --dispatched--> Paused --the core sends an attempt--> Relaying --all is with the endpoint--> Done
+//!                        ^------the attempt ended or was cancelled------/
+//! ```
 
 use super::config::StreamClass;
 use crate::flow::Hold;
@@ -7,16 +12,16 @@
 use crate::net::{Conn, ConnId, Pipe};
 use crate::routing::{EndpointId, JobId};
 
-/// Where the request's body is.
+/// What the request's body is at.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestPhase {
     /// Its prefix is held until it is dispatched.
     Held(Hold),
-    /// It is the module's turn, or it goes no further: nothing is read.
+    /// The core is to send an attempt, or the body goes no further: nothing of it is read.
     Paused,
-    /// It passes to a backend server.
+    /// It is relayed to an endpoint.
     Relaying,
-    /// All of it is with the server.
+    /// All of it is with the endpoint.
     Done,
 }
 
@@ -27,21 +32,21 @@
     Underway,
     /// The client's connection broke.
     ClientGone,
-    /// The server reads no more of it.
+    /// The endpoint reads no more of it.
     NotTaken,
-    /// All of it was read; `is_written` once the server's socket has taken all.
+    /// All of it was read; `is_written` once the endpoint's socket has taken all.
     Ended { is_written: bool },
     /// The client ended its side before the body's end.
     CutShort,
 }
 
 impl RequestProgress {
-    /// `unwritten` are the bytes still to be written of a body whose end was read; `blocked` tells that the server's socket
-    /// takes no more for now.
-    pub fn of(client: &Conn, server: &Conn, unwritten: Option<usize>, blocked: bool) -> RequestProgress {
+    /// The progress after a turn. `unwritten` are the bytes still to be written of a body whose end was read; `blocked` tells
+    /// that the endpoint's socket takes no more for now.
+    pub fn of(client: &Conn, upstream: &Conn, unwritten: Option<usize>, blocked: bool) -> RequestProgress {
         if client.broken {
             RequestProgress::ClientGone
-        } else if server.mute {
+        } else if upstream.mute {
             RequestProgress::NotTaken
         } else if let Some(unwritten) = unwritten {
             RequestProgress::Ended { is_written: unwritten == 0 }
@@ -53,7 +58,7 @@
     }
 }
 
-/// The answer, once its head was passed on.
+/// The answer, from when its head was passed on.
 pub(super) struct AnswerState {
     pub decoder: Decoder,
     pub framing: Framing,
@@ -62,11 +67,18 @@
     /// Through which a long body goes, where it may.
     pub pipe: Option<Pipe>,
     pub status: u16,
-    /// The server ends the connection after it.
+    /// The connection to the endpoint cannot be used again after it.
     pub closes_upstream: bool,
 }
 
-/// One of them.
+/// The connection of an attempt, and the endpoint at its other end.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Upstream {
+    pub conn: ConnId,
+    pub endpoint: EndpointId,
+}
+
+/// An exchange.
 pub(super) struct Exchange {
     pub client: ConnId,
     pub class: usize,
@@ -75,23 +87,26 @@
     pub head: RequestHead,
     /// Reads the request's body.
     pub decoder: Decoder,
-    /// What was read of it so far, while that is all there was: it can be sent (again).
+    /// What was read of the request's body so far, while all of that is here: then the request can be sent (again).
     pub prefix: Option<Vec<u8>>,
     pub request: RequestPhase,
     /// The last chunk of the request was written.
     pub last_chunk_written: bool,
     /// Through which a long body goes, where it may.
     pub pipe: Option<Pipe>,
+    /// The job, once the core has taken it.
     pub job: Option<JobId>,
+    /// The number of the last attempt at the job.
     pub attempt: usize,
-    pub upstream: Option<(ConnId, EndpointId)>,
+    /// The connection that the attempt has, and its endpoint.
+    pub upstream: Option<Upstream>,
     pub answer: Option<AnswerState>,
     pub interim_answers: u8,
-    /// The answer is to begin by then.
+    /// When the answer must have begun, in milliseconds of the clock.
     pub answer_deadline: f64,
-    /// The client's connection ends with it.
+    /// The client's connection ends with the exchange.
     pub closes_client: bool,
-    /// The answer went out whole.
+    /// All of the answer was written.
     pub is_complete: bool,
 }
 
@@ -129,8 +144,8 @@
         }
     }
 
-    /// The request as far as it can be sent now: its head and what was read of its body. None where some of that is
-    /// not there any more.
+    /// The request as far as it can be sent now: its head and what was read of its body. None where some of that is not
+    /// here any more.
     pub fn opening(&mut self) -> Option<Vec<u8>> {
         let prefix = self.prefix.as_ref()?;
         let mut out = head::write_request(&self.head, self.head.framing);
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -1,6 +1,11 @@
-//! The stream front: HTTP/1.1 whose backend servers answer on the same connection, with bodies of any length relayed
-//! as they come. It decides nothing: which server, again or not, and what is turned away is the module's; who is read
-//! next, how much, and who is too slow is `flow`'s.
+//! The streaming frontend: HTTP/1.1 whose endpoints answer on the same connection, with bodies of any length relayed as
+//! they come.
+//!
+//! Owns the connections of its listener and those to its endpoints, and the exchanges between them. It decides nothing: which
+//! endpoint gets a request, whether it is sent again and which requests are rejected is the core's; which connection is read
+//! next, how much, and which peer is too slow is `flow`'s.
+//!
+//! The caller must call `on_ready` and `accept` as its sockets are ready, and `tick` at `next_deadline` at the latest.
 
 mod answers;
 mod clients;
@@ -9,6 +14,7 @@
 mod endings;
 mod exchange;
 mod relay;
+mod table;
 mod transfer;
 mod upstream;
 
@@ -29,7 +35,7 @@
 use exchange::Exchange;
 use upstream::UpstreamConnection;
 
-/// Bytes moved before the loop looks at the sockets again: what small requests wait for beside full-speed streams.
+/// Bytes moved before the loop polls the sockets again: it bounds what small requests wait for beside full-speed streams.
 const MAX_BYTES_PER_TICK: usize = 1 << 20;
 
 /// Why a file that was read again is not taken over.
@@ -67,12 +73,12 @@
     /// Client connections that may hold a next request.
     clients_to_read: Vec<ConnId>,
     shutdown: Option<Shutdown>,
-    /// When streams that still run are cut.
+    /// When streams that still run are cut, in milliseconds of the clock.
     cut_at_ms: f64,
 }
 
 impl StreamingFrontend {
-    /// A front on a listener that is open.
+    /// A frontend on a listener that is open.
     pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> StreamingFrontend {
         let discovery = config.table.discovery.map(|address| Discovery::new(address, Some(address), 0, seed));
         let mut core = Core::new(config.site.clone(), seed, clock, config.bounds.total);
@@ -149,8 +155,8 @@
         self.listener
     }
 
-    /// Descriptors that a configuration may take: each client's connection, one to a server for each stream, and two
-    /// for each pipe.
+    /// Descriptors that a configuration may take: one for each client's connection, one to an endpoint for each stream, and
+    /// two for each pipe.
     pub fn descriptors(config: &Config) -> usize {
         config.table.connections + config.bounds.total + 2 * config.table.pipes
     }
@@ -183,7 +189,7 @@
         self.carry_out(net);
     }
 
-    /// Tells the core what discovery has brought.
+    /// Hands the core what discovery has brought.
     fn apply_discovery(&mut self, net: &mut Sockets, update: Option<DiscoveryUpdate>) {
         for endpoint in update.map(|update| update.apply(&mut self.core)).unwrap_or_default() {
             self.close_idle_upstreams(net, endpoint);
@@ -199,7 +205,7 @@
                 }
                 Command::Cancel { job, attempt } => self.cancel(net, job, attempt),
                 Command::Answer { job, answer } => self.answer(net, job, &answer),
-                // What a probe would ask is counted here: streams out at each server.
+                // What a probe would ask is counted here: the streams at each endpoint.
                 Command::Probe { endpoint } => {
                     let report = self.slots.report(endpoint);
                     self.core.on_probe_ended(endpoint, true, 0.0, report);
@@ -214,7 +220,7 @@
         }
     }
 
-    /// The final answer of a session, where its front has not given it already.
+    /// Gives a job's final answer, where it was not given already.
     fn answer(&mut self, net: &mut Sockets, job: JobId, answer: &FinalAnswer) {
         let Some(&stream) = self.streams.get(&job) else { return };
         match answer {
@@ -288,7 +294,7 @@
         self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.last_call_ms)
     }
 
-    /// Whether all that was taken is answered, and written as far as peers read.
+    /// Whether all requests are answered, and the answers are written as far as the peers read.
     pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
         let now = self.now();
         let open = self.core.open_jobs() + self.exchanges.len();
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -1,8 +1,8 @@
 //! Requests: handed to the core, held until they are dispatched, and relayed to the endpoint that it has chosen.
 
 use super::StreamingFrontend;
-use super::exchange::{RequestPhase, RequestProgress};
-use super::transfer::{Relayed, extend_prefix, relay_body};
+use super::exchange::{RequestPhase, RequestProgress, Upstream};
+use super::transfer::{BodyRelay, Relayed, extend_prefix};
 use crate::core::{FinalAnswer, JobRequest};
 use crate::flow::{Direction, Moved, StreamId, Turn};
 use crate::frontend::Sockets;
@@ -17,7 +17,7 @@
     }
 }
 impl StreamingFrontend {
-    /// Hands a request to the module.
+    /// Hands a request to the core, which sends an attempt or rejects it.
     pub(super) fn route(&mut self, net: &mut Sockets, stream: StreamId) {
         let now = self.now();
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A channel's turn; the bytes that it moved.
+    /// Takes a channel's turn. Returns the bytes that it moved.
     pub(super) fn take_turn(&mut self, net: &mut Sockets, turn: Turn) -> usize {
         match turn.direction {
             Direction::Up => self.relay_request(net, turn),
@@ -50,6 +50,7 @@
         }
     }
 
+    /// Takes a turn of the channel up.
     fn relay_request(&mut self, net: &mut Sockets, turn: Turn) -> usize {
         let (now, stream) = (self.now(), turn.stream);
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return 0 };
@@ -61,30 +62,28 @@
                 return 0;
             }
         }
-        let Some((server, _)) = exchange.upstream else { return 0 };
-        let Some([client, server]) = net.pair(exchange.client, server) else { return 0 };
-        if !server.come_up() {
-            let held = client.rx.len() + server.tx.len();
+        let Some(Upstream { conn, .. }) = exchange.upstream else { return 0 };
+        let Some([client, upstream]) = net.pair(exchange.client, conn) else { return 0 };
+        if !upstream.come_up() {
+            let held = client.rx.len() + upstream.tx.len();
             let moved = Moved { more: true, held, blocked: true, full: true, ..Moved::default() };
             self.flow.on_moved(turn, moved, now);
             return 0;
         }
-        let sent = server.sent;
-        let framing = (exchange.head.framing == Framing::Chunked, &mut exchange.last_chunk_written);
-        let (prefix, hold) = (&mut exchange.prefix, exchange.class_rules.prefix_bytes);
-        // A prefix that is still whole is kept as it passes, which a pipe would hide.
-        let pipes = if prefix.is_some() { &Pipes::new(0) } else { &self.pipes };
-        let passed = relay_body(
-            client,
-            server,
-            &mut exchange.decoder,
-            &mut exchange.pipe,
-            (pipes, framing),
-            turn.read,
-            |bytes| extend_prefix(prefix, bytes, hold),
-        );
-        let Relayed { read, more, blocked, full } = match passed {
-            Ok(passed) => passed,
+        let sent = upstream.sent;
+        let (prefix, limit) = (&mut exchange.prefix, exchange.class_rules.prefix_bytes);
+        let mut relay = BodyRelay {
+            decoder: &mut exchange.decoder,
+            is_chunked: exchange.head.framing == Framing::Chunked,
+            last_chunk_written: &mut exchange.last_chunk_written,
+            pipe: &mut exchange.pipe,
+            // A prefix that is still complete is kept as it passes, which a pipe would hide.
+            pipes: if prefix.is_some() { &Pipes::new(0) } else { &self.pipes },
+        };
+        let relayed =
+            relay.relay(client, upstream, turn.read, |payload| extend_prefix(prefix, payload, limit));
+        let Relayed { read, more, blocked, full } = match relayed {
+            Ok(relayed) => relayed,
             Err(error) => {
                 let (status, _) = status_of(error);
                 self.reject(net, stream, status, 0.0);
@@ -92,10 +91,10 @@
             }
         };
         let done = exchange.decoder.is_done();
-        let taken = (server.sent - sent) as usize;
+        let taken = (upstream.sent - sent) as usize;
         let piped = exchange.pipe.as_ref().map_or(0, Pipe::held);
-        let held = server.tx.len() + piped + if done { 0 } else { client.rx.len() };
-        let progress = RequestProgress::of(client, server, done.then_some(held), blocked);
+        let held = upstream.tx.len() + piped + if done { 0 } else { client.rx.len() };
+        let progress = RequestProgress::of(client, upstream, done.then_some(held), blocked);
         self.counters.up += taken as u64;
         self.flow.on_moved(turn, Moved { read, more, taken, held, blocked, full }, now);
         self.on_request_progress(net, stream, progress, now);
@@ -118,7 +117,7 @@
                 exchange.request = RequestPhase::Paused;
                 exchange.closes_client = true;
                 self.flow.pause(stream, Direction::Up, now);
-                // The server may have answered why before it stopped to read.
+                // The endpoint may have answered why before it stopped to read.
                 self.read_answer(net, stream);
             }
             RequestProgress::Ended { is_written } => {
@@ -127,12 +126,12 @@
                     self.on_request_relayed(stream, now);
                 }
             }
-            // Half a body is no body: the server sees its connection break off, the client an error.
+            // Half a body is no body: the endpoint sees its connection break off, the client an error.
             RequestProgress::CutShort => self.reject(net, stream, 400, 0.0),
         }
     }
 
-    /// All of the request is with its server: the time until its answer begins counts from now.
+    /// All of the request is with its endpoint: the time until its answer begins counts from now.
     fn on_request_relayed(&mut self, stream: StreamId, now: f64) {
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         exchange.request = RequestPhase::Done;
@@ -146,7 +145,7 @@
         }
     }
 
-    /// A turn of a request that is held: what came goes to its prefix.
+    /// Takes a turn of a request that is held: what has come goes to its prefix.
     fn hold_request(&mut self, net: &mut Sockets, turn: Turn) -> usize {
         let (now, stream) = (self.now(), turn.stream);
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return 0 };
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -1,9 +1,9 @@
-//! Backend servers: connections of their own or out of the pool, dispatches, and the heads of answers.
+//! Endpoints: connections to them, new ones or out of the pool, the attempts that they get, and the heads of their answers.
 
 use std::net::SocketAddr;
 
 use super::StreamingFrontend;
-use super::exchange::{Exchange, RequestPhase};
+use super::exchange::{Exchange, RequestPhase, Upstream};
 use crate::flow::{Direction, StreamId};
 use crate::frontend::Sockets;
 use crate::net::head;
@@ -11,23 +11,23 @@
 use crate::net::{ConnId, MAX_BUFFERED_BYTES};
 use crate::routing::{EndpointId, JobId, Outcome};
 
-/// A connection to a backend server.
+/// A connection to an endpoint.
 pub(super) struct UpstreamConnection {
     endpoint: EndpointId,
     stream: Option<StreamId>,
-    /// It is to have come up by then.
+    /// When it must have come up, in milliseconds of the clock.
     pub connect_deadline: f64,
-    /// Bytes that it had taken before this dispatch.
+    /// Bytes that its socket had taken before this attempt.
     sent_before: u64,
 }
 
 impl StreamingFrontend {
-    /// Sends a dispatch, as far as its body has come.
+    /// Sends an attempt, as far as its request's body has come.
     pub(super) fn send(&mut self, net: &mut Sockets, job: JobId, attempt: usize, endpoint: EndpointId) {
         let now = self.now();
         let Some(&stream) = self.streams.get(&job) else { return };
         let opening = self.exchanges.get_mut(&stream).and_then(Exchange::opening);
-        // Guards against half a body: what has gone past the prefix is nowhere any more.
+        // Guards against half a body: what was relayed beyond the prefix is not here any more.
         let Some(opening) = opening else {
             return self.end_unsent_attempt(job, attempt, Outcome::Unfit, endpoint);
         };
@@ -40,7 +40,7 @@
         };
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         (exchange.upstream, exchange.attempt, exchange.request) =
-            (Some((conn, endpoint)), attempt, RequestPhase::Relaying);
+            (Some(Upstream { conn, endpoint }), attempt, RequestPhase::Relaying);
         let waiting = net.conn(exchange.client).map_or(0, |c| c.rx.len());
         let done = exchange.decoder.is_done();
         let Some(conn) = net.conn(conn) else { return };
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Tells the core of a dispatch of which nothing was sent.
+    /// Reports to the core that an attempt ended before anything of it was sent.
     fn end_unsent_attempt(&mut self, job: JobId, attempt: usize, outcome: Outcome, endpoint: EndpointId) {
         let report = self.slots.report(endpoint);
         self.core.on_attempt_ended(job, attempt, outcome, report, Vec::new());
     }
 
-    /// A connection to a backend server: an idle one that is whole, or a new one. None proves that nothing was sent.
+    /// A connection to an endpoint: an idle one that is still usable, or a new one. None proves that nothing was sent.
     fn acquire(&mut self, net: &mut Sockets, endpoint: EndpointId, stream: StreamId) -> Option<ConnId> {
         let now = self.now();
         while let Some(id) = self.pool.take(endpoint, now) {
@@ -94,7 +94,7 @@
         Some(id)
     }
 
-    /// A dispatch is called off.
+    /// Cancels an attempt.
     pub(super) fn cancel(&mut self, net: &mut Sockets, job: JobId, attempt: usize) {
         let Some(&stream) = self.streams.get(&job) else { return };
         let Some(exchange) = self.exchanges.get_mut(&stream).filter(|e| e.attempt == attempt) else { return };
@@ -105,12 +105,12 @@
         self.release_upstream(net, stream, false);
     }
 
-    /// A connection has no dispatch any more.
+    /// A connection has no attempt any more: it goes to the pool where `keep` allows it and it is usable, or is closed.
     pub(super) fn free_upstream(&mut self, net: &mut Sockets, id: ConnId, keep: bool) {
         let now = self.now();
         let (Some(upstream), Some(conn)) = (self.upstreams.get_mut(&id), net.conn(id)) else { return };
-        let whole = conn.rx.is_empty() && conn.tx.is_empty() && !(conn.eof || conn.broken || conn.mute);
-        if !(keep && whole) {
+        let is_usable = conn.rx.is_empty() && conn.tx.is_empty() && !(conn.eof || conn.broken || conn.mute);
+        if !(keep && is_usable) {
             return self.close_upstream(net, id);
         }
         conn.rx.bound(MAX_BUFFERED_BYTES, 0);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Closes idle connections to a backend server that has moved or was started again.
+    /// Closes idle connections to an endpoint that has another address or was started again.
     pub(super) fn close_idle_upstreams(&mut self, net: &mut Sockets, endpoint: EndpointId) {
         while let Some(id) = self.pool.take(endpoint, f64::NEG_INFINITY) {
             self.close_upstream(net, id);
@@ -137,7 +137,7 @@
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let (stream, Some(conn)) = (upstream.stream, net.conn(id)) else { return };
         let Some(stream) = stream else {
-            // An idle one that says something, or ends. What was told of bytes that were read meanwhile is neither.
+            // An idle one that sends bytes, or ends. An event for bytes that were read meanwhile is neither.
             if !conn.is_fresh() {
                 self.close_upstream(net, id);
             }
@@ -149,7 +149,7 @@
             }
             return;
         }
-        // It may have been found up elsewhere: the time to connect is over all the same.
+        // It may have been found connected elsewhere: the limit on connecting no longer counts all the same.
         upstream.connect_deadline = f64::INFINITY;
         self.flow.on_writable(stream, Direction::Up, now);
         if self.exchanges.get(&stream).is_some_and(|e| e.answer.is_some()) {
@@ -159,13 +159,13 @@
         }
     }
 
-    /// Reads what the server says before the answer's body.
+    /// Reads what the endpoint sends before the answer's body.
     pub(super) fn read_answer(&mut self, net: &mut Sockets, stream: StreamId) {
         let to_head = self.is_to_head(stream);
         loop {
             let Some(exchange) = self.exchanges.get(&stream).filter(|e| e.answer.is_none()) else { return };
-            let Some((id, _)) = exchange.upstream else { return };
-            let Some(conn) = net.conn(id) else { return };
+            let Some(Upstream { conn, .. }) = exchange.upstream else { return };
+            let Some(conn) = net.conn(conn) else { return };
             let more = conn.read_some((MAX_HEAD_BYTES + 1).saturating_sub(conn.rx.len()));
             let ended = conn.eof || conn.broken;
             match head::answer(&mut conn.rx, to_head) {
@@ -183,10 +183,10 @@
         }
     }
 
-    /// The connection of a dispatch broke before an answer. Only where no byte of the dispatch was written is it sure
-    /// that it never ran: an HTTP server may begin with the first.
+    /// The connection of an attempt broke before an answer. Only where no byte of the attempt was written is it sure that it
+    /// never ran: an HTTP server may begin with the first.
     fn on_upstream_broken(&mut self, net: &mut Sockets, stream: StreamId) {
-        let id = self.exchanges.get(&stream).and_then(|e| e.upstream).map(|(id, _)| id);
+        let id = self.exchanges.get(&stream).and_then(|e| e.upstream).map(|upstream| upstream.conn);
         let Some(id) = id else { return };
         let sent_before = self.upstreams.get(&id).map_or(0, |s| s.sent_before);
         let sent = net.conn(id).map_or(0, |c| c.sent);
@@ -201,7 +201,7 @@
         over.sort_unstable_by_key(|&(id, _)| id);
         for (id, stream) in over {
             match stream {
-                // Only the connecting has a time limit of its own.
+                // Only connecting has a time limit of its own.
                 Some(stream) => self.on_upstream_broken(net, stream),
                 None => self.close_upstream(net, id),
             }
