--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -214,7 +214,7 @@
             None => "/discovery/hosts".to_string(),
         };
         let host = [("Host", self.address.to_string())];
-        net.write(conn, &http::ask("GET", &target, &host, None));
+        net.write(conn, &http::write_request("GET", &target, &host, None));
         None
     }
 
@@ -224,7 +224,7 @@
         conn.pump();
         let ended = conn.eof || conn.broken;
         // Guards against half an answer that is taken for a whole one: what a reset cuts off has not ended.
-        let message = http::response(&mut conn.rx, conn.eof && !conn.broken);
+        let message = http::read_response(&mut conn.rx, conn.eof && !conn.broken);
         let Watch::Calling { started_at_ms, is_long_poll, is_reused, .. } = self.watch else {
             // Nothing was asked for.
             if ended || !matches!(message, Ok(None)) {
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -183,7 +183,7 @@
             let mut is_identified = true;
             if let Some(identity) = &self.identity {
                 is_identified = false;
-                let secured = identity.new_tls_session().is_some_and(|tls| net.secure(id, tls));
+                let secured = identity.new_tls_session().is_some_and(|tls| net.start_tls(id, tls));
                 if !secured {
                     net.close(id);
                     continue;
--- a/src/frontend/http/attempts.rs
+++ b/src/frontend/http/attempts.rs
@@ -69,7 +69,7 @@
         let mut headers =
             vec![("Host", host), ("Req-Id", job.id.to_string()), ("Req-Deadline", format!("{left_us}u"))];
         headers.extend(job.headers.iter().map(|(name, value)| (name.as_str(), value.clone())));
-        http::ask("POST", &job.target, &headers, Some(&job.body))
+        http::write_request("POST", &job.target, &headers, Some(&job.body))
     }
 
     /// Cancels an attempt: before the job was taken by closing the connection, after that by a `DELETE`.
@@ -103,7 +103,7 @@
             self.upstreams.set_deadline(conn, now_ms + RESPONSE_TIMEOUT_MS);
         }
         let host = [("Host", self.address(endpoint))];
-        net.write(conn, &http::ask("DELETE", &format!("/jobs/{request_id}"), &host, None));
+        net.write(conn, &http::write_request("DELETE", &format!("/jobs/{request_id}"), &host, None));
         self.on_upstream_ready(net, conn);
     }
 
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -277,7 +277,7 @@
     pub(super) fn close_all(&mut self, net: &mut Sockets) {
         self.core.reject_new_jobs();
         self.accept_all(net);
-        net.unlisten(self.clients.listener);
+        net.close_listener(self.clients.listener);
         for id in self.clients.connections.keys().copied().collect::<Vec<_>>() {
             self.on_client_ready(net, id);
             if self.clients.connections.get(&id).is_some_and(Client::is_idle) {
--- a/src/frontend/http/config.rs
+++ b/src/frontend/http/config.rs
@@ -91,7 +91,7 @@
     // What the system gives may be less than what the file names.
     let system = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize);
     let own = (sockets as usize).min(system).saturating_sub(taken);
-    Budget::of(own, memory_mb).ok_or_else(|| ConfigError::TooFewSockets(sockets.min(system as f64)))
+    Budget::from_limits(own, memory_mb).ok_or_else(|| ConfigError::TooFewSockets(sockets.min(system as f64)))
 }
 
 fn read_address(config: &JsonValue, name: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -83,9 +83,9 @@
         let Config { site, seed, budget, known_list, .. } = config;
         let mut frontend = HttpFrontend {
             clients: Clients::new(listener, budget),
-            upstreams: Upstreams::new(site.connection_idle_ms, budget.backends),
+            upstreams: Upstreams::new(site.connection_idle_ms, budget.upstreams),
             discovery: Discovery::new(discovery, config.discovery, known_list.version, seed),
-            core: Core::new(site, seed, clock, budget.sessions),
+            core: Core::new(site, seed, clock, budget.jobs),
             jobs: FxHashMap::default(),
             ids: FxHashMap::default(),
             links: None,
@@ -111,8 +111,8 @@
     /// Takes over a compatible configuration: its settings and limits, and the discovery service that it names.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.clients.budget = config.budget;
-        self.upstreams.reconfigure(config.site.connection_idle_ms, config.budget.backends);
-        self.core.reconfigure(config.site, config.budget.sessions);
+        self.upstreams.reconfigure(config.site.connection_idle_ms, config.budget.upstreams);
+        self.core.reconfigure(config.site, config.budget.jobs);
         let now_ms = self.core.clock().now();
         let update = self.discovery.follow(net, now_ms, config.discovery, &self.core.site().settings);
         self.on_discovery_update(net, update);
@@ -273,7 +273,7 @@
         self.shutdown = Some(Shutdown::begin(&mut self.core));
         if has_successor {
             self.accept_all(net);
-            net.unlisten(self.clients.listener);
+            net.close_listener(self.clients.listener);
             self.evacuate(net, true);
         }
     }
--- a/src/frontend/http/policy_gate.rs
+++ b/src/frontend/http/policy_gate.rs
@@ -136,7 +136,7 @@
     pub(super) fn pass_gate(&mut self, net: &mut Sockets, id: ConnId, message: Message) -> Option<Message> {
         let now_ms = self.core.clock().now();
         let Some(gate) = self.gate.as_mut().filter(|gate| !gate.is_open()) else { return Some(message) };
-        let max_waiting = (self.clients.budget.sessions / JOBS_PER_WAITING_REQUEST).max(1);
+        let max_waiting = (self.clients.budget.jobs / JOBS_PER_WAITING_REQUEST).max(1);
         if gate.waiting.len() >= max_waiting || self.shutdown.is_some() {
             gate.rejected += 1;
             self.reject(net, id, message.close);
--- a/src/frontend/http/probes.rs
+++ b/src/frontend/http/probes.rs
@@ -33,7 +33,7 @@
     fn request_load(&mut self, net: &mut Sockets, endpoint: EndpointId, conn: ConnId, started_at_ms: f64) {
         self.upstreams.set_deadline(conn, started_at_ms + RESPONSE_TIMEOUT_MS);
         let host = [("Host", self.address(endpoint))];
-        net.write(conn, &http::ask("GET", "/metrics/load", &host, None));
+        net.write(conn, &http::write_request("GET", "/metrics/load", &host, None));
         self.on_upstream_ready(net, conn);
     }
 
--- a/src/frontend/http/requests.rs
+++ b/src/frontend/http/requests.rs
@@ -9,7 +9,7 @@
 use super::{ClientJob, HttpFrontend, upgrade_link};
 use crate::core::JobRequest;
 use crate::frontend::Sockets;
-use crate::net::http::{self, Bad, Message};
+use crate::net::http::{self, Message, MessageError};
 use crate::net::{ConnId, head};
 use crate::routing::JobId;
 
@@ -114,14 +114,14 @@
             return Progress::Done;
         }
         conn.rx.consume(unread);
-        conn.last = true;
+        conn.closes_after_answer = true;
         self.count_turn(id, turn)
     }
 
     /// Reads a request, if all of it has come.
     fn read_request(&mut self, net: &mut Sockets, id: ConnId) -> Progress {
         let Some(conn) = net.conn(id) else { return Progress::Done };
-        let read = http::request(&mut conn.rx);
+        let read = http::read_request(&mut conn.rx);
         let unread = conn.rx.len();
         let now_ms = self.core.clock().now();
         if let Some(client) = self.clients.get_mut(id) {
@@ -140,9 +140,9 @@
         match read {
             Ok(None) => return Progress::Done,
             Ok(Some(message)) => self.on_request(net, id, message),
-            Err(Bad::Malformed) => self.respond_and_close(net, id, 400),
-            Err(Bad::TooLarge) => self.respond_and_close(net, id, 413),
-            Err(Bad::Unsupported) => self.respond_and_close(net, id, 501),
+            Err(MessageError::Malformed) => self.respond_and_close(net, id, 400),
+            Err(MessageError::TooLarge) => self.respond_and_close(net, id, 413),
+            Err(MessageError::Unsupported) => self.respond_and_close(net, id, 501),
         }
         Progress::Continue
     }
@@ -264,7 +264,7 @@
         self.ids.insert(Rc::clone(&request_id), job);
         self.jobs.insert(job, ClientJob { client: id, id: request_id, target, headers, body });
         if let Some(conn) = net.conn(id).filter(|_| message.close) {
-            conn.last = true;
+            conn.closes_after_answer = true;
         }
         if let Some(client) = self.clients.get_mut(id) {
             (client.job, client.has_sent_request) = (Some(job), true);
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -225,7 +225,7 @@
         };
         let (state, deadline_ms) = (LinkState::Reaching, now_ms + RESPONSE_TIMEOUT_MS);
         links.links.push(UpgradeLink { conn, pid, state, deadline_ms, open_requests: 0 });
-        net.write(conn, &http::ask("GET", "/up", &[links.host_header()], None));
+        net.write(conn, &http::write_request("GET", "/up", &[links.host_header()], None));
     }
 
     /// Something came over a link, or it broke.
@@ -234,7 +234,7 @@
             let Some(conn) = net.conn(id) else { return };
             conn.pump();
             let has_ended = conn.eof || conn.broken;
-            match http::response(&mut conn.rx, has_ended) {
+            match http::read_response(&mut conn.rx, has_ended) {
                 Ok(Some(message)) => self.on_link_response(net, id, &message),
                 Ok(None) if !has_ended => return,
                 _ => return self.drop_link(net, id),
@@ -380,7 +380,7 @@
             link.deadline_ms = now_ms + RESPONSE_TIMEOUT_MS;
         }
         link.open_requests += 1;
-        let bytes = http::ask("POST", "/v1/job-events", &headers, Some(body));
+        let bytes = http::write_request("POST", "/v1/job-events", &headers, Some(body));
         // A full buffer ends the link: the callbacks are repeated by their senders.
         if !net.write(link.conn, &bytes) {
             link.deadline_ms = now_ms;
@@ -399,7 +399,7 @@
         link.state = LinkState::Introducing;
         link.open_requests += 1;
         link.deadline_ms = now_ms + RESPONSE_TIMEOUT_MS;
-        net.write(id, &http::ask("GET", "/v1/seam", &headers, None));
+        net.write(id, &http::write_request("GET", "/v1/seam", &headers, None));
     }
 }
 
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -108,7 +108,7 @@
 
     /// Takes over another idle time and another bound.
     pub fn reconfigure(&mut self, connection_idle_ms: f64, max_connections: usize) {
-        self.pool.keep_below(connection_idle_ms);
+        self.pool.set_idle_limit(connection_idle_ms);
         self.max_connections = max_connections;
     }
 
@@ -261,7 +261,7 @@
         }
         let has_ended = conn.eof || conn.broken;
         // What came before a break counts; a complete response is one. What a reset cut off is none.
-        let message = http::response(&mut conn.rx, conn.eof && !conn.broken);
+        let message = http::read_response(&mut conn.rx, conn.eof && !conn.broken);
         let has_stray_bytes = !conn.rx.is_empty();
         let is_written = !conn.connecting && conn.tx.is_empty();
         let purpose = connection.purpose;
--- a/src/frontend/streaming/answers.rs
+++ b/src/frontend/streaming/answers.rs
@@ -19,7 +19,7 @@
         let now = self.now();
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         let (Some(job), Some(Upstream { conn, .. })) = (exchange.job, exchange.upstream) else { return };
-        let declined = http::value(&answer.headers, "srv-declined") == Some("1");
+        let declined = http::header_value(&answer.headers, "srv-declined") == Some("1");
         if declined && matches!(answer.status, 503 | 504) && exchange.prefix.is_some() {
             return self.end_attempt(net, stream, Outcome::Full);
         }
@@ -27,7 +27,7 @@
             return self.end_attempt(net, stream, Outcome::Unfit);
         };
         let framing = match answer.framing {
-            Framing::Chunked | Framing::UntilClose if exchange.head.old => Framing::UntilClose,
+            Framing::Chunked | Framing::UntilClose if exchange.head.is_http_1_0 => Framing::UntilClose,
             Framing::UntilClose => Framing::Chunked,
             other => other,
         };
@@ -35,7 +35,7 @@
         exchange.closes_client |= framing == Framing::UntilClose || !exchange.decoder.is_done();
         let stated_length = match answer.framing {
             Framing::Empty if exchange.head.method == "HEAD" => {
-                http::value(&answer.headers, "content-length").and_then(|v| v.parse().ok())
+                http::header_value(&answer.headers, "content-length").and_then(|v| v.parse().ok())
             }
             _ => None,
         };
@@ -60,7 +60,7 @@
             return self.end_attempt(net, stream, Outcome::Error);
         }
         let window = exchange.class_rules.allowance.window;
-        upstream.rx.bound((window + http::MAX_HEAD_BYTES + 1).max(MAX_BUFFERED_BYTES), window);
+        upstream.rx.set_limit((window + http::MAX_HEAD_BYTES + 1).max(MAX_BUFFERED_BYTES), window);
         let held = client.tx.len() + upstream.rx.len();
         self.flow.release(stream, Direction::Down, held, now);
         if done {
@@ -91,7 +91,8 @@
             self.end_attempt(net, stream, Outcome::Error);
             return 0;
         };
-        if upstream.eof && upstream.rx.is_empty() && !relay.decoder.is_done() && relay.decoder.end() {
+        if upstream.eof && upstream.rx.is_empty() && !relay.decoder.is_done() && relay.decoder.on_peer_ended()
+        {
             // All that came before the end was the body.
             blocked = relay.relay_buffered(upstream, client, |_| ()).unwrap_or(false);
         }
@@ -99,7 +100,7 @@
         let taken = (client.sent - sent) as usize;
         let piped = answer.pipe.as_ref().map_or(0, Pipe::held);
         let held = client.tx.len() + piped + if done { 0 } else { upstream.rx.len() };
-        let (gone, ended) = (client.mute || client.broken, upstream.eof || upstream.broken);
+        let (gone, ended) = (client.takes_nothing || client.broken, upstream.eof || upstream.broken);
         self.counters.down += taken as u64;
         self.flow.on_moved(turn, Moved { read, more, taken, held, blocked, full }, now);
         if gone {
@@ -144,7 +145,7 @@
         if answer.status == 101 || exchange.interim_answers > MAX_INTERIM_ANSWERS {
             return false;
         }
-        if exchange.head.old {
+        if exchange.head.is_http_1_0 {
             return true;
         }
         net.write(exchange.client, &head::write_answer(answer, Framing::Empty, None, false))
--- a/src/frontend/streaming/clients.rs
+++ b/src/frontend/streaming/clients.rs
@@ -7,7 +7,7 @@
 use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Decoder};
 use crate::net::head::{self, RequestHead};
-use crate::net::http::{self, Bad, MAX_HEAD_BYTES};
+use crate::net::http::{self, MAX_HEAD_BYTES, MessageError};
 use crate::net::{ConnId, MAX_BUFFERED_BYTES};
 
 /// How long a client may take to end its side once its last answer is written, in milliseconds.
@@ -67,7 +67,7 @@
             if self.clients.len() >= self.config.table.connections {
                 self.counters.rejected_full += 1;
                 let advice = [("Retry-After", self.config.table.retry_after_s.ceil().to_string())];
-                net.write(id, &http::answer(503, &advice, b"too many connections\n", true));
+                net.write(id, &http::write_response(503, &advice, b"too many connections\n", true));
                 net.close(id);
                 continue;
             }
@@ -105,7 +105,7 @@
                 conn.rx.consume(2);
             }
             let (gone, begun) = (conn.eof || conn.broken, !conn.rx.is_empty());
-            let read = head::request(&mut conn.rx);
+            let read = head::read_request(&mut conn.rx);
             let Some(client) = self.clients.get_mut(&id) else { return };
             if begun && client.state == ClientState::Idle {
                 (client.state, client.deadline) =
@@ -118,9 +118,9 @@
                 Ok(None) => {}
                 Err(bad) => {
                     let status = match bad {
-                        Bad::Malformed => 400,
-                        Bad::TooLarge => 413,
-                        Bad::Unsupported => 501,
+                        MessageError::Malformed => 400,
+                        MessageError::TooLarge => 413,
+                        MessageError::Unsupported => 501,
                     };
                     self.reject_unread(net, id, status, "the request does not read\n");
                 }
@@ -151,7 +151,8 @@
             }
             Err(_) => return self.reject_unread(net, id, 400, "the body does not read\n"),
         };
-        let tenant = http::value(&head.headers, &self.config.table.tenant_header).unwrap_or("").to_string();
+        let tenant =
+            http::header_value(&head.headers, &self.config.table.tenant_header).unwrap_or("").to_string();
         if self.is_past_last_call() {
             return self.reply(net, id, 503, 0.0, "stopping\n", true);
         }
@@ -162,7 +163,7 @@
             return self.reply(net, id, 503, advice, &format!("{full}\n"), close);
         }
         // The endpoint is to say whether it wants the body: there is nothing to hold the request for.
-        let asks = http::value(&head.headers, "expect").is_some();
+        let asks = http::header_value(&head.headers, "expect").is_some();
         let when = if asks { DispatchCondition::Head } else { class_rules.dispatch };
         let hold = Hold::new(when, class_rules.prefix_bytes, class_rules.allowance.pace.min_bytes_per_s, now);
         let (class_rules, close) = (class_rules.clone(), head.close);
@@ -175,7 +176,7 @@
         if let Some(conn) = net.conn(id) {
             // What a window lets in beside what came with the head.
             let most = class_rules.allowance.window + MAX_HEAD_BYTES + 1;
-            conn.rx.bound(most.max(MAX_BUFFERED_BYTES), class_rules.allowance.window);
+            conn.rx.set_limit(most.max(MAX_BUFFERED_BYTES), class_rules.allowance.window);
         }
         let whole = up.is_done();
         let exchange = Exchange::new(id, class, class_rules, tenant, head, up, hold, close);
@@ -202,7 +203,7 @@
         if retry_after > 0.0 {
             headers.push(("Retry-After", format!("{}", (retry_after / 1e3).ceil())));
         }
-        if !net.write(id, &http::answer(status, &headers, why.as_bytes(), close)) {
+        if !net.write(id, &http::write_response(status, &headers, why.as_bytes(), close)) {
             return self.drop_client(net, id);
         }
         if close { self.end_client(net, id) } else { self.free_client(net, id) }
@@ -213,7 +214,7 @@
         let deadline = self.now() + self.config.table.idle_s * 1e3;
         let (Some(client), Some(conn)) = (self.clients.get_mut(&id), net.conn(id)) else { return };
         (client.state, client.deadline) = (ClientState::Idle, deadline);
-        conn.rx.bound(MAX_BUFFERED_BYTES, 0);
+        conn.rx.set_limit(MAX_BUFFERED_BYTES, 0);
         self.clients_to_read.push(id);
     }
 
@@ -225,7 +226,7 @@
         if client.state != ClientState::Ending {
             (client.state, client.deadline) = (ClientState::Ending, deadline);
             conn.rx.consume(conn.rx.len());
-            conn.rx.bound(MAX_BUFFERED_BYTES, 0);
+            conn.rx.set_limit(MAX_BUFFERED_BYTES, 0);
             self.clients_to_read.push(id);
         }
     }
--- a/src/frontend/streaming/exchange.rs
+++ b/src/frontend/streaming/exchange.rs
@@ -46,7 +46,7 @@
     pub fn of(client: &Conn, upstream: &Conn, unwritten: Option<usize>, blocked: bool) -> RequestProgress {
         if client.broken {
             RequestProgress::ClientGone
-        } else if upstream.mute {
+        } else if upstream.takes_nothing {
             RequestProgress::NotTaken
         } else if let Some(unwritten) = unwritten {
             RequestProgress::Ended { is_written: unwritten == 0 }
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -128,7 +128,7 @@
     /// Takes over a compatible file. Open streams go on under the class that they began with.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.core.reconfigure(config.site.clone(), config.bounds.total);
-        self.pool.keep_below(config.site.connection_idle_ms);
+        self.pool.set_idle_limit(config.site.connection_idle_ms);
         self.flow.reconfigure(config.pool_bytes, config.turn_bytes);
         self.admission.reconfigure(config.bounds);
         self.slots.reconfigure(config.bounds.endpoint);
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -164,7 +164,7 @@
                 .payload
                 .min(exchange.class_rules.prefix_bytes - prefix.len().min(exchange.class_rules.prefix_bytes));
             prefix.extend_from_slice(&conn.rx.bytes()[..some]);
-            exchange.decoder.took(some);
+            exchange.decoder.consume_payload(some);
             conn.rx.consume(some);
             if some == 0 && step.skip == 0 || exchange.decoder.is_done() {
                 break None;
--- a/src/frontend/streaming/transfer.rs
+++ b/src/frontend/streaming/transfer.rs
@@ -58,7 +58,7 @@
         keep: impl FnMut(&[u8]),
     ) -> Result<Relayed, BodyError> {
         let is_long = self.pipe.is_some()
-            || self.decoder.left().is_some_and(|left| left >= MIN_PIPED_BODY_BYTES) && !self.is_chunked;
+            || self.decoder.remaining().is_some_and(|left| left >= MIN_PIPED_BODY_BYTES) && !self.is_chunked;
         if is_long && source.rx.is_empty() {
             sink.write_queued();
             if sink.tx.is_empty() {
@@ -106,7 +106,7 @@
             let payload = &source.rx.front()[..at_hand];
             let taken = self.write_payload(sink, payload);
             keep(&payload[..taken]);
-            self.decoder.took(taken);
+            self.decoder.consume_payload(taken);
             source.rx.consume(taken);
             // A chunk that was queued and not written stops its source as well.
             if taken < at_hand || self.is_chunked && !sink.tx.is_empty() {
@@ -166,13 +166,13 @@
             (relayed.blocked, relayed.full) = (true, true);
             return relayed;
         }
-        let left = usize::try_from(decoder.left().unwrap_or(0)).unwrap_or(usize::MAX);
+        let left = usize::try_from(decoder.remaining().unwrap_or(0)).unwrap_or(usize::MAX);
         let wanted = left.min(most - relayed.read).min(PIPE_CAPACITY_BYTES);
         if wanted == 0 {
             return relayed;
         }
         let (count, more) = source.splice_in(pipe, wanted);
-        decoder.took(count);
+        decoder.consume_payload(count);
         relayed.read += count;
         relayed.more = more;
         if count == 0 {
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -109,11 +109,12 @@
     pub(super) fn free_upstream(&mut self, net: &mut Sockets, id: ConnId, keep: bool) {
         let now = self.now();
         let (Some(upstream), Some(conn)) = (self.upstreams.get_mut(&id), net.conn(id)) else { return };
-        let is_usable = conn.rx.is_empty() && conn.tx.is_empty() && !(conn.eof || conn.broken || conn.mute);
+        let is_usable =
+            conn.rx.is_empty() && conn.tx.is_empty() && !(conn.eof || conn.broken || conn.takes_nothing);
         if !(keep && is_usable) {
             return self.close_upstream(net, id);
         }
-        conn.rx.bound(MAX_BUFFERED_BYTES, 0);
+        conn.rx.set_limit(MAX_BUFFERED_BYTES, 0);
         (upstream.stream, upstream.connect_deadline) = (None, f64::INFINITY);
         self.pool.put(upstream.endpoint, id, now);
     }
@@ -168,7 +169,7 @@
             let Some(conn) = net.conn(conn) else { return };
             let more = conn.read_some((MAX_HEAD_BYTES + 1).saturating_sub(conn.rx.len()));
             let ended = conn.eof || conn.broken;
-            match head::answer(&mut conn.rx, to_head) {
+            match head::read_answer(&mut conn.rx, to_head) {
                 Ok(Some(answer)) if answer.status >= 200 => return self.begin_answer(net, stream, &answer),
                 Ok(Some(answer)) => {
                     if !self.forward_interim(net, stream, &answer) {
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -80,7 +80,7 @@
     Done,
 }
 
-/// What is to be done with the bytes at hand: first drop `skip`, then pass on up to `payload` and tell `took`.
+/// What is to be done with the bytes at hand: first drop `skip`, then pass on up to `payload` and tell `consume_payload`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Step {
     /// Bytes of framing.
@@ -93,26 +93,26 @@
 #[derive(Clone, Debug)]
 pub struct Decoder {
     state: State,
-    most: u64,
-    seen: u64,
+    max_bytes: u64,
+    payload_bytes: u64,
     extensions: usize,
     trailers: Vec<u8>,
 }
 
 impl Decoder {
-    /// At the start of a body of `most` bytes at the most; a stated length above that is refused at once.
+    /// At the start of a body of `max_bytes` bytes at most; a longer stated length is rejected at once.
     ///
     /// # Errors
-    /// Where the stated length is above `most`.
-    pub fn new(framing: Framing, most: u64) -> Result<Decoder, BodyError> {
+    /// Where the stated length is above `max_bytes`.
+    pub fn new(framing: Framing, max_bytes: u64) -> Result<Decoder, BodyError> {
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::Done,
-            Framing::Length(length) if length > most => return Err(BodyError::TooLong),
+            Framing::Length(length) if length > max_bytes => return Err(BodyError::TooLong),
             Framing::Length(length) => State::Length(length),
             Framing::Chunked => State::Line,
             Framing::UntilClose => State::UntilClose,
         };
-        Ok(Decoder { state, most, seen: 0, extensions: 0, trailers: Vec::new() })
+        Ok(Decoder { state, max_bytes, payload_bytes: 0, extensions: 0, trailers: Vec::new() })
     }
 
     /// Whether all of it has been read.
@@ -121,7 +121,7 @@
     }
 
     /// Bytes of payload that are left, where a length told how many there are: the wire has nothing else until then.
-    pub fn left(&self) -> Option<u64> {
+    pub fn remaining(&self) -> Option<u64> {
         match self.state {
             State::Length(left) => Some(left),
             _ => None,
@@ -129,8 +129,8 @@
     }
 
     /// Bytes of payload taken so far.
-    pub fn seen(&self) -> u64 {
-        self.seen
+    pub fn payload_bytes(&self) -> u64 {
+        self.payload_bytes
     }
 
     /// The trailers that came behind a chunked body and may be passed on, each with its line end.
@@ -138,8 +138,8 @@
         &self.trailers
     }
 
-    /// Looks at the bytes at hand, which start where the last call and `took` left off. Moves past framing; payload
-    /// is only counted off by `took`. A step of nothing asks for more bytes, unless the body `is_done`.
+    /// Looks at the bytes at hand, which start where the last call and `consume_payload` left off. Moves past framing; payload
+    /// is only counted off by `consume_payload`. A step of nothing asks for more bytes, unless the body `is_done`.
     ///
     /// # Errors
     /// Where the bytes are not a body of this framing, or a bound on lines, trailers or payload is exceeded.
@@ -189,20 +189,20 @@
         let line = &rest[..end];
         let size = chunk_size(line, true)?;
         self.extensions += if line.contains(&b';') { line.len() } else { 0 };
-        let allowed = MAX_EXTENSION_BYTES as u64 + self.seen / PAYLOAD_BYTES_PER_EXTENSION_BYTE;
+        let allowed = MAX_EXTENSION_BYTES as u64 + self.payload_bytes / PAYLOAD_BYTES_PER_EXTENSION_BYTE;
         if self.extensions as u64 > allowed {
             return Err(BodyError::Extension);
         }
         self.state = match size {
             0 => State::Trailers,
-            _ if size > self.most.saturating_sub(self.seen) => return Err(BodyError::TooLong),
+            _ if size > self.max_bytes.saturating_sub(self.payload_bytes) => return Err(BodyError::TooLong),
             _ => State::Chunk(size),
         };
         Ok(Some(end + 2))
     }
 
     fn payload(&self, skip: usize, left: u64, at_hand: usize) -> Result<Step, BodyError> {
-        if self.state == State::UntilClose && left > self.most.saturating_sub(self.seen) {
+        if self.state == State::UntilClose && left > self.max_bytes.saturating_sub(self.payload_bytes) {
             return Err(BodyError::TooLong);
         }
         let payload = usize::try_from(left).unwrap_or(usize::MAX).min(at_hand);
@@ -210,8 +210,8 @@
     }
 
     /// So many bytes of payload, as many as the last step gave at most, were taken.
-    pub fn took(&mut self, count: usize) {
-        self.seen += count as u64;
+    pub fn consume_payload(&mut self, count: usize) {
+        self.payload_bytes += count as u64;
         let count = count as u64;
         self.state = match self.state {
             State::Length(left) if left <= count => State::Done,
@@ -223,7 +223,7 @@
     }
 
     /// The peer has ended its side, and all bytes were stepped over. False where the body is cut short by that.
-    pub fn end(&mut self) -> bool {
+    pub fn on_peer_ended(&mut self) -> bool {
         if self.state == State::UntilClose {
             self.state = State::Done;
         }
@@ -233,31 +233,31 @@
 
 /// Where a line ends, without its CR LF; none where its end has not come. A line feed alone ends nothing: two readers
 /// that disagree on that see different messages.
-fn line_end(bytes: &[u8], most: usize, long: BodyError) -> Result<Option<usize>, BodyError> {
+fn line_end(bytes: &[u8], max_bytes: usize, too_long: BodyError) -> Result<Option<usize>, BodyError> {
     match bytes.iter().position(|&b| b == b'\n') {
-        Some(at) if at > most => Err(long),
+        Some(at) if at > max_bytes => Err(too_long),
         Some(at) if at > 0 && bytes[at - 1] == b'\r' => Ok(Some(at - 1)),
-        Some(_) => Err(if long == BodyError::Extension { BodyError::ChunkSize } else { long }),
-        None if bytes.len() > most => Err(long),
+        Some(_) => Err(if too_long == BodyError::Extension { BodyError::ChunkSize } else { too_long }),
+        None if bytes.len() > max_bytes => Err(too_long),
         None => Ok(None),
     }
 }
 
 /// The size at the start of a chunk's line, of 15 digits at the most.
-fn chunk_size(line: &[u8], whole: bool) -> Result<u64, BodyError> {
+fn chunk_size(line: &[u8], is_complete: bool) -> Result<u64, BodyError> {
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
     let rest = &line[digits..];
     let blank = rest.iter().take_while(|b| matches!(b, b' ' | b'\t')).count();
     // A CR whose LF has not come, or control characters in an extension.
     let behind = match rest.get(blank) {
-        None => blank == 0 || !whole,
+        None => blank == 0 || !is_complete,
         Some(b';') => {
-            rest[blank..].iter().all(|&b| b == b'\t' || b >= b' ' && b != 0x7f || !whole && b == b'\r')
+            rest[blank..].iter().all(|&b| b == b'\t' || b >= b' ' && b != 0x7f || !is_complete && b == b'\r')
         }
-        Some(b'\r') => !whole && rest.len() == blank + 1 && blank == 0,
+        Some(b'\r') => !is_complete && rest.len() == blank + 1 && blank == 0,
         Some(_) => false,
     };
-    if digits > 15 || !behind || digits == 0 && (whole || !line.is_empty()) {
+    if digits > 15 || !behind || digits == 0 && (is_complete || !line.is_empty()) {
         return Err(BodyError::ChunkSize);
     }
     let text = std::str::from_utf8(&line[..digits]).map_err(|_| BodyError::ChunkSize)?;
--- a/src/net/body/tests.rs
+++ b/src/net/body/tests.rs
@@ -14,7 +14,7 @@
         // Taken one byte short, so that a piece is stepped over twice.
         let some = if step.payload > 1 { step.payload - 1 } else { step.payload };
         out.extend(held.drain(..some));
-        decoder.took(some);
+        decoder.consume_payload(some);
         if step.skip + step.payload > 0 && !decoder.is_done() {
             continue;
         }
@@ -82,10 +82,10 @@
     let mut rest = &long[..];
     while !decoder.is_done() {
         let step = decoder.step(rest).unwrap();
-        decoder.took(step.payload);
+        decoder.consume_payload(step.payload);
         rest = &rest[step.skip + step.payload..];
     }
-    assert_eq!(decoder.seen(), 2000 * 1024);
+    assert_eq!(decoder.payload_bytes(), 2000 * 1024);
     let trailers = [b"0\r\n".as_slice(), &b"Etag: 7\r\n".repeat(MAX_TRAILER_BYTES / 9 + 1)].concat();
     assert_eq!(read(Framing::Chunked, &trailers, &[1000]), Err(BodyError::Trailers));
     assert_eq!(Decoder::new(Framing::Length(11), 10).err(), Some(BodyError::TooLong));
@@ -98,8 +98,8 @@
     {
         let mut decoder = Decoder::new(framing, 100).unwrap();
         let step = decoder.step(b"5\r\nlake").unwrap();
-        decoder.took(step.payload);
-        assert_eq!(decoder.end(), whole, "{framing:?}");
+        decoder.consume_payload(step.payload);
+        assert_eq!(decoder.on_peer_ended(), whole, "{framing:?}");
     }
     assert_eq!(read(Framing::Length(5), b"lakesGET", &[3]).unwrap().1, b"GET");
 }
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -15,10 +15,10 @@
     /// Of clients and call-backs.
     pub clients: usize,
     /// To backend servers.
-    pub backends: usize,
+    pub upstreams: usize,
     /// Sessions at most: fewer than clients, so that there is always a connection without one that can make
     /// room for the next.
-    pub sessions: usize,
+    pub jobs: usize,
     /// Bytes held for clients: what they have sent of requests, and the bodies of sessions.
     pub bytes: usize,
 }
@@ -29,15 +29,15 @@
     ///
     /// A quarter of the memory is for what clients send. Buffers double as they grow, bodies are copied once when
     /// they are passed on, and the rest is for answers, for the program itself and for the server table.
-    pub fn of(sockets: usize, memory_mb: f64) -> Option<Budget> {
+    pub fn from_limits(sockets: usize, memory_mb: f64) -> Option<Budget> {
         let left =
             sockets.min(MAX_DESCRIPTORS).checked_sub(RESERVED_DESCRIPTORS).filter(|&left| left >= 16)?;
         let clients = left - left / 4;
         let bytes = (memory_mb.max(1.0) * f64::from(1 << 20) / 4.0) as usize;
         Some(Budget {
             clients,
-            backends: left / 4,
-            sessions: clients - (clients / 2).min(MAX_SPARE_CONNECTIONS),
+            upstreams: left / 4,
+            jobs: clients - (clients / 2).min(MAX_SPARE_CONNECTIONS),
             bytes,
         })
     }
--- a/src/net/budget/tests.rs
+++ b/src/net/budget/tests.rs
@@ -6,9 +6,9 @@
 #[test]
 fn a_third_of_the_descriptors_can_hold_requests() {
     for (sockets, memory) in [(256, 32.0), (1024, 32.0), (256, 192.0), (1024, 192.0)] {
-        let budget = Budget::of(sockets, memory).unwrap();
-        assert!(budget.sessions >= sockets / 3, "{budget:?}");
-        assert!(budget.clients + budget.backends + RESERVED_DESCRIPTORS <= sockets, "{budget:?}");
+        let budget = Budget::from_limits(sockets, memory).unwrap();
+        assert!(budget.jobs >= sockets / 3, "{budget:?}");
+        assert!(budget.clients + budget.upstreams + RESERVED_DESCRIPTORS <= sockets, "{budget:?}");
         assert!(budget.bytes <= (memory as usize) << 18, "{budget:?}");
     }
 }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -30,12 +30,12 @@
     /// It is broken.
     pub broken: bool,
     /// The peer takes nothing any more; what it has said can still be read.
-    pub mute: bool,
+    pub takes_nothing: bool,
     aborts: bool,
     /// It is to be closed once all is written.
     pub closing: bool,
     /// The peer has asked that the next answer be the last.
-    pub last: bool,
+    pub closes_after_answer: bool,
     /// Bytes that the socket has taken since it was opened, of TLS those of its records.
     pub sent: u64,
 }
@@ -78,10 +78,10 @@
             connecting,
             eof: false,
             broken: false,
-            mute: false,
+            takes_nothing: false,
             aborts: false,
             closing: false,
-            last: false,
+            closes_after_answer: false,
             sent: 0,
         }
     }
@@ -122,12 +122,12 @@
     /// Writes bytes past the buffer, which must be empty, and tells how many the socket took. Not for TLS.
     pub fn write_some(&mut self, bytes: &[u8]) -> usize {
         let mut taken = 0;
-        while taken < bytes.len() && !(self.broken || self.mute) {
+        while taken < bytes.len() && !(self.broken || self.takes_nothing) {
             match (&*self.stream).write(&bytes[taken..]) {
                 Ok(n) if n > 0 => taken += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                _ => self.mute = true,
+                _ => self.takes_nothing = true,
             }
         }
         self.sent += taken as u64;
@@ -136,8 +136,8 @@
 
     /// Writes what is queued as far as the socket takes it.
     pub fn write_queued(&mut self) {
-        if !(self.broken || self.mute || self.connecting) && self.flush().is_err() {
-            self.mute = true;
+        if !(self.broken || self.takes_nothing || self.connecting) && self.flush().is_err() {
+            self.takes_nothing = true;
         }
     }
 
--- a/src/net/head.rs
+++ b/src/net/head.rs
@@ -3,7 +3,7 @@
 
 use super::Ring;
 use super::body::Framing;
-use super::http::{Bad, Headers, MAX_HEADERS, closes, head, owned, reason, value};
+use super::http::{Headers, MAX_HEADERS, MessageError, closes, head, header_value, owned, reason};
 
 /// Headers of one hop, which are never passed on. `Expect` is passed on, as the server may answer it.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
@@ -32,7 +32,7 @@
     /// The client wants no further message on the connection.
     pub close: bool,
     /// It is of HTTP/1.0: no chunks and no interim answers are understood.
-    pub old: bool,
+    pub is_http_1_0: bool,
 }
 
 /// An answer's head.
@@ -59,27 +59,27 @@
 ///
 /// # Errors
 /// Where the bytes cannot become a valid head.
-pub fn request(ring: &mut Ring) -> Result<Option<RequestHead>, Bad> {
+pub fn read_request(ring: &mut Ring) -> Result<Option<RequestHead>, MessageError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut lines);
     let bytes = ring.bytes();
     let Some(length) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
     let headers = owned(parsed.headers)?;
-    let old = parsed.version == Some(0);
+    let is_http_1_0 = parsed.version == Some(0);
     let target = parsed.path.unwrap_or("").to_string();
     if !(target.starts_with('/') || target == "*") {
-        return Err(Bad::Malformed);
+        return Err(MessageError::Malformed);
     }
-    if values(&headers, "host").count() != 1 && !(old && value(&headers, "host").is_none()) {
-        return Err(Bad::Malformed);
+    if values(&headers, "host").count() != 1 && !(is_http_1_0 && header_value(&headers, "host").is_none()) {
+        return Err(MessageError::Malformed);
     }
     let read = RequestHead {
         method: parsed.method.unwrap_or("").to_string(),
         target,
-        framing: framing(&headers, old)?.unwrap_or(Framing::Empty),
+        framing: framing(&headers, is_http_1_0)?.unwrap_or(Framing::Empty),
         close: closes(&headers, parsed.version),
         headers,
-        old,
+        is_http_1_0,
     };
     ring.consume(length);
     Ok(Some(read))
@@ -89,7 +89,7 @@
 ///
 /// # Errors
 /// Where the bytes cannot become a valid head.
-pub fn answer(ring: &mut Ring, to_head: bool) -> Result<Option<AnswerHead>, Bad> {
+pub fn read_answer(ring: &mut Ring, to_head: bool) -> Result<Option<AnswerHead>, MessageError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
     let bytes = ring.bytes();
@@ -106,24 +106,28 @@
     Ok(Some(AnswerHead { status, headers, framing, close }))
 }
 
-fn framing(headers: &Headers, old: bool) -> Result<Option<Framing>, Bad> {
+fn framing(headers: &Headers, is_http_1_0: bool) -> Result<Option<Framing>, MessageError> {
     let mut codings = values(headers, "transfer-encoding");
     let mut lengths = values(headers, "content-length");
     match (codings.next(), lengths.next()) {
         (None, None) => Ok(None),
-        (Some(coding), None) if codings.next().is_none() && !old => {
+        (Some(coding), None) if codings.next().is_none() && !is_http_1_0 => {
             if coding.eq_ignore_ascii_case("chunked") {
                 Ok(Some(Framing::Chunked))
             } else {
-                Err(Bad::Unsupported)
+                Err(MessageError::Unsupported)
             }
         }
         (None, Some(length)) if lengths.next().is_none() => {
             let plain = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
-            let length = if plain { length.parse().map_err(|_| Bad::TooLarge) } else { Err(Bad::Malformed) };
+            let length = if plain {
+                length.parse().map_err(|_| MessageError::TooLarge)
+            } else {
+                Err(MessageError::Malformed)
+            };
             Ok(Some(Framing::Length(length?)))
         }
-        _ => Err(Bad::Malformed),
+        _ => Err(MessageError::Malformed),
     }
 }
 
--- a/src/net/head/tests.rs
+++ b/src/net/head/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-fn read(text: &str) -> Result<Option<RequestHead>, Bad> {
+fn read(text: &str) -> Result<Option<RequestHead>, MessageError> {
     let mut ring = Ring::new(1 << 16);
     ring.push(text.as_bytes());
-    request(&mut ring)
+    read_request(&mut ring)
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let read = |text: &str, to_head| {
         let mut ring = Ring::new(1 << 16);
         ring.push(text.as_bytes());
-        answer(&mut ring, to_head).unwrap().unwrap()
+        read_answer(&mut ring, to_head).unwrap().unwrap()
     };
     assert_eq!(read("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", true).framing, Framing::Empty);
     assert_eq!(read("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n", false).framing, Framing::Empty);
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -13,13 +13,13 @@
 pub type Headers = Vec<(String, String)>;
 
 /// A header's value.
-pub fn value<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
+pub fn header_value<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
 /// Why a message cannot be read, as the status that says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum MessageError {
     /// Malformed: 400.
     Malformed,
     /// Too large: 413.
@@ -48,7 +48,7 @@
 impl Message {
     /// A header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
-        value(&self.headers, name)
+        header_value(&self.headers, name)
     }
 }
 
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// Where the bytes cannot become a valid request.
-pub fn request(ring: &mut Ring) -> Result<Option<Message>, Bad> {
+pub fn read_request(ring: &mut Ring) -> Result<Option<Message>, MessageError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let bytes = ring.bytes();
@@ -85,29 +85,30 @@
 
 /// Whether a request's body comes in chunks. Only `chunked` alone is offered; beside a length it could make two
 /// readers see different messages in the same bytes.
-fn chunked(message: &Message) -> Result<bool, Bad> {
+fn chunked(message: &Message) -> Result<bool, MessageError> {
     let Some(coding) = message.header("transfer-encoding") else { return Ok(false) };
     if message.header("content-length").is_some() {
-        return Err(Bad::Malformed);
+        return Err(MessageError::Malformed);
     }
     if !coding.trim().eq_ignore_ascii_case("chunked") {
-        return Err(Bad::Unsupported);
+        return Err(MessageError::Unsupported);
     }
     Ok(true)
 }
 
 /// A chunked body's payload and the bytes that it took on the wire, once it is whole.
-fn dechunk(mut bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Bad> {
-    let mut decoder = Decoder::new(Framing::Chunked, MAX_BODY_BYTES as u64).map_err(|_| Bad::TooLarge)?;
+fn dechunk(mut bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, MessageError> {
+    let mut decoder =
+        Decoder::new(Framing::Chunked, MAX_BODY_BYTES as u64).map_err(|_| MessageError::TooLarge)?;
     let (mut body, mut taken) = (Vec::new(), 0);
     loop {
         let step = decoder.step(bytes).map_err(|e| match e {
-            BodyError::TooLong => Bad::TooLarge,
-            _ => Bad::Malformed,
+            BodyError::TooLong => MessageError::TooLarge,
+            _ => MessageError::Malformed,
         })?;
         let payload = &bytes[step.skip..step.skip + step.payload];
         body.extend_from_slice(payload);
-        decoder.took(payload.len());
+        decoder.consume_payload(payload.len());
         (bytes, taken) = (&bytes[step.skip + step.payload..], taken + step.skip + step.payload);
         if decoder.is_done() {
             return Ok(Some((body, taken)));
@@ -122,7 +123,7 @@
 ///
 /// # Errors
 /// Where the bytes cannot become a valid answer, or it is cut short by the end.
-pub fn response(ring: &mut Ring, ended: bool) -> Result<Option<Message>, Bad> {
+pub fn read_response(ring: &mut Ring, ended: bool) -> Result<Option<Message>, MessageError> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
@@ -152,43 +153,43 @@
 }
 
 /// The length of a head that was parsed out of so many bytes, if it is whole.
-pub(super) fn head(parsed: httparse::Result<usize>, bytes: usize) -> Result<Option<usize>, Bad> {
+pub(super) fn head(parsed: httparse::Result<usize>, bytes: usize) -> Result<Option<usize>, MessageError> {
     match parsed {
         Ok(httparse::Status::Complete(head)) if head <= MAX_HEAD_BYTES => Ok(Some(head)),
         Ok(httparse::Status::Partial) if bytes <= MAX_HEAD_BYTES => Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Bad::TooLarge),
-        Err(_) => Err(Bad::Malformed),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(MessageError::TooLarge),
+        Err(_) => Err(MessageError::Malformed),
     }
 }
 
-pub(super) fn owned(headers: &[httparse::Header<'_>]) -> Result<Vec<(String, String)>, Bad> {
+pub(super) fn owned(headers: &[httparse::Header<'_>]) -> Result<Vec<(String, String)>, MessageError> {
     let one = |h: &httparse::Header<'_>| {
-        let value = std::str::from_utf8(h.value).map_err(|_| Bad::Malformed)?;
+        let value = std::str::from_utf8(h.value).map_err(|_| MessageError::Malformed)?;
         Ok((h.name.to_string(), value.trim().to_string()))
     };
     headers.iter().map(one).collect()
 }
 
 pub(super) fn closes(headers: &Headers, version: Option<u8>) -> bool {
-    let connection = value(headers, "connection").unwrap_or("").to_ascii_lowercase();
+    let connection = header_value(headers, "connection").unwrap_or("").to_ascii_lowercase();
     connection.contains("close") || version == Some(0) && !connection.contains("keep-alive")
 }
 
 /// The length of the body. Two lengths, or one that is no plain number, could make two readers see different
 /// messages in the same bytes.
-fn length(message: &Message) -> Result<Option<usize>, Bad> {
+fn length(message: &Message) -> Result<Option<usize>, MessageError> {
     if message.header("transfer-encoding").is_some() {
         // Of answers, which come from backend servers: chunks are not read there.
-        return Err(Bad::Unsupported);
+        return Err(MessageError::Unsupported);
     }
     let mut lengths = message.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("content-length"));
     let Some((_, value)) = lengths.next() else { return Ok(None) };
     if lengths.next().is_some() || value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(Bad::Malformed);
+        return Err(MessageError::Malformed);
     }
     match value.parse::<usize>() {
         Ok(length) if length <= MAX_BODY_BYTES => Ok(Some(length)),
-        _ => Err(Bad::TooLarge),
+        _ => Err(MessageError::TooLarge),
     }
 }
 
@@ -198,7 +199,7 @@
 }
 
 /// Writes an answer.
-pub fn answer(status: u16, headers: &[(&str, String)], body: &[u8], close: bool) -> Vec<u8> {
+pub fn write_response(status: u16, headers: &[(&str, String)], body: &[u8], close: bool) -> Vec<u8> {
     let reason = reason(status);
     let mut out = format!("HTTP/1.1 {status} {reason}\r\n").into_bytes();
     finish(&mut out, headers, (status != 204).then_some(body), close);
@@ -206,7 +207,7 @@
 }
 
 /// Writes a request.
-pub fn ask(method: &str, target: &str, headers: &[(&str, String)], body: Option<&[u8]>) -> Vec<u8> {
+pub fn write_request(method: &str, target: &str, headers: &[(&str, String)], body: Option<&[u8]>) -> Vec<u8> {
     let mut out = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
     finish(&mut out, headers, body, false);
     out
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -15,12 +15,12 @@
     let text = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;x=1\r\nhello\r\n6\r\n world\r\n0\r\nT: 1\r\n\r\nGET";
     for cut in 1..text.len() - 3 {
         let mut ring = ring(&text[..cut]);
-        assert!(request(&mut ring).unwrap().is_none(), "whole after {cut} bytes");
+        assert!(read_request(&mut ring).unwrap().is_none(), "whole after {cut} bytes");
     }
     let mut ring = ring(text);
-    let message = request(&mut ring).unwrap().unwrap();
+    let message = read_request(&mut ring).unwrap().unwrap();
     assert_eq!((message.method.as_str(), message.body.as_slice()), ("POST", b"hello world".as_slice()));
     assert_eq!(ring.bytes(), b"GET");
     let long = format!("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", MAX_BODY_BYTES + 1);
-    assert_eq!(request(&mut self::tests::ring(long.as_bytes())).unwrap_err(), Bad::TooLarge);
+    assert_eq!(read_request(&mut self::tests::ring(long.as_bytes())).unwrap_err(), MessageError::TooLarge);
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -85,7 +85,7 @@
     }
 
     /// Stops listening. What waits in the backlog is reset by the system: accept it first.
-    pub fn unlisten(&mut self, listener: usize) {
+    pub fn close_listener(&mut self, listener: usize) {
         if let Some((_, token)) = self.listeners.get_mut(listener).and_then(Option::take) {
             self.handle.remove(token);
         }
@@ -134,7 +134,7 @@
     }
 
     /// Puts TLS on a connection that was just accepted.
-    pub fn secure(&mut self, id: ConnId, tls: rustls::ServerConnection) -> bool {
+    pub fn start_tls(&mut self, id: ConnId, tls: rustls::ServerConnection) -> bool {
         let Some(conn) = self.conns.get_mut(&id) else { return false };
         conn.tls = Some(Box::new(tls));
         true
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -7,28 +7,28 @@
 /// Idle connections of each peer with the time at which each fell idle.
 pub struct Pool<K> {
     idle: FxHashMap<K, Vec<(ConnId, f64)>>,
-    keep: f64,
+    max_idle_ms: f64,
 }
 
 impl<K: std::hash::Hash + Eq + Copy> Pool<K> {
-    /// A pool for peers that close what has stood idle for `limit` milliseconds. It gives a connection up well
+    /// A pool for peers that close what has stood idle for `limit_ms` milliseconds. It gives a connection up well
     /// before: a request that crosses the closing would be lost.
-    pub fn new(limit: f64) -> Pool<K> {
-        let mut pool = Pool { idle: FxHashMap::default(), keep: 0.0 };
-        pool.keep_below(limit);
+    pub fn new(limit_ms: f64) -> Pool<K> {
+        let mut pool = Pool { idle: FxHashMap::default(), max_idle_ms: 0.0 };
+        pool.set_idle_limit(limit_ms);
         pool
     }
 
-    /// Takes over another limit.
-    pub fn keep_below(&mut self, limit: f64) {
-        self.keep = (limit * 0.8).min(limit - 500.0).max(0.0);
+    /// Takes over another limit_ms.
+    pub fn set_idle_limit(&mut self, limit_ms: f64) {
+        self.max_idle_ms = (limit_ms * 0.8).min(limit_ms - 500.0).max(0.0);
     }
 
     /// The idle connections to a peer that are young enough, newest first, are taken out one by one.
     pub fn take(&mut self, peer: K, now: f64) -> Option<ConnId> {
         let list = self.idle.get_mut(&peer)?;
         let &(id, since) = list.last()?;
-        if now - since >= self.keep {
+        if now - since >= self.max_idle_ms {
             return None;
         }
         list.pop();
@@ -51,7 +51,7 @@
     pub fn expired(&mut self, now: f64) -> Vec<ConnId> {
         let mut out = Vec::new();
         for list in self.idle.values_mut() {
-            let old = list.iter().take_while(|&&(_, since)| now - since >= self.keep).count();
+            let old = list.iter().take_while(|&&(_, since)| now - since >= self.max_idle_ms).count();
             out.extend(list.drain(..old).map(|(id, _)| id));
         }
         self.idle.retain(|_, list| !list.is_empty());
--- a/src/net/ring.rs
+++ b/src/net/ring.rs
@@ -10,18 +10,18 @@
     head: usize,
     len: usize,
     limit: usize,
-    kept: usize,
+    retained: usize,
 }
 
 impl Ring {
     /// An empty buffer; room is made as bytes come.
     pub fn new(limit: usize) -> Ring {
-        Ring { store: Vec::new(), head: 0, len: 0, limit, kept: RETAINED_BYTES }
+        Ring { store: Vec::new(), head: 0, len: 0, limit, retained: RETAINED_BYTES }
     }
 
-    /// Sets another bound, and what is kept of the room when it is empty. What it holds above the bound stays.
-    pub fn bound(&mut self, limit: usize, kept: usize) {
-        (self.limit, self.kept) = (limit, kept);
+    /// Sets another bound, and what is retained of the room when it is empty. What it holds above the bound stays.
+    pub fn set_limit(&mut self, limit: usize, retained: usize) {
+        (self.limit, self.retained) = (limit, retained);
         self.trim();
     }
 
@@ -104,7 +104,7 @@
 
     /// Guards against every connection keeping the room of its largest message for good.
     fn trim(&mut self) {
-        if self.len == 0 && self.store.len() > self.kept {
+        if self.len == 0 && self.store.len() > self.retained {
             self.store = Vec::new();
         }
     }
--- a/src/net/splice.rs
+++ b/src/net/splice.rs
@@ -86,7 +86,7 @@
     /// Moves what a pipe holds to the peer as far as it takes it: how many bytes. Only while `tx` is empty.
     pub fn splice_out(&mut self, pipe: &mut Pipe) -> usize {
         let mut taken = 0;
-        while pipe.held > 0 && !(self.broken || self.mute) {
+        while pipe.held > 0 && !(self.broken || self.takes_nothing) {
             match splice(&pipe.read, None, &*self.stream, None, pipe.held, SPLICE_FLAGS) {
                 Ok(count) if count > 0 => {
                     pipe.held -= count;
@@ -94,7 +94,7 @@
                 }
                 Err(Errno::AGAIN) => break,
                 Err(Errno::INTR) => {}
-                _ => self.mute = true,
+                _ => self.takes_nothing = true,
             }
         }
         self.sent += taken as u64;
