--- a/src/frontend/console/mod.rs
+++ b/src/frontend/console/mod.rs
@@ -1,17 +1,19 @@
-//! The operators' console: a second listener where each connection carries one call, a line, and gets one
-//! answer, a line that begins with `ACK` or `NAK` (the figures end with a line `--`). It decides nothing: the
-//! gateway carries the calls out.
+//! The operators' console: a listener where each connection carries one call, a line, and gets one answer, a line that begins
+//! with `ACK` or `NAK` (the figures end with a line `--`).
+//!
+//! Owns the connections of its listener and their time limits. It decides nothing: the gateway carries out the calls that
+//! `on_ready` returns and must answer each by `answer`, and must call `sweep` at `next_deadline` at the latest.
 
 use rustc_hash::FxHashMap;
 
 use super::Sockets;
 use crate::net::ConnId;
 
-/// Callers held at once; beyond it the one that came first makes room.
+/// Most callers at once; above it the one that connected first makes room.
 const MAX_CALLERS: usize = 64;
 /// How long a caller may take to send its line, in milliseconds.
 const READ_TIMEOUT_MS: f64 = 2000.0;
-/// How long an answered caller is left to read and end, in milliseconds.
+/// How long an answered caller may take to read and to end its side, in milliseconds.
 const LINGER_TIMEOUT_MS: f64 = 1000.0;
 /// Longest call, in bytes with its line end.
 const MAX_CALL_BYTES: usize = 256;
@@ -23,45 +25,45 @@
     Readyz,
     /// The figures.
     Telemetry,
-    /// Send clients away.
+    /// Close clients' connections, and take no new ones.
     Evacuate,
-    /// Take clients again.
+    /// Accept clients again.
     Activate,
-    /// Where the policy that is shared stands.
+    /// The state of the shared policy.
     Policy,
 }
 
-/// What came on a connection.
+/// A line that was read from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParsedCall {
     /// A call.
     Call(Call),
-    /// Something that is no call; the reason goes back after `NAK`.
-    Wrong(&'static str),
+    /// A line that is no call; the reason is answered after `NAK`.
+    Invalid(&'static str),
 }
 
 impl ParsedCall {
     /// Reads one line, without its end.
     pub fn read(line: &[u8]) -> ParsedCall {
-        let Ok(line) = std::str::from_utf8(line) else { return ParsedCall::Wrong("not UTF-8") };
+        let Ok(line) = std::str::from_utf8(line) else { return ParsedCall::Invalid("not UTF-8") };
         match line.trim() {
             "readyz" => ParsedCall::Call(Call::Readyz),
             "telemetry" => ParsedCall::Call(Call::Telemetry),
             "evacuate" => ParsedCall::Call(Call::Evacuate),
             "activate" => ParsedCall::Call(Call::Activate),
             "policy" => ParsedCall::Call(Call::Policy),
-            "" => ParsedCall::Wrong("empty call"),
-            _ => ParsedCall::Wrong("unknown call"),
+            "" => ParsedCall::Invalid("empty call"),
+            _ => ParsedCall::Invalid("unknown call"),
         }
     }
 }
 
 struct Caller {
-    /// When it came.
-    came: f64,
-    /// By when it is to have sent its line, or, once answered, to have ended.
-    due: f64,
-    answered: bool,
+    /// When it connected, in milliseconds of the clock.
+    connected_at: f64,
+    /// When it must have sent its line, or, once answered, have ended, in milliseconds of the clock.
+    deadline: f64,
+    is_answered: bool,
 }
 
 /// The console's connections.
@@ -86,34 +88,40 @@
         self.callers.contains_key(&conn)
     }
 
-    /// When to look next at callers that take too long.
+    /// When `sweep` is to be called next, in milliseconds of the clock.
     pub fn next_deadline(&self) -> f64 {
-        self.callers.values().map(|c| c.due).fold(f64::INFINITY, f64::min)
+        self.callers.values().map(|c| c.deadline).fold(f64::INFINITY, f64::min)
     }
 
-    /// Accepts callers. At the bound the one that came first makes room: callers that say nothing never keep
-    /// out one that does.
+    /// Accepts callers. At the bound the one that connected first makes room: callers that send nothing never keep out one that
+    /// does.
     pub fn accept(&mut self, net: &mut Sockets, now: f64) {
         for _ in 0..MAX_CALLERS {
             let Some(id) = net.accept(self.listener) else { return };
             while self.callers.len() >= MAX_CALLERS {
-                let first =
-                    self.callers.iter().min_by(|a, b| a.1.came.total_cmp(&b.1.came)).map(|(&id, _)| id);
+                let first = self
+                    .callers
+                    .iter()
+                    .min_by(|a, b| a.1.connected_at.total_cmp(&b.1.connected_at))
+                    .map(|(&id, _)| id);
                 let Some(first) = first else { break };
-                self.drop(net, first);
+                self.close(net, first);
             }
-            self.callers.insert(id, Caller { came: now, due: now + READ_TIMEOUT_MS, answered: false });
+            self.callers.insert(
+                id,
+                Caller { connected_at: now, deadline: now + READ_TIMEOUT_MS, is_answered: false },
+            );
         }
     }
 
-    /// Reads what a caller has sent; gives what it asks once its line is whole. What is wrong is answered here.
+    /// Reads what a caller has sent. Returns its call once its line is complete; a line that is no call is answered here.
     pub fn on_ready(&mut self, net: &mut Sockets, id: ConnId, now: f64) -> Option<Call> {
         let caller = self.callers.get_mut(&id)?;
         let conn = net.conn(id)?;
         conn.pump();
-        if caller.answered {
+        if caller.is_answered {
             if conn.eof || conn.broken {
-                self.drop(net, id);
+                self.close(net, id);
             } else if conn.tx.is_empty() {
                 let unread = conn.rx.len();
                 conn.rx.consume(unread);
@@ -123,23 +131,23 @@
         }
         let bytes = conn.rx.bytes();
         let end = bytes.iter().take(MAX_CALL_BYTES).position(|&b| b == b'\n');
-        let heard = match end {
+        let parsed = match end {
             Some(end) => Some(ParsedCall::read(&bytes[..end])),
-            None if bytes.len() >= MAX_CALL_BYTES => Some(ParsedCall::Wrong("line too long")),
+            None if bytes.len() >= MAX_CALL_BYTES => Some(ParsedCall::Invalid("line too long")),
             None if conn.broken || conn.eof && bytes.is_empty() => {
-                self.drop(net, id);
+                self.close(net, id);
                 return None;
             }
-            None if conn.eof => Some(ParsedCall::Wrong("no line end")),
+            None if conn.eof => Some(ParsedCall::Invalid("no line end")),
             None => None,
         };
         let unread = conn.rx.len();
-        match heard? {
+        match parsed? {
             ParsedCall::Call(call) => {
                 conn.rx.consume(unread);
                 Some(call)
             }
-            ParsedCall::Wrong(reason) => {
+            ParsedCall::Invalid(reason) => {
                 conn.rx.consume(unread);
                 self.answer(net, id, now, &format!("NAK {reason}\n"));
                 None
@@ -147,12 +155,12 @@
         }
     }
 
-    /// Writes a caller's answer; the connection ends once it is read.
+    /// Writes a caller's answer. The connection ends once the caller has read it.
     pub fn answer(&mut self, net: &mut Sockets, id: ConnId, now: f64, text: &str) {
         let Some(caller) = self.callers.get_mut(&id) else { return };
-        (caller.answered, caller.due) = (true, now + LINGER_TIMEOUT_MS);
+        (caller.is_answered, caller.deadline) = (true, now + LINGER_TIMEOUT_MS);
         if !net.write(id, text.as_bytes()) {
-            return self.drop(net, id);
+            return self.close(net, id);
         }
         if let Some(conn) = net.conn(id).filter(|conn| conn.tx.is_empty()) {
             conn.end_writing();
@@ -162,13 +170,13 @@
     /// Ends the connections of callers that take too long.
     pub fn sweep(&mut self, net: &mut Sockets, now: f64) {
         let over: Vec<ConnId> =
-            self.callers.iter().filter(|(_, c)| c.due <= now).map(|(&id, _)| id).collect();
+            self.callers.iter().filter(|(_, c)| c.deadline <= now).map(|(&id, _)| id).collect();
         for id in over {
-            self.drop(net, id);
+            self.close(net, id);
         }
     }
 
-    fn drop(&mut self, net: &mut Sockets, id: ConnId) {
+    fn close(&mut self, net: &mut Sockets, id: ConnId) {
         self.callers.remove(&id);
         net.close(id);
     }
--- a/src/frontend/console/tests.rs
+++ b/src/frontend/console/tests.rs
@@ -9,7 +9,7 @@
     assert_eq!(ParsedCall::read(b"telemetry\r"), ParsedCall::Call(Call::Telemetry));
     assert_eq!(ParsedCall::read(b" evacuate "), ParsedCall::Call(Call::Evacuate));
     assert_eq!(ParsedCall::read(b"activate"), ParsedCall::Call(Call::Activate));
-    assert_eq!(ParsedCall::read(b"exclude h1"), ParsedCall::Wrong("unknown call"));
-    assert_eq!(ParsedCall::read(b""), ParsedCall::Wrong("empty call"));
-    assert_eq!(ParsedCall::read(&[0xff, 0xfe]), ParsedCall::Wrong("not UTF-8"));
+    assert_eq!(ParsedCall::read(b"exclude h1"), ParsedCall::Invalid("unknown call"));
+    assert_eq!(ParsedCall::read(b""), ParsedCall::Invalid("empty call"));
+    assert_eq!(ParsedCall::read(&[0xff, 0xfe]), ParsedCall::Invalid("not UTF-8"));
 }
--- a/src/frontend/gateway.rs
+++ b/src/frontend/gateway.rs
@@ -276,7 +276,7 @@
 }
 
 impl Handler for Gateway {
-    fn ready(&mut self, conn: ConnId) {
+    fn on_ready(&mut self, conn: ConnId) {
         if let Some(console) = self.console.as_mut().filter(|console| console.owns(conn)) {
             let now_ms = self.clock.now();
             if let Some(call) = console.on_ready(&mut self.net, conn, now_ms) {
@@ -296,7 +296,7 @@
         }
     }
 
-    fn waiting(&mut self, listener: usize) {
+    fn on_connections_waiting(&mut self, listener: usize) {
         if let Some(console) = self.console.as_mut().filter(|console| console.listener() == listener) {
             return console.accept(&mut self.net, self.clock.now());
         }
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -1,7 +1,7 @@
 //! Bodies of HTTP/1.1 messages, read and written piece by piece as they come (RFC 9112, sections 6 and 7).
 //!
-//! Owns the place in a body, and nothing else: no buffer, no socket, no time. The caller hands in the bytes that it
-//! holds and is told how many of them are framing, to be dropped, and how many are payload, to be passed on.
+//! Owns the position in a body, and nothing else: no buffer, no socket, no time. The caller hands in the bytes that it has,
+//! and gets how many of them are framing, to be dropped, and how many are payload, to be passed on.
 
 use std::io::Write;
 
@@ -9,13 +9,13 @@
 
 /// Longest line of a chunk: its size and its extensions, in bytes. Extensions are dropped; longer ones are an attack.
 pub const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// Bytes of chunk extensions that any body may have, and of payload that allow for one more. Guards against a body that
-/// is all extensions; a long one whose chunks each have a short one is let pass.
+/// Bytes of chunk extensions that any body may have. Guards against a body that is all extensions.
 pub const MAX_EXTENSION_BYTES: usize = 16 * 1024;
+/// Bytes of payload that allow for one more byte of extensions, for long bodies whose chunks each have a short one.
 const PAYLOAD_BYTES_PER_EXTENSION_BYTE: u64 = 16;
 /// Longest trailer section, in bytes.
 pub const MAX_TRAILER_BYTES: usize = 8 * 1024;
-/// Trailers in one section.
+/// Most trailers in one section.
 const MAX_TRAILERS: usize = 32;
 /// Trailers that would change how a message is read, where it goes or who sent it: never passed on (RFC 9110, 6.5.1).
 const FORBIDDEN_TRAILERS: [&str; 10] = [
@@ -34,13 +34,13 @@
 /// How a body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// So many bytes.
+    /// A body of so many bytes.
     Length(u64),
     /// Chunks, the last of them empty, and trailers.
     Chunked,
-    /// All that comes until the peer ends its side; answers only.
+    /// All bytes until the peer ends its side; answers only.
     UntilClose,
 }
 
@@ -59,14 +59,14 @@
     /// The trailers do not read, or are longer than `MAX_TRAILER_BYTES`.
     #[error("the trailers do not read")]
     Trailers,
-    /// There is more than the most that was allowed.
+    /// It is longer than allowed.
     #[error("the body is longer than allowed")]
     TooLong,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// So many bytes of payload are left: of a body with a length.
+    /// So many bytes are left of a body with a length.
     Length(u64),
     /// At the start of a chunk's line.
     Line,
@@ -80,7 +80,7 @@
     Done,
 }
 
-/// What is to be done with the bytes at hand: first drop `skip`, then pass on up to `payload` and tell `consume_payload`.
+/// What is to be done with the bytes at hand: first drop `skip`, then pass on up to `payload` and call `consume_payload`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Step {
     /// Bytes of framing.
@@ -89,7 +89,7 @@
     pub payload: usize,
 }
 
-/// The place in a body that is being read.
+/// The position in a body that is being read.
 #[derive(Clone, Debug)]
 pub struct Decoder {
     state: State,
@@ -120,7 +120,7 @@
         self.state == State::Done
     }
 
-    /// Bytes of payload that are left, where a length told how many there are: the wire has nothing else until then.
+    /// Bytes of payload that are left of a body with a length, which has no framing between them.
     pub fn remaining(&self) -> Option<u64> {
         match self.state {
             State::Length(left) => Some(left),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Bytes of payload taken so far.
+    /// Bytes of payload consumed so far.
     pub fn payload_bytes(&self) -> u64 {
         self.payload_bytes
     }
@@ -209,7 +209,7 @@
         Ok(Step { skip, payload })
     }
 
-    /// So many bytes of payload, as many as the last step gave at most, were taken.
+    /// Moves past `count` bytes of payload, as many as the last step gave at most.
     pub fn consume_payload(&mut self, count: usize) {
         self.payload_bytes += count as u64;
         let count = count as u64;
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -1,12 +1,12 @@
-//! The budget: how many connections of each sort the limit on open files leaves, and how many bytes of clients
-//! the memory limit.
+//! The budget: how many connections of each sort the limit on open files allows, and how many bytes of clients the limit on
+//! memory.
 
 /// Descriptors for the loop, signals, standard streams, listeners, discovery and what is being accepted.
 const RESERVED_DESCRIPTORS: usize = 48;
-/// Descriptors planned with at most: memory is planned for no more.
+/// Most descriptors that the budget shares out: memory is planned for no more.
 const MAX_DESCRIPTORS: usize = 4096;
 
-/// Connections of clients that have no session even when sessions are at their bound.
+/// Connections of clients that have no job even when jobs are at their bound.
 const MAX_SPARE_CONNECTIONS: usize = 64;
 
 /// Connections of each sort that may be open.
@@ -14,18 +14,17 @@
 pub struct Budget {
     /// Of clients and call-backs.
     pub clients: usize,
-    /// To backend servers.
+    /// To endpoints.
     pub upstreams: usize,
-    /// Sessions at most: fewer than clients, so that there is always a connection without one that can make
-    /// room for the next.
+    /// Jobs at most: fewer than clients, so that there is always a connection without one that can make room for the next.
     pub jobs: usize,
-    /// Bytes held for clients: what they have sent of requests, and the bodies of sessions.
+    /// Bytes held for clients: what they have sent of requests, and the bodies of jobs.
     pub bytes: usize,
 }
 
 impl Budget {
-    /// Shares out a limit on descriptors: a quarter to backend servers, since those hold a connection only
-    /// until they have taken a job, clients until it is done.
+    /// Shares out a limit on descriptors: a quarter goes to endpoints, since those hold a connection only until they have
+    /// taken a job, clients until it is done. None where `sockets` descriptors are too few to serve.
     ///
     /// A quarter of the memory is for what clients send. Buffers double as they grow, bodies are copied once when
     /// they are passed on, and the rest is for answers, for the program itself and for the server table.
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -11,7 +11,7 @@
 
 use super::ring::Ring;
 
-/// Most bytes of a connection held in a direction: a body of 64 KiB with its head.
+/// Most bytes of a connection that are buffered in a direction: a body of 64 KiB with its head.
 pub const MAX_BUFFERED_BYTES: usize = 96 * 1024;
 
 /// One connection.
@@ -19,7 +19,7 @@
     pub(super) stream: Rc<TcpStream>,
     pub(super) token: Option<RegistrationToken>,
     pub(super) tls: Option<Box<ServerConnection>>,
-    /// Bytes that have come.
+    /// Bytes that were read and not handled yet.
     pub rx: Ring,
     /// Bytes to be written.
     pub tx: Ring,
@@ -29,8 +29,9 @@
     pub eof: bool,
     /// It is broken.
     pub broken: bool,
-    /// The peer takes nothing any more; what it has said can still be read.
+    /// The peer takes nothing any more; what it has sent can still be read.
     pub takes_nothing: bool,
+    /// It is closed by a reset, so that the peer does not take it for an end.
     aborts: bool,
     /// It is to be closed once all is written.
     pub closing: bool,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Looks whether it has come up. True once it can be read and written.
+    /// Checks whether it has come up. True once it can be read and written.
     pub fn come_up(&mut self) -> bool {
         if self.connecting {
             match self.stream.take_error() {
@@ -98,8 +99,8 @@
         !(self.connecting || self.broken)
     }
 
-    /// Reads so many bytes at most, for a reader that is to take turns with others. True if more may be there: it
-    /// was not read up to the end, nor until it would have to wait. Not for TLS.
+    /// Reads `most` bytes at most, for a reader that takes turns with others. True if more may be there: it was not read up
+    /// to the end, nor until it would block. Not for TLS.
     pub fn read_some(&mut self, most: usize) -> bool {
         let mut left = most.min(self.rx.room());
         while left > 0 && !self.eof && !self.broken {
@@ -119,7 +120,7 @@
         !(self.eof || self.broken)
     }
 
-    /// Writes bytes past the buffer, which must be empty, and tells how many the socket took. Not for TLS.
+    /// Writes bytes without the buffer, which must be empty. Returns how many the socket took. Not for TLS.
     pub fn write_some(&mut self, bytes: &[u8]) -> usize {
         let mut taken = 0;
         while taken < bytes.len() && !(self.broken || self.takes_nothing) {
@@ -147,7 +148,7 @@
         self.broken
     }
 
-    /// Has the peer see a break and not an end, for a message whose end only the connection's end would tell.
+    /// Has the peer see a reset and not an end, for a message that only the connection's end delimits.
     pub fn break_off(&mut self) {
         self.aborts = true;
         let _ = socket2::SockRef::from(&*self.stream).set_linger(Some(std::time::Duration::ZERO));
@@ -161,7 +162,7 @@
         // With TLS what is read may call for something to be written, as in the handshake.
         let done = self.flush().and_then(|()| self.fill()).and_then(|()| self.flush());
         if done.is_err() {
-            // The peer is told why, where TLS has something to say.
+            // Writes the alert of TLS, if there is one.
             let _ = self.flush();
             self.broken = true;
         }
@@ -237,10 +238,14 @@
         Ok(())
     }
 
-    /// Whether it stands idle and whole: a look at the socket shows neither an end nor stray bytes.
+    /// Whether it is idle and usable: the socket shows neither an end nor stray bytes.
     pub fn is_fresh(&self) -> bool {
-        let quiet = matches!(self.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
-        quiet && !(self.connecting || self.eof || self.broken) && self.rx.is_empty() && self.tx.is_empty()
+        let has_nothing_to_read =
+            matches!(self.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
+        has_nothing_to_read
+            && !(self.connecting || self.eof || self.broken)
+            && self.rx.is_empty()
+            && self.tx.is_empty()
     }
 
     /// Ends this side; the peer can still be read.
@@ -252,7 +257,7 @@
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Ends it. Bytes that are written already still go out.
+    /// Ends it. Bytes that are written already still go out, unless `break_off` was called.
     pub fn shut(&self) {
         // An orderly end would come before the break.
         if !self.aborts {
@@ -266,7 +271,7 @@
     loop {
         match tls.reader().read(into) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            // A peer that ends without saying so in TLS has ended all the same.
+            // A peer that ends without a TLS close_notify has ended all the same.
             Err(e) if e.kind() == ErrorKind::UnexpectedEof => return Ok(0),
             read => return read,
         }
--- a/src/net/head.rs
+++ b/src/net/head.rs
@@ -3,9 +3,12 @@
 
 use super::Ring;
 use super::body::Framing;
-use super::http::{Headers, MAX_HEADERS, MessageError, closes, head, header_value, owned, reason};
+use super::http::{
+    Headers, MAX_HEADERS, MessageError, ParsedRequest, closes, head, header_value, owned, parse_request,
+    reason,
+};
 
-/// Headers of one hop, which are never passed on. `Expect` is passed on, as the server may answer it.
+/// Headers of one hop, which are never passed on. `Expect` is passed on, as the endpoint may answer it.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -52,21 +55,17 @@
     headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
-/// Takes a request's head off the buffer, if it is whole.
+/// Takes a request's head off the buffer, if it is complete.
 ///
-/// Refused, since two readers could see different messages in it: a length beside a transfer coding, two lengths, one
-/// that is no plain number, a coding other than `chunked`, a coding in HTTP/1.0, no or two `Host`s.
+/// Rejected, since two readers could see different messages in it: a length beside a transfer coding, two lengths, one that
+/// is no plain number, a coding other than `chunked`, a coding in HTTP/1.0, no or two `Host`s.
 ///
 /// # Errors
 /// Where the bytes cannot become a valid head.
 pub fn read_request(ring: &mut Ring) -> Result<Option<RequestHead>, MessageError> {
-    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Request::new(&mut lines);
-    let bytes = ring.bytes();
-    let Some(length) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
-    let headers = owned(parsed.headers)?;
-    let is_http_1_0 = parsed.version == Some(0);
-    let target = parsed.path.unwrap_or("").to_string();
+    let Some(parsed) = parse_request(ring.bytes())? else { return Ok(None) };
+    let ParsedRequest { length, method, target, headers, version } = parsed;
+    let is_http_1_0 = version == Some(0);
     if !(target.starts_with('/') || target == "*") {
         return Err(MessageError::Malformed);
     }
@@ -74,10 +73,10 @@
         return Err(MessageError::Malformed);
     }
     let read = RequestHead {
-        method: parsed.method.unwrap_or("").to_string(),
+        method,
         target,
         framing: framing(&headers, is_http_1_0)?.unwrap_or(Framing::Empty),
-        close: closes(&headers, parsed.version),
+        close: closes(&headers, version),
         headers,
         is_http_1_0,
     };
@@ -85,7 +84,7 @@
     Ok(Some(read))
 }
 
-/// Takes an answer's head off the buffer, if it is whole; `to_head` tells that it answers a HEAD.
+/// Takes an answer's head off the buffer, if it is complete; `to_head` tells that it answers a HEAD.
 ///
 /// # Errors
 /// Where the bytes cannot become a valid head.
@@ -151,12 +150,17 @@
     out
 }
 
-/// Writes an answer's head for the client. `length` is told where no body follows but one is spoken of: to HEAD.
-pub fn write_answer(answer: &AnswerHead, framing: Framing, spoken_of: Option<u64>, close: bool) -> Vec<u8> {
+/// Writes an answer's head for the client. `stated_length` is given where no body follows but its length is stated: to HEAD.
+pub fn write_answer(
+    answer: &AnswerHead,
+    framing: Framing,
+    stated_length: Option<u64>,
+    close: bool,
+) -> Vec<u8> {
     let words = reason(answer.status);
     let mut out = format!("HTTP/1.1 {} {words}\r\n", answer.status).into_bytes();
     put(&mut out, onward(&answer.headers), framing);
-    if let Some(length) = spoken_of {
+    if let Some(length) = stated_length {
         out.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes());
     } else if framing == Framing::Empty && !(answer.status < 200 || matches!(answer.status, 204 | 304)) {
         out.extend_from_slice(b"Content-Length: 0\r\n");
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,12 +1,15 @@
-//! HTTP/1.1 messages on top of httparse: whole requests and answers out of a ring buffer.
+//! Complete HTTP/1.1 messages on top of httparse: read out of a ring buffer, and written.
+
+use thiserror::Error;
 
 use super::Ring;
 use super::body::{BodyError, Decoder, Framing};
 
-/// Longest head that is read.
+/// Longest head that is read, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Longest body that is read.
+/// Longest body that is read, in bytes: a job of 64 KiB.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Most headers of a message.
 pub(super) const MAX_HEADERS: usize = 64;
 
 /// Headers by name and value.
@@ -17,18 +20,21 @@
     headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
-/// Why a message cannot be read, as the status that says so.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a message cannot be read; each has a status of its own.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// Malformed: 400.
+    /// Status 400.
+    #[error("the message is malformed")]
     Malformed,
-    /// Too large: 413.
+    /// Status 413.
+    #[error("the message is too large")]
     TooLarge,
-    /// A form of body that is not offered: 501.
+    /// Status 501.
+    #[error("this framing of a body is not offered")]
     Unsupported,
 }
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// A request's method.
@@ -52,22 +58,16 @@
     }
 }
 
-/// Takes a whole request off the buffer, if there is one.
+/// Takes a complete request off the buffer. None while more bytes are to come.
 ///
 /// # Errors
 /// Where the bytes cannot become a valid request.
 pub fn read_request(ring: &mut Ring) -> Result<Option<Message>, MessageError> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Request::new(&mut headers);
     let bytes = ring.bytes();
-    let Some(head) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
-    let mut message = Message {
-        method: parsed.method.unwrap_or("").to_string(),
-        target: parsed.path.unwrap_or("").to_string(),
-        headers: owned(parsed.headers)?,
-        ..Message::default()
-    };
-    message.close = closes(&message.headers, parsed.version);
+    let Some(parsed) = parse_request(bytes)? else { return Ok(None) };
+    let ParsedRequest { length: head, method, target, headers, version } = parsed;
+    let close = closes(&headers, version);
+    let mut message = Message { method, target, headers, close, ..Message::default() };
     if chunked(&message)? {
         let Some((body, length)) = dechunk(&bytes[head..])? else { return Ok(None) };
         message.body = body;
@@ -96,7 +96,7 @@
     Ok(true)
 }
 
-/// A chunked body's payload and the bytes that it took on the wire, once it is whole.
+/// The payload of a chunked body and the bytes that it took on the wire, once it is complete.
 fn dechunk(mut bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, MessageError> {
     let mut decoder =
         Decoder::new(Framing::Chunked, MAX_BODY_BYTES as u64).map_err(|_| MessageError::TooLarge)?;
@@ -119,7 +119,7 @@
     }
 }
 
-/// Takes a whole answer off the buffer, if there is one; `ended` tells that no more will come.
+/// Takes a complete answer off the buffer. None while more bytes are to come; `ended` tells that none will.
 ///
 /// # Errors
 /// Where the bytes cannot become a valid answer, or it is cut short by the end.
@@ -152,7 +152,32 @@
     }
 }
 
-/// The length of a head that was parsed out of so many bytes, if it is whole.
+/// A request's head as it was parsed.
+pub(super) struct ParsedRequest {
+    /// Bytes of the head.
+    pub length: usize,
+    pub method: String,
+    pub target: String,
+    pub headers: Headers,
+    /// The minor version of HTTP/1.
+    pub version: Option<u8>,
+}
+
+/// Parses the head of a request, if it is complete.
+pub(super) fn parse_request(bytes: &[u8]) -> Result<Option<ParsedRequest>, MessageError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut headers);
+    let Some(length) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
+    Ok(Some(ParsedRequest {
+        length,
+        method: parsed.method.unwrap_or("").to_string(),
+        target: parsed.path.unwrap_or("").to_string(),
+        headers: owned(parsed.headers)?,
+        version: parsed.version,
+    }))
+}
+
+/// The length of a head that was parsed out of `bytes` bytes, if it is complete.
 pub(super) fn head(parsed: httparse::Result<usize>, bytes: usize) -> Result<Option<usize>, MessageError> {
     match parsed {
         Ok(httparse::Status::Complete(head)) if head <= MAX_HEAD_BYTES => Ok(Some(head)),
@@ -162,6 +187,7 @@
     }
 }
 
+/// Headers as text, without the blanks around their values.
 pub(super) fn owned(headers: &[httparse::Header<'_>]) -> Result<Vec<(String, String)>, MessageError> {
     let one = |h: &httparse::Header<'_>| {
         let value = std::str::from_utf8(h.value).map_err(|_| MessageError::Malformed)?;
@@ -170,6 +196,7 @@
     headers.iter().map(one).collect()
 }
 
+/// Whether the connection ends after a message.
 pub(super) fn closes(headers: &Headers, version: Option<u8>) -> bool {
     let connection = header_value(headers, "connection").unwrap_or("").to_ascii_lowercase();
     connection.contains("close") || version == Some(0) && !connection.contains("keep-alive")
@@ -179,7 +206,7 @@
 /// messages in the same bytes.
 fn length(message: &Message) -> Result<Option<usize>, MessageError> {
     if message.header("transfer-encoding").is_some() {
-        // Of answers, which come from backend servers: chunks are not read there.
+        // Of answers, which come from endpoints: chunks are not read there.
         return Err(MessageError::Unsupported);
     }
     let mut lengths = message.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("content-length"));
@@ -193,7 +220,7 @@
     }
 }
 
-/// The words that go with a status; they tell nothing to a program.
+/// The reason phrase of a status, for people alone.
 pub(super) fn reason(status: u16) -> &'static str {
     ::http::StatusCode::from_u16(status).ok().and_then(|status| status.canonical_reason()).unwrap_or("")
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,12 @@
-//! Sockets: connections with their buffers, listeners, the pool, the descriptor budget. No protocol.
+//! Sockets: connections with their buffers, listeners, the pool of idle connections, the budget of descriptors; and the
+//! reading and writing of HTTP/1.1 messages.
+//!
+//! Owns the sockets, their registration in the event loop, and the framing of HTTP; what a message means and what follows
+//! from it is the frontends'. A caller gets events through `Handler`, must read and write a connection until it would block
+//! (events are edge-triggered), and must close what it does not need any more.
+//!
+//! HTTP is read in two ways: `http` takes complete messages with bounded bodies, `head` takes heads alone, whose bodies
+//! `body` then reads as they come.
 
 pub mod body;
 mod budget;
@@ -24,25 +32,25 @@
 pub use ring::Ring;
 pub use splice::{PIPE_CAPACITY_BYTES, Pipe, Pipes};
 
-/// Connections that may wait in a listener's backlog.
+/// Connections that may wait to be accepted at a listener.
 const MAX_WAITING_CONNECTIONS: i32 = 1024;
 
 /// A connection's id, never used again.
 pub type ConnId = u64;
 
-/// What takes in what happens on sockets.
+/// What handles the events of sockets.
 pub trait Handler: Sized + 'static {
-    /// A connection can be read or written, came up or broke.
-    fn ready(&mut self, conn: ConnId);
+    /// A connection can be read or written, has come up or has broken.
+    fn on_ready(&mut self, conn: ConnId);
     /// A listener has connections to accept.
-    fn waiting(&mut self, listener: usize);
+    fn on_connections_waiting(&mut self, listener: usize);
 }
 
 /// All connections and listeners of a handler.
 pub struct Net<H: Handler> {
     handle: LoopHandle<'static, H>,
     conns: FxHashMap<ConnId, Conn>,
-    /// Listeners by number, with their place in the loop; none once closed.
+    /// Listeners by number, each with its token in the event loop; none once closed.
     listeners: Vec<Option<(Rc<TcpListener>, RegistrationToken)>>,
     last: ConnId,
 }
@@ -53,7 +61,7 @@
         Net { handle, conns: FxHashMap::default(), listeners: Vec::new(), last: 0 }
     }
 
-    /// Listens; gives the listener's number and the address it got. A `shared` address may be held by another
+    /// Opens a listener. Returns its number and the address that it got. A `shared` address may be held by another
     /// process at once (`SO_REUSEPORT`), as the one that an upgrade replaces; the kernel deals connections out.
     ///
     /// # Errors
@@ -76,7 +84,7 @@
         let token = self
             .handle
             .insert_source(source, move |_, _, handler: &mut H| {
-                handler.waiting(number);
+                handler.on_connections_waiting(number);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -84,7 +92,7 @@
         Ok((number, local))
     }
 
-    /// Stops listening. What waits in the backlog is reset by the system: accept it first.
+    /// Closes a listener. Connections that wait are reset by the system: accept them first.
     pub fn close_listener(&mut self, listener: usize) {
         if let Some((_, token)) = self.listeners.get_mut(listener).and_then(Option::take) {
             self.handle.remove(token);
@@ -124,7 +132,7 @@
         let token = self
             .handle
             .insert_source(source, move |_, _, handler: &mut H| {
-                handler.ready(id);
+                handler.on_ready(id);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,4 +1,4 @@
-//! The pool: idle connections to backend servers, newest used first.
+//! The pool: idle connections to endpoints, newest used first.
 
 use rustc_hash::FxHashMap;
 
@@ -11,20 +11,20 @@
 }
 
 impl<K: std::hash::Hash + Eq + Copy> Pool<K> {
-    /// A pool for peers that close what has stood idle for `limit_ms` milliseconds. It gives a connection up well
-    /// before: a request that crosses the closing would be lost.
+    /// A pool for peers that close what has been idle for `limit_ms` milliseconds. It gives a connection up well before: a
+    /// request that crosses the closing would be lost.
     pub fn new(limit_ms: f64) -> Pool<K> {
         let mut pool = Pool { idle: FxHashMap::default(), max_idle_ms: 0.0 };
         pool.set_idle_limit(limit_ms);
         pool
     }
 
-    /// Takes over another limit_ms.
+    /// Takes over another limit, in milliseconds.
     pub fn set_idle_limit(&mut self, limit_ms: f64) {
         self.max_idle_ms = (limit_ms * 0.8).min(limit_ms - 500.0).max(0.0);
     }
 
-    /// The idle connections to a peer that are young enough, newest first, are taken out one by one.
+    /// Takes out the connection to a peer that has been idle for the shortest time, if that is within the limit.
     pub fn take(&mut self, peer: K, now: f64) -> Option<ConnId> {
         let list = self.idle.get_mut(&peer)?;
         let &(id, since) = list.last()?;
@@ -35,19 +35,19 @@
         Some(id)
     }
 
-    /// Puts a connection back.
+    /// Puts a connection back that is idle from now on.
     pub fn put(&mut self, peer: K, id: ConnId, now: f64) {
         self.idle.entry(peer).or_default().push((id, now));
     }
 
-    /// Takes a connection out that has closed.
+    /// Takes out a connection that was closed.
     pub fn remove(&mut self, peer: K, id: ConnId) {
         if let Some(list) = self.idle.get_mut(&peer) {
             list.retain(|&(other, _)| other != id);
         }
     }
 
-    /// Takes out what has been idle for too long.
+    /// Takes out the connections that have been idle for too long.
     pub fn expired(&mut self, now: f64) -> Vec<ConnId> {
         let mut out = Vec::new();
         for list in self.idle.values_mut() {
--- a/src/net/ring.rs
+++ b/src/net/ring.rs
@@ -1,9 +1,9 @@
-//! A ring buffer with a bound, one a direction of a connection.
+//! A ring buffer with a bound: one for each direction of a connection.
 
-/// What an empty buffer keeps of its room.
+/// Bytes of room that an empty buffer keeps, so that small messages do not allocate each time.
 const RETAINED_BYTES: usize = 4096;
 
-/// Bytes in order, at most so many.
+/// Bytes in order, `limit` at most.
 pub struct Ring {
     /// All of it may be read into: it holds zeros or bytes that were dropped.
     store: Vec<u8>,
@@ -19,7 +19,7 @@
         Ring { store: Vec::new(), head: 0, len: 0, limit, retained: RETAINED_BYTES }
     }
 
-    /// Sets another bound, and what is retained of the room when it is empty. What it holds above the bound stays.
+    /// Sets another bound, and the bytes of room that it keeps when it is empty. Bytes that it holds above the bound stay.
     pub fn set_limit(&mut self, limit: usize, retained: usize) {
         (self.limit, self.retained) = (limit, retained);
         self.trim();
@@ -35,12 +35,12 @@
         self.len
     }
 
-    /// True if it holds nothing.
+    /// Whether it holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds all of `bytes`, or nothing where they do not fit.
+    /// Adds all of `bytes`. False, and nothing is added, where they do not fit.
     pub fn push(&mut self, mut bytes: &[u8]) -> bool {
         if bytes.len() > self.room() {
             return false;
@@ -55,8 +55,8 @@
         true
     }
 
-    /// A piece of free room of `most` bytes at most, to be written to; empty only where nothing fits. `filled` tells
-    /// how much of it was.
+    /// A piece of free room of `most` bytes at most, to be written to; empty only where nothing fits. The caller must call
+    /// `filled` with the bytes that it has written.
     pub fn spare(&mut self, most: usize) -> &mut [u8] {
         let most = most.min(self.room());
         if self.len + most > self.store.len() {
@@ -71,7 +71,7 @@
         &mut self.store[tail..end]
     }
 
-    /// So many bytes of the spare room were written.
+    /// Adds `count` bytes that were written to the spare room.
     pub fn filled(&mut self, count: usize) {
         self.len = (self.len + count).min(self.store.len());
     }
@@ -94,7 +94,7 @@
         &self.store[self.head..(self.head + self.len).min(self.store.len())]
     }
 
-    /// Drops bytes off the front.
+    /// Drops the first `count` bytes.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
--- a/src/net/splice.rs
+++ b/src/net/splice.rs
@@ -9,7 +9,7 @@
 
 use super::Conn;
 
-/// Bytes that a pipe holds: what the system gives one unasked, 16 pages of 4 KiB.
+/// Bytes that a pipe holds: the system's default, 16 pages of 4 KiB.
 pub const PIPE_CAPACITY_BYTES: usize = 64 * 1024;
 
 /// How many pipes there may be. Each takes two descriptors, and `PIPE_CAPACITY_BYTES` bytes of the system's memory.
@@ -20,17 +20,17 @@
 }
 
 impl Pipes {
-    /// So many at the most; 0: none.
+    /// `most` pipes at most; 0: none.
     pub fn new(most: usize) -> Pipes {
         Pipes { most, out: Rc::new(()) }
     }
 
-    /// Takes over another bound; pipes beyond it go on.
+    /// Takes over another bound; open pipes above it go on.
     pub fn reconfigure(&mut self, most: usize) {
         self.most = most;
     }
 
-    /// Another pipe, if there may be one and the system gives it.
+    /// Opens a pipe. None where there may be no more, or the system has none.
     pub fn open(&self) -> Option<Pipe> {
         if Rc::strong_count(&self.out) > self.most {
             return None;
@@ -40,7 +40,7 @@
     }
 }
 
-/// One of them.
+/// A pipe.
 pub struct Pipe {
     read: OwnedFd,
     write: OwnedFd,
@@ -55,11 +55,12 @@
     }
 }
 
+/// Never blocks; pages may be moved in place of copied.
 const SPLICE_FLAGS: SpliceFlags = SpliceFlags::NONBLOCK.union(SpliceFlags::MOVE);
 
 impl Conn {
-    /// Moves so many bytes at the most into an empty pipe: how many, and whether there may be more at once. Not for
-    /// TLS, and only while nothing that came before is in `rx`.
+    /// Moves `most` bytes at most into a pipe. Returns how many, and whether there may be more at once. Not for TLS, and only
+    /// while `rx` is empty.
     pub fn splice_in(&mut self, pipe: &mut Pipe, most: usize) -> (usize, bool) {
         while !(self.eof || self.broken) {
             match splice(
@@ -83,7 +84,7 @@
         (0, false)
     }
 
-    /// Moves what a pipe holds to the peer as far as it takes it: how many bytes. Only while `tx` is empty.
+    /// Moves the bytes of a pipe to the peer as far as it takes them. Returns how many. Only while `tx` is empty.
     pub fn splice_out(&mut self, pipe: &mut Pipe) -> usize {
         let mut taken = 0;
         while pipe.held > 0 && !(self.broken || self.takes_nothing) {
