--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -1,138 +1,163 @@
-//! Gearman's front: clients and workers of the Gearman protocol on the same core, and so under the same rules.
-//! It decides nothing. Each worker connection is a backend server; `docs/gearman.md` says how denials and
-//! failures look.
+//! Gearman's frontend: clients and workers of the Gearman protocol on the same core as the other frontends.
+//!
+//! Owns the connections of its listener and their packets, and the record of jobs. It decides nothing: which worker gets a
+//! job, whether a job runs again and which jobs are rejected is the core's. The connection of each worker is an endpoint of
+//! the core; `docs/gearman.md` says how rejections and failures look to a client.
+//!
+//! The caller must call `on_ready` and `accept` as its sockets are ready, and `tick` at `next_deadline` at the latest.
 
 mod admin;
 mod clients;
 mod config;
 pub mod identity;
 pub mod packets;
+mod peers;
 mod record;
 mod workers;
 
 use std::collections::VecDeque;
-use std::net::IpAddr;
 
 use rustc_hash::FxHashMap;
+use thiserror::Error;
 
 use super::Sockets;
 use super::shutdown::Shutdown;
-use crate::core::{Clock, Command, Core, ListScope};
-use crate::net::{ConnId, HELD};
+use crate::core::{Clock, Command, Core, IncompatibleSettings, ListScope};
+use crate::net::ConnId;
 use crate::routing::{EndpointId, JobId};
 
-pub use config::{Config, Function};
-use identity::{Identity, Role};
-use packets::{Incoming, answer, kind, take};
+pub use config::{Config, ConfigError, Function};
+use identity::{Identity, IdentityError};
+use peers::{Peer, READ_TIMEOUT_MS};
 use record::{Key, Record};
 use workers::Worker;
 
-/// How long a peer whose connection is ended may take to end its side, in milliseconds.
-const LINGER: f64 = 1000.0;
-/// Sessions for each connection that may be open.
-const JOBS: usize = 16;
-/// Packets read from a connection before others have their turn.
-const TURNS: usize = 64;
-/// Bytes of answers that wait for a client to read them, above which its submissions are left unread.
-const MARK: usize = 32 * 1024;
-/// Bytes of answers that wait beside the connections' buffers, for all peers together. A client waits for
-/// `clients::WAITS` answers at most, of `HELD` bytes each; few are so slow at once.
-const OUTBOX: usize = 64 << 20;
-/// How long a peer may take to prove who it is and to send a whole packet, in milliseconds.
-const INTRODUCTION: f64 = 5000.0;
+/// Open jobs for each connection that may be open: the bound on all open jobs.
+const JOBS_PER_CONNECTION: usize = 16;
 
-/// A dispatch: its session and its number.
-type FlightId = (JobId, usize);
+/// An attempt at a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct AttemptId {
+    job: JobId,
+    /// Its number among the attempts at the job.
+    number: usize,
+}
 
-/// A connection, of a client, a worker, or both.
-struct Peer {
-    role: Role,
-    id: Vec<u8>,
-    address: Option<IpAddr>,
-    exceptions: bool,
-    /// Sessions whose answers it waits for.
-    waits: Vec<JobId>,
-    worker: Option<Worker>,
-    /// Packets that its connection's buffer has no room for yet.
-    outbox: VecDeque<Vec<u8>>,
-    /// It has proved who it is, where that is asked for.
-    known: bool,
-    /// A whole packet is to come by then, if one is due: the first, or the rest of one that has begun.
-    sends: Option<f64>,
-    ends: Option<f64>,
+/// Why a file that was read again is not taken over.
+#[derive(Debug, Error)]
+pub enum IncompatibleConfig {
+    /// It has other functions or kinds of workers.
+    #[error("other functions or kinds take a restart")]
+    Functions,
+    /// It begins or ends with identities.
+    #[error("to begin or end with `identity` takes a restart")]
+    Identity,
+    /// Its settings take a restart.
+    #[error(transparent)]
+    Settings(#[from] IncompatibleSettings),
+    /// Its identity files cannot be used.
+    #[error(transparent)]
+    IdentityFiles(#[from] IdentityError),
 }
 
-/// A session's job.
+/// A job that has not been answered.
 struct Job {
     function: usize,
     unique: Vec<u8>,
     key: Option<Key>,
     data: Vec<u8>,
+    /// Connections that wait for its answer, once for each submission.
     listeners: Vec<ConnId>,
     /// It was assigned to a worker at least once.
-    assigned: bool,
+    was_assigned: bool,
+    /// Numerator and denominator of its progress, as its worker wrote them.
     progress: (Vec<u8>, Vec<u8>),
 }
 
-/// The front.
+impl Job {
+    fn new(function: usize, unique: &[u8], key: Option<Key>, data: &[u8]) -> Job {
+        Job {
+            function,
+            unique: unique.to_vec(),
+            key,
+            data: data.to_vec(),
+            listeners: Vec::new(),
+            was_assigned: false,
+            progress: (vec![b'0'], vec![b'0']),
+        }
+    }
+}
+
+/// The frontend.
 pub struct GearmanFrontend {
     core: Core,
     config: Config,
     listener: usize,
     peers: FxHashMap<ConnId, Peer>,
-    servers: FxHashMap<EndpointId, ConnId>,
+    endpoints: FxHashMap<EndpointId, ConnId>,
     jobs: FxHashMap<JobId, Job>,
     record: Record,
     identity: Option<Identity>,
-    stopping: Option<Shutdown>,
+    shutdown: Option<Shutdown>,
     /// Bytes in the outboxes of all peers.
-    outbox: usize,
-    /// Connections to be looked at again.
-    again: VecDeque<ConnId>,
-    /// Connections that had their turns and may hold more.
-    later: Vec<ConnId>,
+    outbox_bytes: usize,
+    /// Connections that may hold packets, to be served before the next event.
+    to_serve: VecDeque<ConnId>,
+    /// Connections that had their turns and may hold more packets.
+    to_serve_next_tick: Vec<ConnId>,
 }
 
 impl GearmanFrontend {
-    /// A front on a listener that is open.
-    pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> Result<GearmanFrontend, String> {
+    /// A frontend on a listener that is open.
+    ///
+    /// # Errors
+    /// Where the identity files cannot be used.
+    pub fn new(
+        config: Config,
+        seed: u64,
+        clock: Clock,
+        listener: usize,
+    ) -> Result<GearmanFrontend, IdentityError> {
         let identity = config.identity.clone().map(Identity::load).transpose()?;
-        let mut core = Core::new(config.site.clone(), seed, clock, config.peers * JOBS);
+        let mut core = Core::new(config.site.clone(), seed, clock, config.peers * JOBS_PER_CONNECTION);
         core.on_list(Vec::new(), ListScope::Complete);
         Ok(GearmanFrontend {
             core,
             listener,
             peers: FxHashMap::default(),
-            servers: FxHashMap::default(),
+            endpoints: FxHashMap::default(),
             jobs: FxHashMap::default(),
             record: Record::new(config.record.0, config.record.1),
             identity,
             config,
-            stopping: None,
-            outbox: 0,
-            again: VecDeque::new(),
-            later: Vec::new(),
+            shutdown: None,
+            outbox_bytes: 0,
+            to_serve: VecDeque::new(),
+            to_serve_next_tick: Vec::new(),
         })
     }
 
-    /// Whether a file that was read again can be taken over without a restart, and the identity that goes with
-    /// it. Functions are numbers in all that is open.
-    pub fn fits(&self, config: &Config) -> Result<Option<Identity>, String> {
+    /// Checks whether a file that was read again can be taken over without a restart: open jobs name functions by their
+    /// numbers. Returns the identity that goes with it, for `reload`.
+    ///
+    /// # Errors
+    /// Where a change needs a restart, or the identity files cannot be used.
+    pub fn check_compatible(&self, config: &Config) -> Result<Option<Identity>, IncompatibleConfig> {
         let names = |c: &Config| c.functions.iter().map(|f| (f.name.clone(), f.kind)).collect::<Vec<_>>();
         if names(config) != names(&self.config) || config.kinds != self.config.kinds {
-            return Err("other functions or kinds take a restart".into());
+            return Err(IncompatibleConfig::Functions);
         }
         if config.identity.is_some() != self.identity.is_some() {
-            return Err("to begin or end with `identity` takes a restart".into());
+            return Err(IncompatibleConfig::Identity);
         }
-        self.core.check_compatible(&config.site).map_err(|e| e.to_string())?;
-        config.identity.clone().map(Identity::load).transpose()
+        self.core.check_compatible(&config.site)?;
+        Ok(config.identity.clone().map(Identity::load).transpose()?)
     }
 
-    /// Takes over a file that fits, and its identity.
+    /// Takes over a compatible file, and its identity.
     pub fn reload(&mut self, config: Config, identity: Option<Identity>) {
-        self.core.reconfigure(config.site.clone(), config.peers * JOBS);
-        self.record.adopt(config.record.0, config.record.1);
+        self.core.reconfigure(config.site.clone(), config.peers * JOBS_PER_CONNECTION);
+        self.record.reconfigure(config.record.0, config.record.1);
         (self.config, self.identity) = (config, identity);
     }
 
@@ -141,207 +166,54 @@
         &self.core
     }
 
-    /// Connections that it may hold.
+    /// Most connections that it may hold.
     pub fn peers(&self) -> usize {
         self.config.peers
     }
 
-    /// Accepts what waits; beyond the bound a connection is closed at once, so that nothing is taken from it.
+    /// Accepts the connections that wait. Above the bound a connection is closed at once, so that nothing is taken from it.
     pub fn accept(&mut self, net: &mut Sockets) {
         for _ in 0..64 {
             let Some(id) = net.accept(self.listener) else { return };
-            if self.peers.len() >= self.config.peers || self.closes() {
+            if self.peers.len() >= self.config.peers || self.is_past_last_call() {
                 net.close(id);
                 continue;
             }
             let since = self.core.clock().now();
-            let mut known = true;
+            let mut is_identified = true;
             if let Some(identity) = &self.identity {
-                known = false;
-                let secured = identity.session().is_some_and(|tls| net.secure(id, tls));
+                is_identified = false;
+                let secured = identity.new_tls_session().is_some_and(|tls| net.start_tls(id, tls));
                 if !secured {
                     net.close(id);
                     continue;
                 }
             }
-            let peer = Peer {
-                role: Role::default(),
-                id: Vec::new(),
-                address: net.conn(id).and_then(|c| c.peer_address()).map(|a| a.ip()),
-                exceptions: false,
-                waits: Vec::new(),
-                worker: None,
-                outbox: VecDeque::new(),
-                known,
-                sends: Some(since + INTRODUCTION),
-                ends: None,
-            };
-            self.peers.insert(id, peer);
+            let address = net.conn(id).and_then(|c| c.peer_address()).map(|a| a.ip());
+            self.peers.insert(id, Peer::new(address, is_identified, since + READ_TIMEOUT_MS));
         }
     }
 
     /// A connection can be read or written, or broke.
-    pub fn ready(&mut self, net: &mut Sockets, conn: ConnId) {
-        self.look(net, conn);
+    pub fn on_ready(&mut self, net: &mut Sockets, conn: ConnId) {
+        self.serve(net, conn);
         self.carry_out(net);
     }
 
-    fn look(&mut self, net: &mut Sockets, id: ConnId) {
-        let mut turns = 0;
-        loop {
-            // Guards against one peer that sends without end and keeps all others waiting.
-            turns += 1;
-            if turns > TURNS {
-                return self.later.push(id);
-            }
-            let (Some(conn), Some(peer)) = (net.conn(id), self.peers.get_mut(&id)) else { return };
-            conn.pump();
-            while let Some(packet) = peer.outbox.front().filter(|packet| packet.len() <= conn.tx.room()) {
-                conn.tx.push(packet);
-                self.outbox -= packet.len();
-                peer.outbox.pop_front();
-                conn.pump();
-            }
-            if conn.closing {
-                conn.rx.consume(conn.rx.len());
-                if conn.eof || conn.broken {
-                    self.leave(net, id);
-                } else if conn.is_written() && peer.ends.is_none() {
-                    peer.ends = Some(self.core.clock().now() + LINGER);
-                    conn.end_writing();
-                }
-                return;
-            }
-            if conn.broken {
-                return self.leave(net, id);
-            }
-            if !peer.known {
-                let Some(chain) = conn.peer_certificates() else {
-                    if conn.eof {
-                        self.leave(net, id);
-                    }
-                    return;
-                };
-                // Guards against a peer that holds a valid certificate and no allowed identity: it is refused
-                // before a packet of it is read.
-                match self.identity.as_ref().map(|identity| identity.role(&chain)) {
-                    Some(Ok(role)) => (peer.role, peer.known) = (role, true),
-                    refused => {
-                        if let Some(Err(e)) = refused {
-                            crate::say(format_args!("a peer was refused: {e}"));
-                        }
-                        return self.leave(net, id);
-                    }
-                }
-            }
-            // Guards against a cut for a client that reads more slowly than answers come: what it submits is left
-            // unread until it has taken some. A worker is read always, since what it says makes room.
-            let unread = conn.tx.len() + peer.outbox.iter().map(Vec::len).sum::<usize>();
-            if peer.worker.is_none() && (unread > MARK || peer.waits.len() >= clients::WAITS) {
-                peer.sends = None;
-                return;
-            }
-            let ended = conn.eof;
-            let (read, begun) = (take(&mut conn.rx), !conn.rx.is_empty());
-            // Guards against peers that connect and say nothing, or send half a packet, and take others' places.
-            match &read {
-                Ok(None) if begun && peer.sends.is_none() => {
-                    peer.sends = Some(self.core.clock().now() + INTRODUCTION);
-                }
-                Ok(None) => {}
-                _ => peer.sends = None,
-            }
-            match read {
-                Ok(None) if ended => return self.leave(net, id),
-                Ok(None) => return,
-                Ok(Some(Incoming::Line(line))) => self.admin(net, id, &line),
-                Ok(Some(Incoming::Packet { kind, body })) => self.packet(net, id, kind, &body),
-                Err(code) => {
-                    self.error(net, id, code, "the connection ends");
-                    if let Some(conn) = net.conn(id) {
-                        conn.closing = true;
-                    }
-                }
-            }
-        }
-    }
-
-    fn packet(&mut self, net: &mut Sockets, id: ConnId, number: u32, body: &[u8]) {
-        let read = match number {
-            kind::ECHO_REQ => {
-                self.put(net, id, answer(kind::ECHO_RES, &[body]));
-                true
-            }
-            kind::OPTION_REQ if body == b"exceptions" => {
-                if let Some(peer) = self.peers.get_mut(&id) {
-                    peer.exceptions = true;
-                }
-                self.put(net, id, answer(kind::OPTION_RES, &[body]));
-                true
-            }
-            kind::OPTION_REQ => {
-                self.error(net, id, "unknown_option", "only exceptions is known");
-                true
-            }
-            kind::SET_CLIENT_ID => {
-                if let Some(peer) = self.peers.get_mut(&id) {
-                    peer.id = body.iter().copied().filter(u8::is_ascii_graphic).take(64).collect();
-                }
-                true
-            }
-            _ if workers::is_worker_kind(number) => self.worker_packet(net, id, number, body),
-            _ => self.client_packet(net, id, number, body),
-        };
-        if !read {
-            self.error(net, id, "bad_arguments", "the packet does not read");
-        }
-    }
-
-    /// Writes to a peer, as it reads. Only where all outboxes are full, or the packet could never fit, is it ended.
-    fn put(&mut self, net: &mut Sockets, id: ConnId, bytes: Vec<u8>) {
-        let Some(peer) = self.peers.get_mut(&id) else { return };
-        if peer.outbox.is_empty() && net.write(id, &bytes) {
-            return;
-        }
-        let Some(conn) = net.conn(id) else { return };
-        if bytes.len() > HELD || self.outbox + bytes.len() > OUTBOX {
-            conn.broken = true;
-            return self.again.push_back(id);
-        }
-        self.outbox += bytes.len();
-        peer.outbox.push_back(bytes);
-    }
-
-    fn error(&mut self, net: &mut Sockets, id: ConnId, code: &str, text: &str) {
-        self.put(net, id, answer(kind::ERROR, &[code.as_bytes(), text.as_bytes()]));
-    }
-
-    /// A peer has gone.
-    fn leave(&mut self, net: &mut Sockets, id: ConnId) {
-        net.close(id);
-        let Some(peer) = self.peers.remove(&id) else { return };
-        self.outbox -= peer.outbox.iter().map(Vec::len).sum::<usize>();
-        if let Some(worker) = peer.worker {
-            self.worker_left(worker);
-        }
-        for session in peer.waits {
-            self.stop_listening(session, id);
-        }
-    }
-
+    /// Carries out the core's commands, and serves connections, until nothing follows any more.
     fn carry_out(&mut self, net: &mut Sockets) {
         loop {
             if let Some(command) = self.core.next_command() {
                 match command {
-                    Command::Send { job: session, attempt, endpoint: server } => {
-                        self.offer(net, (session, attempt), server)
+                    Command::Send { job, attempt: number, endpoint } => {
+                        self.offer(net, AttemptId { job, number }, endpoint);
                     }
-                    Command::Cancel { job: session, attempt } => self.call_off((session, attempt)),
-                    Command::Answer { job: session, answer: verdict } => self.answer(net, session, verdict),
+                    Command::Cancel { job, attempt: number } => self.cancel(AttemptId { job, number }),
+                    Command::Answer { job, answer } => self.answer(net, job, &answer),
                     Command::Probe { .. } | Command::Subscribe => {}
                 }
-            } else if let Some(id) = self.again.pop_front() {
-                self.look(net, id);
+            } else if let Some(id) = self.to_serve.pop_front() {
+                self.serve(net, id);
             } else {
                 return;
             }
@@ -355,18 +227,18 @@
             identity.reread(now);
         }
         self.core.tick();
-        for conn in std::mem::take(&mut self.later) {
-            self.look(net, conn);
+        for conn in std::mem::take(&mut self.to_serve_next_tick) {
+            self.serve(net, conn);
         }
         self.carry_out(net);
         self.expire_workers(now);
         self.carry_out(net);
-        let over = |p: &Peer| [p.ends, p.sends].into_iter().flatten().any(|at| at <= now);
+        let over = |p: &Peer| [p.close_deadline, p.read_deadline].into_iter().flatten().any(|at| at <= now);
         let over = self.peers.iter().filter(|(_, p)| over(p)).map(|(&id, _)| id);
         for id in over.collect::<Vec<_>>() {
-            self.leave(net, id);
+            self.on_peer_left(net, id);
         }
-        if self.closes() {
+        if self.is_past_last_call() {
             self.core.reject_new_jobs();
         }
         self.carry_out(net);
@@ -375,45 +247,45 @@
     /// When `tick` is to be called next.
     pub fn next_deadline(&self) -> f64 {
         let now = self.core.clock().now();
-        if !self.later.is_empty() {
+        if !self.to_serve_next_tick.is_empty() {
             return now;
         }
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
-        let peers = self.peers.values().flat_map(|p| [p.ends, p.sends]).flatten();
-        let stop = self.stopping.map_or(f64::INFINITY, |leaving| leaving.last_call_ms.max(now + 20.0));
-        let workers = self.peers.values().filter_map(|p| p.worker.as_ref()).map(Worker::next);
+        let peers = self.peers.values().flat_map(|p| [p.close_deadline, p.read_deadline]).flatten();
+        let stop = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.last_call_ms.max(now + 20.0));
+        let workers = self.peers.values().filter_map(|p| p.worker.as_ref()).map(Worker::next_deadline);
         peers.chain(workers).fold(wake.min(stop), f64::min)
     }
 
     /// Begins to stop.
     pub fn stop(&mut self) {
-        self.stopping.get_or_insert_with(|| Shutdown::begin(&mut self.core));
+        self.shutdown.get_or_insert_with(|| Shutdown::begin(&mut self.core));
     }
 
     /// Whether it is past its last call.
-    fn closes(&self) -> bool {
-        self.stopping.is_some_and(|leaving| self.core.clock().now() >= leaving.last_call_ms)
+    fn is_past_last_call(&self) -> bool {
+        self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.last_call_ms)
     }
 
-    /// Whether all that was taken is answered, and written as far as peers read.
-    pub fn stopped(&mut self, net: &mut Sockets) -> bool {
+    /// Whether all jobs are answered, and the answers are written as far as the peers read.
+    pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
         let now = self.core.clock().now();
-        let Some(leaving) = self.stopping.as_mut().filter(|_| self.core.open_jobs() == 0) else {
+        let Some(shutdown) = self.shutdown.as_mut().filter(|_| self.core.open_jobs() == 0) else {
             return false;
         };
         let mut written = |(id, peer): (&ConnId, &Peer)| {
             net.conn(*id).is_none_or(|c| c.is_written() && peer.outbox.is_empty() || c.broken)
         };
-        leaving.is_over(now, || self.peers.iter().all(&mut written))
+        shutdown.is_over(now, || self.peers.iter().all(&mut written))
     }
 
-    /// The handle of a session's job.
-    fn handle(session: JobId) -> String {
-        format!("H:micabeam:{}", session.0)
+    /// The handle by which clients and workers name a job.
+    fn handle(job_id: JobId) -> String {
+        format!("H:micabeam:{}", job_id.0)
     }
 
-    /// The session of a handle.
-    fn session(handle: &[u8]) -> Option<JobId> {
+    /// The job that a handle names, if it is a valid handle.
+    fn job_of_handle(handle: &[u8]) -> Option<JobId> {
         std::str::from_utf8(handle).ok()?.strip_prefix("H:micabeam:")?.parse().ok().map(JobId)
     }
 }
--- a/src/frontend/streaming/config.rs
+++ b/src/frontend/streaming/config.rs
@@ -1,32 +1,32 @@
-//! The table `stream` of the operator's file.
+//! The table `stream` of the operator's file, checked, and what the frontend is set up by.
 
 use std::collections::BTreeSet;
-use std::net::SocketAddr;
 
-use serde::Deserialize;
 use thiserror::Error;
 
+pub use super::table::Table;
+use super::table::{ClassTable, DispatchTable, RepeatTable, ServerTable, StreamsTable};
 use crate::core::{ListedEndpoint, micros};
-use crate::flow::{Allowance, Bounds, Dispatch, LEAST, Pace};
+use crate::flow::{Allowance, Bounds, DispatchCondition, MIN_CHANNEL_BYTES, Pace};
 use crate::routing::{
     Capabilities, Class, Endpoint, EndpointId, EndpointStatus, Idempotency, ServiceRules, Settings,
 };
 use crate::settings::{ClientClass, Site};
 
-/// Most of a body's prefix that can be held: it must fit a connection's buffer with its head.
-pub const MOST_HELD_KB: f64 = 64.0;
-/// Shortest time between two calls of the module with different clocks, in milliseconds.
-const QUANTUM: f64 = 1.0;
+/// Longest prefix of a body that can be held, in KiB: it must fit into a connection's buffer with the request's head.
+pub const MAX_PREFIX_KB: f64 = 64.0;
+/// Shortest time between two calls of the decision module with different clocks, in milliseconds.
+const CLOCK_QUANTUM_MS: f64 = 1.0;
 
 /// What is wrong with the table.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
-    /// There is no class, or none of this name.
+    /// There is no class.
     #[error("stream: no [[stream.class]] is given")]
     NoClass,
-    /// Two classes, or two servers, of one name.
+    /// Two classes or two endpoints of one name.
     #[error("stream: `{0}` is named twice")]
-    Twice(String),
+    DuplicateName(String),
     /// A class's name cannot be the first part of a path.
     #[error("stream: class name `{0}` cannot stand in a path: letters, digits, `-`, `_` and `.` only")]
     ClassName(String),
@@ -35,14 +35,14 @@
     Servers,
     /// A figure that is out of its bounds.
     #[error("stream: `{name}` is {value}, and must be from {least} to {most}")]
-    OutOf {
+    OutOfBounds {
         /// Its key.
         name: String,
-        /// What it is.
+        /// Its value.
         value: f64,
-        /// Its least.
+        /// Its lower bound.
         least: f64,
-        /// Its most.
+        /// Its upper bound.
         most: f64,
     },
     /// The memory cannot hold what the bounds allow.
@@ -53,249 +53,30 @@
     Memory {
         /// Streams in all.
         streams: usize,
-        /// KiB that each may keep.
+        /// KiB that each may hold.
         kept_kb: f64,
-        /// MiB that this takes.
+        /// MiB that they need.
         needed_mb: f64,
-        /// MiB that there are.
+        /// MiB that the table gives.
         given_mb: f64,
     },
 }
 
-/// The table as it is written. All spans end in their unit.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Table {
-    /// Where clients connect.
-    pub listen: SocketAddr,
-    /// Client connections at most.
-    pub connections: usize,
-    /// The memory for bodies on their way, in MiB.
-    pub memory_mb: f64,
-    /// Bytes read of one stream before others have their turn, in KiB.
-    pub turn_kb: f64,
-    /// Pipes through which long bodies with a length go past the process, at most; each takes two descriptors. 0: none.
-    pub pipes: usize,
-    /// How long a client may take for a request's head.
-    pub head_s: f64,
-    /// How long a connection may stand idle.
-    pub idle_s: f64,
-    /// How long a backend server keeps an idle connection.
-    pub server_idle_s: f64,
-    /// How long a connection to a backend server may take to come up.
-    pub connect_s: f64,
-    /// How long streams may go on after SIGTERM.
-    pub stop_s: f64,
-    /// The header that names a request's tenant.
-    pub tenant_header: String,
-    /// Advice to those turned away.
-    pub retry_after_s: f64,
-    /// Dispatches for one request at most.
-    pub attempts: usize,
-    /// How many dispatchers there are, and the number of this one.
-    pub dispatchers: u32,
-    /// Number of this dispatcher, from 0.
-    pub number: u32,
-    /// Where discovery is.
-    pub discovery: Option<SocketAddr>,
-    /// The backend servers, where there is no discovery.
-    pub servers: Vec<ServerTable>,
-    /// Bounds on streams.
-    pub streams: StreamsTable,
-    /// What is asked of a server that has just started.
-    pub cold: ColdTable,
-    /// The classes.
-    pub class: Vec<ClassTable>,
-}
-
-impl Default for Table {
-    fn default() -> Table {
-        Table {
-            listen: SocketAddr::from(([127, 0, 0, 1], 8090)),
-            connections: 512,
-            memory_mb: 48.0,
-            turn_kb: 128.0,
-            pipes: 64,
-            head_s: 5.0,
-            idle_s: 60.0,
-            server_idle_s: 15.0,
-            connect_s: 1.0,
-            stop_s: 10.0,
-            tenant_header: "Req-Owner".into(),
-            retry_after_s: 2.0,
-            attempts: 3,
-            dispatchers: 1,
-            number: 0,
-            discovery: None,
-            servers: Vec::new(),
-            streams: StreamsTable::default(),
-            cold: ColdTable::default(),
-            class: Vec::new(),
-        }
-    }
-}
-
-/// A backend server of the file.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ServerTable {
-    /// Its name.
-    pub name: String,
-    /// Its address.
-    pub dial: SocketAddr,
-    /// Its size beside others.
-    #[serde(default = "one")]
-    pub share: f64,
-    /// It finishes what it has and gets nothing new.
-    #[serde(default)]
-    pub draining: bool,
-}
-
-fn one() -> f64 {
-    1.0
-}
-
-/// Bounds on streams.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct StreamsTable {
-    /// In all.
-    pub total: usize,
-    /// Of one tenant.
-    pub tenant: usize,
-    /// At one backend server.
-    pub server: usize,
-}
-
-impl Default for StreamsTable {
-    fn default() -> StreamsTable {
-        StreamsTable { total: 256, tenant: 256, server: 64 }
-    }
-}
-
-/// The figures of the rule on servers that have just started.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct ColdTable {
-    /// Part of its capacity that it has then.
-    pub from: f64,
-    /// When it has all.
-    pub warm_s: f64,
-    /// Multiple of its capacity that pushes it over.
-    pub multiple: f64,
-}
-
-impl Default for ColdTable {
-    fn default() -> ColdTable {
-        ColdTable { from: 0.14, warm_s: 22.0, multiple: 2.5 }
-    }
-}
-
-/// Whether a class may run twice.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum RepeatTable {
-    /// Any number of times.
-    Safe,
-    /// Never.
-    Never,
-}
-
-/// When a class's requests are dispatched.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum DispatchTable {
-    /// At the head.
-    Head,
-    /// Once a prefix is held.
-    Prefix,
-    /// As with a prefix, if the client kept the least pace.
-    Pace,
-}
-
-/// A class.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ClassTable {
-    /// Its name: the first part of the path.
-    pub name: String,
-    /// Whether it may run twice.
-    pub repeat: RepeatTable,
-    /// How long a request may wait for a backend server.
-    #[serde(default = "wait_s")]
-    pub wait_s: f64,
-    /// How long a request may take until its answer begins.
-    #[serde(default = "longest_s")]
-    pub longest_s: f64,
-    /// How long the answer may take to begin once all of the request is with its server.
-    #[serde(default = "answer_s")]
-    pub answer_s: f64,
-    /// Most of a body, each way, in MiB.
-    #[serde(default = "body_mb")]
-    pub body_mb: f64,
-    /// Bytes held each way, in KiB.
-    #[serde(default = "kb")]
-    pub window_kb: f64,
-    /// The prefix that is held, and can be sent again, in KiB.
-    #[serde(default = "kb")]
-    pub hold_kb: f64,
-    /// When its requests are dispatched.
-    #[serde(default = "dispatch")]
-    pub dispatch: DispatchTable,
-    /// Least pace of a peer that is waited for, in KiB a second.
-    #[serde(default = "least")]
-    pub least_kb_s: f64,
-    /// The time waited over which it is measured.
-    #[serde(default = "over_s")]
-    pub over_s: f64,
-    /// Longest wait without a byte.
-    #[serde(default = "silence_s")]
-    pub silence_s: f64,
-}
-
-fn wait_s() -> f64 {
-    2.0
-}
-fn longest_s() -> f64 {
-    3600.0
-}
-fn answer_s() -> f64 {
-    30.0
-}
-fn body_mb() -> f64 {
-    1024.0
-}
-fn kb() -> f64 {
-    64.0
-}
-fn dispatch() -> DispatchTable {
-    DispatchTable::Prefix
-}
-fn least() -> f64 {
-    8.0
-}
-fn over_s() -> f64 {
-    20.0
-}
-fn silence_s() -> f64 {
-    30.0
-}
-
 /// What a class's streams go by, times in milliseconds and sizes in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StreamClass {
     /// Windows and pace.
     pub allowance: Allowance,
     /// When its requests are dispatched.
-    pub dispatch: Dispatch,
-    /// The prefix.
-    pub hold: usize,
-    /// Most of a body.
-    pub body: u64,
-    /// Until the answer begins.
-    pub longest: f64,
-    /// Until the answer begins, once the request is with its server.
-    pub answer: f64,
+    pub dispatch: DispatchCondition,
+    /// Bytes of a body that can be held and sent again.
+    pub prefix_bytes: usize,
+    /// Longest body, each way.
+    pub max_body_bytes: u64,
+    /// How long a request may take until its answer begins.
+    pub answer_start_limit_ms: f64,
+    /// How long the answer may take to begin once all of the request is with its endpoint.
+    pub answer_timeout_ms: f64,
 }
 
 /// All that the table says, checked.
@@ -303,29 +84,89 @@
 pub struct Config {
     /// The table.
     pub table: Table,
-    /// What the module is told.
+    /// The settings of the core.
     pub site: Site,
-    /// The classes, in the module's order.
+    /// The classes, in the order of the core's.
     pub classes: Vec<StreamClass>,
     /// Bounds on streams.
     pub bounds: Bounds,
-    /// Bytes that all lanes may hold together.
-    pub pool: usize,
+    /// Bytes that all channels may hold together.
+    pub pool_bytes: usize,
     /// Bytes of a turn.
-    pub quantum: usize,
-    /// The backend servers of the file.
-    pub lines: Vec<ListedEndpoint>,
+    pub turn_bytes: usize,
+    /// The endpoints of the file.
+    pub endpoints: Vec<ListedEndpoint>,
+}
+
+/// Adds an error where a figure is out of its bounds.
+fn check_bound(errors: &mut Vec<ConfigError>, name: &str, value: f64, least: f64, most: f64) {
+    if !(least..=most).contains(&value) {
+        errors.push(ConfigError::OutOfBounds { name: name.into(), value, least, most });
+    }
+}
+
+impl ClassTable {
+    /// Checks the figures of the class.
+    fn check_bounds(&self, errors: &mut Vec<ConfigError>) {
+        let mut within = |name: &str, value, least, most| {
+            check_bound(errors, &format!("class.{}.{name}", self.name), value, least, most);
+        };
+        within("wait_s", self.wait_s, 0.001, 3600.0);
+        within("longest_s", self.longest_s, 0.001, 7.0 * 86_400.0);
+        within("answer_s", self.answer_s, 0.001, self.longest_s);
+        within("body_mb", self.body_mb, 0.001, 16.0 * 1024.0 * 1024.0);
+        within("window_kb", self.window_kb, MIN_CHANNEL_BYTES as f64 / 1024.0, 4096.0);
+        within("hold_kb", self.hold_kb, 0.0, MAX_PREFIX_KB.min(self.window_kb));
+        within("least_kb_s", self.least_kb_s, 0.0, 1e9);
+        within("over_s", self.over_s, 0.05, 3600.0);
+        within("silence_s", self.silence_s, 0.05, 3600.0);
+    }
 }
 
 impl Table {
     /// Checks the table. All that is wrong with it is told.
+    ///
+    /// # Errors
+    /// All that is wrong: where a figure is out of its bounds, a name is missing, given twice or not valid, or the memory
+    /// cannot hold what the bounds allow.
     pub fn check(self) -> Result<Config, Vec<ConfigError>> {
         let mut errors = Vec::new();
-        let mut within = |name: &str, value: f64, least: f64, most: f64| {
-            if !(least..=most).contains(&value) {
-                errors.push(ConfigError::OutOf { name: name.into(), value, least, most });
-            }
-        };
+        self.check_bounds(&mut errors);
+        for class in &self.class {
+            class.check_bounds(&mut errors);
+        }
+        self.check_names(&mut errors);
+        if self.servers.is_empty() == self.discovery.is_none() {
+            errors.push(ConfigError::Servers);
+        }
+        // Beside the pool each stream may read its least each way, and keep its prefix to send it again.
+        let prefix = self.class.iter().map(|c| c.hold_kb).fold(0.0, f64::max);
+        let kept_kb = prefix + 2.0 * MIN_CHANNEL_BYTES as f64 / 1024.0;
+        let needed_mb = kept_kb * self.streams.total as f64 / 1024.0;
+        if needed_mb + 1.0 > self.memory_mb {
+            let (streams, given_mb) = (self.streams.total, self.memory_mb);
+            errors.push(ConfigError::Memory { streams, kept_kb, needed_mb: needed_mb + 1.0, given_mb });
+        }
+        if !errors.is_empty() {
+            return Err(errors);
+        }
+        let pool = ((self.memory_mb - needed_mb) * 1024.0 * 1024.0) as usize;
+        let StreamsTable { total, tenant, server } = self.streams;
+        Ok(Config {
+            site: self.site(),
+            classes: self.class.iter().map(ClassTable::stream).collect(),
+            bounds: Bounds { total, tenant, endpoint: server },
+            pool_bytes: pool,
+            turn_bytes: (self.turn_kb * 1024.0) as usize,
+            endpoints: self.servers.iter().map(ServerTable::line).collect(),
+            table: self,
+        })
+    }
+
+    /// Checks the figures outside the classes.
+    fn check_bounds(&self, errors: &mut Vec<ConfigError>) {
+        let mut within =
+            |name: &str, value: f64, least: f64, most: f64| check_bound(errors, name, value, least, most);
         within("connections", self.connections as f64, 1.0, 65_536.0);
         within("memory_mb", self.memory_mb, 1.0, 65_536.0);
         within("pipes", self.pipes as f64, 0.0, 16_384.0);
@@ -346,20 +187,10 @@
         within("cold.from", self.cold.from, 0.01, 1.0);
         within("cold.warm_s", self.cold.warm_s, 0.0, 3600.0);
         within("cold.multiple", self.cold.multiple, 1.0, 100.0);
-        for class in &self.class {
-            let mut within = |name: &str, value, least, most| {
-                within(&format!("class.{}.{name}", class.name), value, least, most)
-            };
-            within("wait_s", class.wait_s, 0.001, 3600.0);
-            within("longest_s", class.longest_s, 0.001, 7.0 * 86_400.0);
-            within("answer_s", class.answer_s, 0.001, class.longest_s);
-            within("body_mb", class.body_mb, 0.001, 16.0 * 1024.0 * 1024.0);
-            within("window_kb", class.window_kb, LEAST as f64 / 1024.0, 4096.0);
-            within("hold_kb", class.hold_kb, 0.0, MOST_HELD_KB.min(class.window_kb));
-            within("least_kb_s", class.least_kb_s, 0.0, 1e9);
-            within("over_s", class.over_s, 0.05, 3600.0);
-            within("silence_s", class.silence_s, 0.05, 3600.0);
-        }
+    }
+
+    /// Checks that the names of classes and endpoints are there, valid, and given once.
+    fn check_names(&self, errors: &mut Vec<ConfigError>) {
         if self.class.is_empty() {
             errors.push(ConfigError::NoClass);
         }
@@ -370,41 +201,15 @@
                 errors.push(ConfigError::ClassName(class.name.clone()));
             }
             if !names.insert(class.name.as_str()) {
-                errors.push(ConfigError::Twice(class.name.clone()));
+                errors.push(ConfigError::DuplicateName(class.name.clone()));
             }
         }
         let mut names = BTreeSet::new();
         for server in &self.servers {
             if !names.insert(server.name.as_str()) {
-                errors.push(ConfigError::Twice(server.name.clone()));
+                errors.push(ConfigError::DuplicateName(server.name.clone()));
             }
         }
-        if self.servers.is_empty() == self.discovery.is_none() {
-            errors.push(ConfigError::Servers);
-        }
-        // Beside the pool each stream may read its least each way, and keep its prefix to send it again.
-        let prefix = self.class.iter().map(|c| c.hold_kb).fold(0.0, f64::max);
-        let kept_kb = prefix + 2.0 * LEAST as f64 / 1024.0;
-        let needed_mb = kept_kb * self.streams.total as f64 / 1024.0;
-        if needed_mb + 1.0 > self.memory_mb {
-            let (streams, given_mb) = (self.streams.total, self.memory_mb);
-            errors.push(ConfigError::Memory { streams, kept_kb, needed_mb: needed_mb + 1.0, given_mb });
-        }
-        if !errors.is_empty() {
-            return Err(errors);
-        }
-        let pool = ((self.memory_mb - needed_mb) * 1024.0 * 1024.0) as usize;
-        let Bounds { total, tenant, server } =
-            Bounds { total: self.streams.total, tenant: self.streams.tenant, server: self.streams.server };
-        Ok(Config {
-            site: self.site(),
-            classes: self.class.iter().map(ClassTable::stream).collect(),
-            bounds: Bounds { total, tenant, server },
-            pool,
-            quantum: (self.turn_kb * 1024.0) as usize,
-            lines: self.servers.iter().map(ServerTable::line).collect(),
-            table: self,
-        })
     }
 
     fn site(&self) -> Site {
@@ -425,11 +230,11 @@
             number: self.number,
             dispatchers: self.dispatchers,
             zone: 0,
-            quantum: micros(QUANTUM),
+            quantum: micros(CLOCK_QUANTUM_MS),
             classes: self.class.iter().map(class).collect(),
             live_sizes: false,
             must_subscribe: self.discovery.is_some(),
-            // A probe is answered by the front itself, out of its own count of streams.
+            // A probe is answered by the frontend itself, out of its own count of streams.
             capabilities: Capabilities {
                 max_attempts: self.attempts,
                 may_cancel: true,
@@ -458,19 +263,22 @@
 impl ClassTable {
     fn stream(&self) -> StreamClass {
         let kb = |kb: f64| (kb * 1024.0) as usize;
-        let pace =
-            Pace { least: self.least_kb_s * 1024.0, over: self.over_s * 1e3, silence: self.silence_s * 1e3 };
+        let pace = Pace {
+            min_bytes_per_s: self.least_kb_s * 1024.0,
+            window_ms: self.over_s * 1e3,
+            max_silence_ms: self.silence_s * 1e3,
+        };
         StreamClass {
             allowance: Allowance { window: kb(self.window_kb), pace },
             dispatch: match self.dispatch {
-                DispatchTable::Head => Dispatch::Head,
-                DispatchTable::Prefix => Dispatch::Prefix,
-                DispatchTable::Pace => Dispatch::Pace,
+                DispatchTable::Head => DispatchCondition::Head,
+                DispatchTable::Prefix => DispatchCondition::Prefix,
+                DispatchTable::Pace => DispatchCondition::Pace,
             },
-            hold: kb(self.hold_kb),
-            body: (self.body_mb * 1024.0 * 1024.0) as u64,
-            longest: self.longest_s * 1e3,
-            answer: self.answer_s * 1e3,
+            prefix_bytes: kb(self.hold_kb),
+            max_body_bytes: (self.body_mb * 1024.0 * 1024.0) as u64,
+            answer_start_limit_ms: self.longest_s * 1e3,
+            answer_timeout_ms: self.answer_s * 1e3,
         }
     }
 }
--- a/src/frontend/streaming/counters.rs
+++ b/src/frontend/streaming/counters.rs
@@ -1,43 +1,43 @@
-//! What this front counts beside its core: why streams ended otherwise than whole.
+//! What this frontend counts beside its core: why streams ended without a complete answer.
 
 use std::fmt;
 
-use crate::flow::{GiveUp, Side, Verdict, Way};
+use crate::flow::{Direction, GiveUp, PaceFailure, Side};
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
-    /// Streams whose answer went out whole.
-    pub whole: u64,
-    /// Streams whose answer had begun, and was cut so that the client sees it.
+    /// Streams whose answer was written completely.
+    pub completed: u64,
+    /// Streams whose answer had begun, and was broken off so that the client sees it.
     pub cut: u64,
-    /// Requests refused before they were taken: they do not read, or are too large or of no class.
-    pub unread: u64,
-    /// Requests turned away by a bound on streams.
-    pub full: u64,
-    /// Clients given up as too slow, and as silent.
+    /// Requests rejected before their body was read: they do not read, or are too large or of no class.
+    pub rejected_unread: u64,
+    /// Requests rejected by a bound on streams or connections.
+    pub rejected_full: u64,
+    /// Clients given up as too slow.
     pub slow_clients: u64,
-    /// As silent.
+    /// Clients given up as silent.
     pub silent_clients: u64,
-    /// Backend servers given up as too slow, and as silent.
+    /// Endpoints given up as too slow.
     pub slow_servers: u64,
-    /// As silent.
+    /// Endpoints given up as silent.
     pub silent_servers: u64,
-    /// Bytes of bodies that sinks took, up and down.
+    /// Bytes of requests' bodies that endpoints took.
     pub up: u64,
-    /// Down.
+    /// Bytes of answers' bodies that clients took.
     pub down: u64,
 }
 
 impl Counters {
     /// Counts a peer that was given up.
-    pub fn give_up(&mut self, given: &GiveUp) {
-        let client = (given.way == Way::Up) == (given.side == Side::Source);
-        let count = match (client, given.verdict) {
-            (true, Verdict::Slow) => &mut self.slow_clients,
-            (true, Verdict::Silent) => &mut self.silent_clients,
-            (false, Verdict::Slow) => &mut self.slow_servers,
-            (false, Verdict::Silent) => &mut self.silent_servers,
+    pub fn count_given_up(&mut self, given: &GiveUp) {
+        let is_client = (given.direction == Direction::Up) == (given.side == Side::Source);
+        let count = match (is_client, given.failure) {
+            (true, PaceFailure::Slow) => &mut self.slow_clients,
+            (true, PaceFailure::Silent) => &mut self.silent_clients,
+            (false, PaceFailure::Slow) => &mut self.slow_servers,
+            (false, PaceFailure::Silent) => &mut self.silent_servers,
         };
         *count += 1;
     }
@@ -46,10 +46,10 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let rows = [
-            ("whole", self.whole),
+            ("whole", self.completed),
             ("cut", self.cut),
-            ("unread", self.unread),
-            ("full", self.full),
+            ("unread", self.rejected_unread),
+            ("full", self.rejected_full),
             ("slow_clients", self.slow_clients),
             ("silent_clients", self.silent_clients),
             ("slow_servers", self.slow_servers),
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -11,15 +11,15 @@
 
 use super::ring::Ring;
 
-/// Most bytes of a connection held in a direction: a body of 64 KiB with its head.
-pub const HELD: usize = 96 * 1024;
+/// Most bytes of a connection that are buffered in a direction: a body of 64 KiB with its head.
+pub const MAX_BUFFERED_BYTES: usize = 96 * 1024;
 
 /// One connection.
 pub struct Conn {
     pub(super) stream: Rc<TcpStream>,
     pub(super) token: Option<RegistrationToken>,
     pub(super) tls: Option<Box<ServerConnection>>,
-    /// Bytes that have come.
+    /// Bytes that were read and not handled yet.
     pub rx: Ring,
     /// Bytes to be written.
     pub tx: Ring,
@@ -29,19 +29,23 @@
     pub eof: bool,
     /// It is broken.
     pub broken: bool,
-    /// The peer takes nothing any more; what it has said can still be read.
-    pub mute: bool,
+    /// The peer takes nothing any more; what it has sent can still be read.
+    pub takes_nothing: bool,
+    /// It is closed by a reset, so that the peer does not take it for an end.
     aborts: bool,
     /// It is to be closed once all is written.
     pub closing: bool,
     /// The peer has asked that the next answer be the last.
-    pub last: bool,
+    pub closes_after_answer: bool,
     /// Bytes that the socket has taken since it was opened, of TLS those of its records.
     pub sent: u64,
 }
 
 impl Conn {
     /// A connection that was accepted.
+    ///
+    /// # Errors
+    /// Where the socket's options cannot be set.
     pub fn accepted(stream: TcpStream) -> io::Result<Conn> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -49,6 +53,9 @@
     }
 
     /// Starts to open a connection. An error at once proves that nothing was sent.
+    ///
+    /// # Errors
+    /// Where the connection fails at once: nothing was sent.
     pub fn open(address: SocketAddr) -> io::Result<Conn> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
@@ -67,20 +74,20 @@
             stream: Rc::new(stream),
             token: None,
             tls: None,
-            rx: Ring::new(HELD),
-            tx: Ring::new(HELD),
+            rx: Ring::new(MAX_BUFFERED_BYTES),
+            tx: Ring::new(MAX_BUFFERED_BYTES),
             connecting,
             eof: false,
             broken: false,
-            mute: false,
+            takes_nothing: false,
             aborts: false,
             closing: false,
-            last: false,
+            closes_after_answer: false,
             sent: 0,
         }
     }
 
-    /// Looks whether it has come up. True once it can be read and written.
+    /// Checks whether it has come up. True once it can be read and written.
     pub fn come_up(&mut self) -> bool {
         if self.connecting {
             match self.stream.take_error() {
@@ -92,8 +99,8 @@
         !(self.connecting || self.broken)
     }
 
-    /// Reads so many bytes at most, for a reader that is to take turns with others. True if more may be there: it
-    /// was not read up to the end, nor until it would have to wait. Not for TLS.
+    /// Reads `most` bytes at most, for a reader that takes turns with others. True if more may be there: it was not read up
+    /// to the end, nor until it would block. Not for TLS.
     pub fn read_some(&mut self, most: usize) -> bool {
         let mut left = most.min(self.rx.room());
         while left > 0 && !self.eof && !self.broken {
@@ -113,15 +120,15 @@
         !(self.eof || self.broken)
     }
 
-    /// Writes bytes past the buffer, which must be empty, and tells how many the socket took. Not for TLS.
+    /// Writes bytes without the buffer, which must be empty. Returns how many the socket took. Not for TLS.
     pub fn write_some(&mut self, bytes: &[u8]) -> usize {
         let mut taken = 0;
-        while taken < bytes.len() && !(self.broken || self.mute) {
+        while taken < bytes.len() && !(self.broken || self.takes_nothing) {
             match (&*self.stream).write(&bytes[taken..]) {
                 Ok(n) if n > 0 => taken += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                _ => self.mute = true,
+                _ => self.takes_nothing = true,
             }
         }
         self.sent += taken as u64;
@@ -130,8 +137,8 @@
 
     /// Writes what is queued as far as the socket takes it.
     pub fn write_queued(&mut self) {
-        if !(self.broken || self.mute || self.connecting) && self.flush().is_err() {
-            self.mute = true;
+        if !(self.broken || self.takes_nothing || self.connecting) && self.flush().is_err() {
+            self.takes_nothing = true;
         }
     }
 
@@ -141,7 +148,7 @@
         self.broken
     }
 
-    /// Has the peer see a break and not an end, for a message whose end only the connection's end would tell.
+    /// Has the peer see a reset and not an end, for a message that only the connection's end delimits.
     pub fn break_off(&mut self) {
         self.aborts = true;
         let _ = socket2::SockRef::from(&*self.stream).set_linger(Some(std::time::Duration::ZERO));
@@ -155,7 +162,7 @@
         // With TLS what is read may call for something to be written, as in the handshake.
         let done = self.flush().and_then(|()| self.fill()).and_then(|()| self.flush());
         if done.is_err() {
-            // The peer is told why, where TLS has something to say.
+            // Writes the alert of TLS, if there is one.
             let _ = self.flush();
             self.broken = true;
         }
@@ -231,10 +238,14 @@
         Ok(())
     }
 
-    /// Whether it stands idle and whole: a look at the socket shows neither an end nor stray bytes.
+    /// Whether it is idle and usable: the socket shows neither an end nor stray bytes.
     pub fn is_fresh(&self) -> bool {
-        let quiet = matches!(self.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
-        quiet && !(self.connecting || self.eof || self.broken) && self.rx.is_empty() && self.tx.is_empty()
+        let has_nothing_to_read =
+            matches!(self.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
+        has_nothing_to_read
+            && !(self.connecting || self.eof || self.broken)
+            && self.rx.is_empty()
+            && self.tx.is_empty()
     }
 
     /// Ends this side; the peer can still be read.
@@ -246,7 +257,7 @@
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Ends it. Bytes that are written already still go out.
+    /// Ends it. Bytes that are written already still go out, unless `break_off` was called.
     pub fn shut(&self) {
         // An orderly end would come before the break.
         if !self.aborts {
@@ -260,7 +271,7 @@
     loop {
         match tls.reader().read(into) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            // A peer that ends without saying so in TLS has ended all the same.
+            // A peer that ends without a TLS close_notify has ended all the same.
             Err(e) if e.kind() == ErrorKind::UnexpectedEof => return Ok(0),
             read => return read,
         }
--- a/src/net/head.rs
+++ b/src/net/head.rs
@@ -3,10 +3,13 @@
 
 use super::Ring;
 use super::body::Framing;
-use super::http::{Bad, HEADERS, Headers, closes, head, owned, reason, value};
+use super::http::{
+    Headers, MAX_HEADERS, MessageError, ParsedRequest, closes, head, header_value, owned, parse_request,
+    reason,
+};
 
-/// Headers of one hop, which are never passed on. `Expect` is passed on, as the server may answer it.
-const HOP: [&str; 9] = [
+/// Headers of one hop, which are never passed on. `Expect` is passed on, as the endpoint may answer it.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -32,7 +35,7 @@
     /// The client wants no further message on the connection.
     pub close: bool,
     /// It is of HTTP/1.0: no chunks and no interim answers are understood.
-    pub old: bool,
+    pub is_http_1_0: bool,
 }
 
 /// An answer's head.
@@ -52,39 +55,41 @@
     headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
-/// Takes a request's head off the buffer, if it is whole.
+/// Takes a request's head off the buffer, if it is complete.
 ///
-/// Refused, since two readers could see different messages in it: a length beside a transfer coding, two lengths, one
-/// that is no plain number, a coding other than `chunked`, a coding in HTTP/1.0, no or two `Host`s.
-pub fn request(ring: &mut Ring) -> Result<Option<RequestHead>, Bad> {
-    let mut lines = [httparse::EMPTY_HEADER; HEADERS];
-    let mut parsed = httparse::Request::new(&mut lines);
-    let bytes = ring.bytes();
-    let Some(length) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
-    let headers = owned(parsed.headers)?;
-    let old = parsed.version == Some(0);
-    let target = parsed.path.unwrap_or("").to_string();
+/// Rejected, since two readers could see different messages in it: a length beside a transfer coding, two lengths, one that
+/// is no plain number, a coding other than `chunked`, a coding in HTTP/1.0, no or two `Host`s.
+///
+/// # Errors
+/// Where the bytes cannot become a valid head.
+pub fn read_request(ring: &mut Ring) -> Result<Option<RequestHead>, MessageError> {
+    let Some(parsed) = parse_request(ring.bytes())? else { return Ok(None) };
+    let ParsedRequest { length, method, target, headers, version } = parsed;
+    let is_http_1_0 = version == Some(0);
     if !(target.starts_with('/') || target == "*") {
-        return Err(Bad::Malformed);
+        return Err(MessageError::Malformed);
     }
-    if values(&headers, "host").count() != 1 && !(old && value(&headers, "host").is_none()) {
-        return Err(Bad::Malformed);
+    if values(&headers, "host").count() != 1 && !(is_http_1_0 && header_value(&headers, "host").is_none()) {
+        return Err(MessageError::Malformed);
     }
     let read = RequestHead {
-        method: parsed.method.unwrap_or("").to_string(),
+        method,
         target,
-        framing: framing(&headers, old)?.unwrap_or(Framing::Empty),
-        close: closes(&headers, parsed.version),
+        framing: framing(&headers, is_http_1_0)?.unwrap_or(Framing::Empty),
+        close: closes(&headers, version),
         headers,
-        old,
+        is_http_1_0,
     };
     ring.consume(length);
     Ok(Some(read))
 }
 
-/// Takes an answer's head off the buffer, if it is whole; `to_head` tells that it answers a HEAD.
-pub fn answer(ring: &mut Ring, to_head: bool) -> Result<Option<AnswerHead>, Bad> {
-    let mut lines = [httparse::EMPTY_HEADER; HEADERS];
+/// Takes an answer's head off the buffer, if it is complete; `to_head` tells that it answers a HEAD.
+///
+/// # Errors
+/// Where the bytes cannot become a valid head.
+pub fn read_answer(ring: &mut Ring, to_head: bool) -> Result<Option<AnswerHead>, MessageError> {
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
     let bytes = ring.bytes();
     let Some(length) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
@@ -100,24 +105,28 @@
     Ok(Some(AnswerHead { status, headers, framing, close }))
 }
 
-fn framing(headers: &Headers, old: bool) -> Result<Option<Framing>, Bad> {
+fn framing(headers: &Headers, is_http_1_0: bool) -> Result<Option<Framing>, MessageError> {
     let mut codings = values(headers, "transfer-encoding");
     let mut lengths = values(headers, "content-length");
     match (codings.next(), lengths.next()) {
         (None, None) => Ok(None),
-        (Some(coding), None) if codings.next().is_none() && !old => {
+        (Some(coding), None) if codings.next().is_none() && !is_http_1_0 => {
             if coding.eq_ignore_ascii_case("chunked") {
                 Ok(Some(Framing::Chunked))
             } else {
-                Err(Bad::Unsupported)
+                Err(MessageError::Unsupported)
             }
         }
         (None, Some(length)) if lengths.next().is_none() => {
             let plain = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
-            let length = if plain { length.parse().map_err(|_| Bad::TooLarge) } else { Err(Bad::Malformed) };
+            let length = if plain {
+                length.parse().map_err(|_| MessageError::TooLarge)
+            } else {
+                Err(MessageError::Malformed)
+            };
             Ok(Some(Framing::Length(length?)))
         }
-        _ => Err(Bad::Malformed),
+        _ => Err(MessageError::Malformed),
     }
 }
 
@@ -129,7 +138,7 @@
         .collect();
     headers.iter().filter(move |(name, _)| {
         let name = name.to_ascii_lowercase();
-        !HOP.contains(&name.as_str()) && !named.contains(&name)
+        !HOP_BY_HOP_HEADERS.contains(&name.as_str()) && !named.contains(&name)
     })
 }
 
@@ -141,12 +150,17 @@
     out
 }
 
-/// Writes an answer's head for the client. `length` is told where no body follows but one is spoken of: to HEAD.
-pub fn write_answer(answer: &AnswerHead, framing: Framing, spoken_of: Option<u64>, close: bool) -> Vec<u8> {
+/// Writes an answer's head for the client. `stated_length` is given where no body follows but its length is stated: to HEAD.
+pub fn write_answer(
+    answer: &AnswerHead,
+    framing: Framing,
+    stated_length: Option<u64>,
+    close: bool,
+) -> Vec<u8> {
     let words = reason(answer.status);
     let mut out = format!("HTTP/1.1 {} {words}\r\n", answer.status).into_bytes();
     put(&mut out, onward(&answer.headers), framing);
-    if let Some(length) = spoken_of {
+    if let Some(length) = stated_length {
         out.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes());
     } else if framing == Framing::Empty && !(answer.status < 200 || matches!(answer.status, 204 | 304)) {
         out.extend_from_slice(b"Content-Length: 0\r\n");
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,34 +1,40 @@
-//! HTTP/1.1 messages on top of httparse: whole requests and answers out of a ring buffer.
+//! Complete HTTP/1.1 messages on top of httparse: read out of a ring buffer, and written.
+
+use thiserror::Error;
 
 use super::Ring;
 use super::body::{BodyError, Decoder, Framing};
 
-/// Longest head that is read.
-pub const HEAD: usize = 16 * 1024;
-/// Longest body that is read.
-pub const BODY: usize = 64 * 1024;
-pub(super) const HEADERS: usize = 64;
+/// Longest head that is read, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Longest body that is read, in bytes: a job of 64 KiB.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Most headers of a message.
+pub(super) const MAX_HEADERS: usize = 64;
 
 /// Headers by name and value.
 pub type Headers = Vec<(String, String)>;
 
 /// A header's value.
-pub fn value<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
+pub fn header_value<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
-/// Why a message cannot be read, as the status that says so.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
-    /// Malformed: 400.
+/// Why a message cannot be read; each has a status of its own.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum MessageError {
+    /// Status 400.
+    #[error("the message is malformed")]
     Malformed,
-    /// Too large: 413.
+    /// Status 413.
+    #[error("the message is too large")]
     TooLarge,
-    /// A form of body that is not offered: 501.
+    /// Status 501.
+    #[error("this framing of a body is not offered")]
     Unsupported,
 }
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// A request's method.
@@ -48,23 +54,20 @@
 impl Message {
     /// A header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
-        value(&self.headers, name)
+        header_value(&self.headers, name)
     }
 }
 
-/// Takes a whole request off the buffer, if there is one.
-pub fn request(ring: &mut Ring) -> Result<Option<Message>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
-    let mut parsed = httparse::Request::new(&mut headers);
+/// Takes a complete request off the buffer. None while more bytes are to come.
+///
+/// # Errors
+/// Where the bytes cannot become a valid request.
+pub fn read_request(ring: &mut Ring) -> Result<Option<Message>, MessageError> {
     let bytes = ring.bytes();
-    let Some(head) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
-    let mut message = Message {
-        method: parsed.method.unwrap_or("").to_string(),
-        target: parsed.path.unwrap_or("").to_string(),
-        headers: owned(parsed.headers)?,
-        ..Message::default()
-    };
-    message.close = closes(&message.headers, parsed.version);
+    let Some(parsed) = parse_request(bytes)? else { return Ok(None) };
+    let ParsedRequest { length: head, method, target, headers, version } = parsed;
+    let close = closes(&headers, version);
+    let mut message = Message { method, target, headers, close, ..Message::default() };
     if chunked(&message)? {
         let Some((body, length)) = dechunk(&bytes[head..])? else { return Ok(None) };
         message.body = body;
@@ -82,29 +85,30 @@
 
 /// Whether a request's body comes in chunks. Only `chunked` alone is offered; beside a length it could make two
 /// readers see different messages in the same bytes.
-fn chunked(message: &Message) -> Result<bool, Bad> {
+fn chunked(message: &Message) -> Result<bool, MessageError> {
     let Some(coding) = message.header("transfer-encoding") else { return Ok(false) };
     if message.header("content-length").is_some() {
-        return Err(Bad::Malformed);
+        return Err(MessageError::Malformed);
     }
     if !coding.trim().eq_ignore_ascii_case("chunked") {
-        return Err(Bad::Unsupported);
+        return Err(MessageError::Unsupported);
     }
     Ok(true)
 }
 
-/// A chunked body's payload and the bytes that it took on the wire, once it is whole.
-fn dechunk(mut bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Bad> {
-    let mut decoder = Decoder::new(Framing::Chunked, BODY as u64).map_err(|_| Bad::TooLarge)?;
+/// The payload of a chunked body and the bytes that it took on the wire, once it is complete.
+fn dechunk(mut bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, MessageError> {
+    let mut decoder =
+        Decoder::new(Framing::Chunked, MAX_BODY_BYTES as u64).map_err(|_| MessageError::TooLarge)?;
     let (mut body, mut taken) = (Vec::new(), 0);
     loop {
         let step = decoder.step(bytes).map_err(|e| match e {
-            BodyError::TooLong => Bad::TooLarge,
-            _ => Bad::Malformed,
+            BodyError::TooLong => MessageError::TooLarge,
+            _ => MessageError::Malformed,
         })?;
         let payload = &bytes[step.skip..step.skip + step.payload];
         body.extend_from_slice(payload);
-        decoder.took(payload.len());
+        decoder.consume_payload(payload.len());
         (bytes, taken) = (&bytes[step.skip + step.payload..], taken + step.skip + step.payload);
         if decoder.is_done() {
             return Ok(Some((body, taken)));
@@ -115,10 +119,13 @@
     }
 }
 
-/// Takes a whole answer off the buffer, if there is one; `ended` tells that no more will come.
-pub fn response(ring: &mut Ring, ended: bool) -> Result<Option<Message>, Bad> {
+/// Takes a complete answer off the buffer. None while more bytes are to come; `ended` tells that none will.
+///
+/// # Errors
+/// Where the bytes cannot become a valid answer, or it is cut short by the end.
+pub fn read_response(ring: &mut Ring, ended: bool) -> Result<Option<Message>, MessageError> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
         let bytes = ring.bytes();
         let Some(head) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
@@ -145,54 +152,81 @@
     }
 }
 
-/// The length of a head that was parsed out of so many bytes, if it is whole.
-pub(super) fn head(parsed: httparse::Result<usize>, bytes: usize) -> Result<Option<usize>, Bad> {
+/// A request's head as it was parsed.
+pub(super) struct ParsedRequest {
+    /// Bytes of the head.
+    pub length: usize,
+    pub method: String,
+    pub target: String,
+    pub headers: Headers,
+    /// The minor version of HTTP/1.
+    pub version: Option<u8>,
+}
+
+/// Parses the head of a request, if it is complete.
+pub(super) fn parse_request(bytes: &[u8]) -> Result<Option<ParsedRequest>, MessageError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut headers);
+    let Some(length) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
+    Ok(Some(ParsedRequest {
+        length,
+        method: parsed.method.unwrap_or("").to_string(),
+        target: parsed.path.unwrap_or("").to_string(),
+        headers: owned(parsed.headers)?,
+        version: parsed.version,
+    }))
+}
+
+/// The length of a head that was parsed out of `bytes` bytes, if it is complete.
+pub(super) fn head(parsed: httparse::Result<usize>, bytes: usize) -> Result<Option<usize>, MessageError> {
     match parsed {
-        Ok(httparse::Status::Complete(head)) if head <= HEAD => Ok(Some(head)),
-        Ok(httparse::Status::Partial) if bytes <= HEAD => Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Bad::TooLarge),
-        Err(_) => Err(Bad::Malformed),
+        Ok(httparse::Status::Complete(head)) if head <= MAX_HEAD_BYTES => Ok(Some(head)),
+        Ok(httparse::Status::Partial) if bytes <= MAX_HEAD_BYTES => Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(MessageError::TooLarge),
+        Err(_) => Err(MessageError::Malformed),
     }
 }
 
-pub(super) fn owned(headers: &[httparse::Header<'_>]) -> Result<Vec<(String, String)>, Bad> {
+/// Headers as text, without the blanks around their values.
+pub(super) fn owned(headers: &[httparse::Header<'_>]) -> Result<Vec<(String, String)>, MessageError> {
     let one = |h: &httparse::Header<'_>| {
-        let value = std::str::from_utf8(h.value).map_err(|_| Bad::Malformed)?;
+        let value = std::str::from_utf8(h.value).map_err(|_| MessageError::Malformed)?;
         Ok((h.name.to_string(), value.trim().to_string()))
     };
     headers.iter().map(one).collect()
 }
 
+/// Whether the connection ends after a message.
 pub(super) fn closes(headers: &Headers, version: Option<u8>) -> bool {
-    let connection = value(headers, "connection").unwrap_or("").to_ascii_lowercase();
+    let connection = header_value(headers, "connection").unwrap_or("").to_ascii_lowercase();
     connection.contains("close") || version == Some(0) && !connection.contains("keep-alive")
 }
 
 /// The length of the body. Two lengths, or one that is no plain number, could make two readers see different
 /// messages in the same bytes.
-fn length(message: &Message) -> Result<Option<usize>, Bad> {
+fn length(message: &Message) -> Result<Option<usize>, MessageError> {
     if message.header("transfer-encoding").is_some() {
-        // Of answers, which come from backend servers: chunks are not read there.
-        return Err(Bad::Unsupported);
+        // Of answers, which come from endpoints: chunks are not read there.
+        return Err(MessageError::Unsupported);
     }
     let mut lengths = message.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("content-length"));
     let Some((_, value)) = lengths.next() else { return Ok(None) };
     if lengths.next().is_some() || value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(Bad::Malformed);
+        return Err(MessageError::Malformed);
     }
     match value.parse::<usize>() {
-        Ok(length) if length <= BODY => Ok(Some(length)),
-        _ => Err(Bad::TooLarge),
+        Ok(length) if length <= MAX_BODY_BYTES => Ok(Some(length)),
+        _ => Err(MessageError::TooLarge),
     }
 }
 
-/// The words that go with a status; they tell nothing to a program.
+/// The reason phrase of a status, for people alone.
 pub(super) fn reason(status: u16) -> &'static str {
     ::http::StatusCode::from_u16(status).ok().and_then(|status| status.canonical_reason()).unwrap_or("")
 }
 
 /// Writes an answer.
-pub fn answer(status: u16, headers: &[(&str, String)], body: &[u8], close: bool) -> Vec<u8> {
+pub fn write_response(status: u16, headers: &[(&str, String)], body: &[u8], close: bool) -> Vec<u8> {
     let reason = reason(status);
     let mut out = format!("HTTP/1.1 {status} {reason}\r\n").into_bytes();
     finish(&mut out, headers, (status != 204).then_some(body), close);
@@ -200,7 +234,7 @@
 }
 
 /// Writes a request.
-pub fn ask(method: &str, target: &str, headers: &[(&str, String)], body: Option<&[u8]>) -> Vec<u8> {
+pub fn write_request(method: &str, target: &str, headers: &[(&str, String)], body: Option<&[u8]>) -> Vec<u8> {
     let mut out = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
     finish(&mut out, headers, body, false);
     out
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,12 @@
-//! Sockets: connections with their buffers, listeners, the pool, the descriptor budget. No protocol.
+//! Sockets: connections with their buffers, listeners, the pool of idle connections, the budget of descriptors; and the
+//! reading and writing of HTTP/1.1 messages.
+//!
+//! Owns the sockets, their registration in the event loop, and the framing of HTTP; what a message means and what follows
+//! from it is the frontends'. A caller gets events through `Handler`, must read and write a connection until it would block
+//! (events are edge-triggered), and must close what it does not need any more.
+//!
+//! HTTP is read in two ways: `http` takes complete messages with bounded bodies, `head` takes heads alone, whose bodies
+//! `body` then reads as they come.
 
 pub mod body;
 mod budget;
@@ -19,30 +27,30 @@
 use socket2::{Domain, Socket, Type};
 
 pub use budget::Budget;
-pub use conn::{Conn, HELD};
+pub use conn::{Conn, MAX_BUFFERED_BYTES};
 pub use pool::Pool;
 pub use ring::Ring;
-pub use splice::{PIPED, Pipe, Pipes};
+pub use splice::{PIPE_CAPACITY_BYTES, Pipe, Pipes};
 
-/// Connections that may wait in a listener's backlog.
-const BACKLOG: i32 = 1024;
+/// Connections that may wait to be accepted at a listener.
+const MAX_WAITING_CONNECTIONS: i32 = 1024;
 
 /// A connection's id, never used again.
 pub type ConnId = u64;
 
-/// What takes in what happens on sockets.
+/// What handles the events of sockets.
 pub trait Handler: Sized + 'static {
-    /// A connection can be read or written, came up or broke.
-    fn ready(&mut self, conn: ConnId);
+    /// A connection can be read or written, has come up or has broken.
+    fn on_ready(&mut self, conn: ConnId);
     /// A listener has connections to accept.
-    fn waiting(&mut self, listener: usize);
+    fn on_connections_waiting(&mut self, listener: usize);
 }
 
 /// All connections and listeners of a handler.
 pub struct Net<H: Handler> {
     handle: LoopHandle<'static, H>,
     conns: FxHashMap<ConnId, Conn>,
-    /// Listeners by number, with their place in the loop; none once closed.
+    /// Listeners by number, each with its token in the event loop; none once closed.
     listeners: Vec<Option<(Rc<TcpListener>, RegistrationToken)>>,
     last: ConnId,
 }
@@ -53,8 +61,11 @@
         Net { handle, conns: FxHashMap::default(), listeners: Vec::new(), last: 0 }
     }
 
-    /// Listens; gives the listener's number and the address it got. A `shared` address may be held by another
-    /// process at once (SO_REUSEPORT), as the one that an upgrade replaces; the kernel deals connections out.
+    /// Opens a listener. Returns its number and the address that it got. A `shared` address may be held by another
+    /// process at once (`SO_REUSEPORT`), as the one that an upgrade replaces; the kernel deals connections out.
+    ///
+    /// # Errors
+    /// Where the socket cannot be opened, bound, or registered for events.
     pub fn listen(&mut self, address: SocketAddr, shared: bool) -> io::Result<(usize, SocketAddr)> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -64,7 +75,7 @@
             socket.set_reuse_port(true)?;
         }
         socket.bind(&address.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(MAX_WAITING_CONNECTIONS)?;
         socket.set_nonblocking(true)?;
         let listener = Rc::new(TcpListener::from(socket));
         let (number, local) = (self.listeners.len(), listener.local_addr()?);
@@ -73,7 +84,7 @@
         let token = self
             .handle
             .insert_source(source, move |_, _, handler: &mut H| {
-                handler.waiting(number);
+                handler.on_connections_waiting(number);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -81,8 +92,8 @@
         Ok((number, local))
     }
 
-    /// Stops listening. What waits in the backlog is reset by the system: accept it first.
-    pub fn unlisten(&mut self, listener: usize) {
+    /// Closes a listener. Connections that wait are reset by the system: accept them first.
+    pub fn close_listener(&mut self, listener: usize) {
         if let Some((_, token)) = self.listeners.get_mut(listener).and_then(Option::take) {
             self.handle.remove(token);
         }
@@ -104,6 +115,9 @@
     }
 
     /// Starts to open a connection.
+    ///
+    /// # Errors
+    /// Where the connection fails at once, or cannot be registered for events: nothing was sent.
     pub fn open(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         let conn = Conn::open(address)?;
         self.add(conn)
@@ -118,7 +132,7 @@
         let token = self
             .handle
             .insert_source(source, move |_, _, handler: &mut H| {
-                handler.ready(id);
+                handler.on_ready(id);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -128,7 +142,7 @@
     }
 
     /// Puts TLS on a connection that was just accepted.
-    pub fn secure(&mut self, id: ConnId, tls: rustls::ServerConnection) -> bool {
+    pub fn start_tls(&mut self, id: ConnId, tls: rustls::ServerConnection) -> bool {
         let Some(conn) = self.conns.get_mut(&id) else { return false };
         conn.tls = Some(Box::new(tls));
         true
