--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -51,7 +51,8 @@
         let mut client = self.client(process);
         client.submit("confirm-booking", id);
         let mut job = Http::accept(&self.worker);
-        assert!(job.read().0.contains(id));
+        let (head, _) = job.read();
+        assert!(head.contains(id), "{id}: {head}");
         job.take();
         client
     }
