--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -4,8 +4,8 @@
 //! `next_command` gives, in their order. It must tell the end of each attempt that it was told to send, once; and it calls
 //! `tick` when `next_deadline` has come.
 //!
-//! Who owns what: [`jobs::Jobs`] the jobs and their attempts, [`EndpointTable`] the endpoints' names and addresses,
-//! [`routers::Routers`] the routers with their wake-ups and the partitions, [`statistics::Statistics`] the counters. An event
+//! Who owns what: `jobs::Jobs` the jobs and their attempts, [`EndpointTable`] the endpoints' names and addresses,
+//! `routers::Routers` the routers with their wake-ups and the partitions, `statistics::Statistics` the counters. An event
 //! goes one way: `accept`, `admit` or `complete` takes it in, `route` hands it to a router, `send` and `answer` turn the
 //! router's actions into commands, and jobs that are finished are closed (`Core::drive`).
 
