--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-/// Writes a line to the log. Guards against an end by a log that nobody takes any more, which `eprintln` is.
+/// Writes a line to standard error, for what is to be seen also where no subscriber of `tracing` is set up, as before the
+/// settings are read. Does not fail where standard error is closed, unlike `eprintln!`.
 pub fn say(line: impl std::fmt::Display) {
     use std::io::Write;
     let _ = writeln!(std::io::stderr(), "micabeam: {line}");
--- a/src/rollout/tests/faults.rs
+++ b/src/rollout/tests/faults.rs
@@ -60,21 +60,13 @@
     run_with_faults(774_560);
 }
 
-/// Found by a seed: a voter that was killed, started again and is cut off from the others goes on serving its version while
-/// they decide the next. Probably a heartbeat reply to its earlier process, late and sent twice, is counted for a round of the
-/// new one.
+/// Faults by seed while versions are wanted anywhere: each step checks that nothing old runs after what is new, and that
+/// only what is decided runs; healed, all run one version. The last seed was found by a run of 300: a voter that was killed,
+/// started again and is cut off from the others goes on serving its version while they decide the next. Probably a heartbeat
+/// reply to its earlier process, late and sent twice, is counted for a round of the new one.
 #[test]
-fn a_restarted_voter_that_is_cut_off_gets_no_lease() {
+fn a_change_is_everywhere_or_nowhere_under_any_faults() {
+    let config = ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() };
+    proptest!(config, |(seed in 0u64..1_000_000)| run_with_faults(seed));
     run_with_faults(376_097);
 }
-
-proptest! {
-    #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
-
-    /// Faults by seed while versions are wanted anywhere: each step checks that nothing old runs after what is new, and
-    /// that only what is decided runs; healed, all run one version.
-    #[test]
-    fn a_change_is_everywhere_or_nowhere_under_any_faults(seed in 0u64..1_000_000) {
-        run_with_faults(seed);
-    }
-}
