--- a/src/consensus/heartbeat.rs
+++ b/src/consensus/heartbeat.rs
@@ -1,15 +1,15 @@
-//! Heartbeat rounds and their times: since when a majority is known to follow this voter as its leader, and when this voter
-//! last followed another leader.
+//! Timing of heartbeat rounds: when the last round began in which a majority followed this voter, and when
+//! this voter last followed another leader.
 //!
-//! It owns the times of the rounds; elections are the library's, and its caller passes on each heartbeat that is sent and
-//! each reply that is received. What relies on it: a leader grants leases that count from the start of a round in which a
-//! majority named it. A voter that has promised to follow a later leader names no earlier one any more, so that each such
-//! round began before the later leader had its majority of promises, and before some voter of that majority last named
-//! the earlier leader.
+//! This module owns the timing only. `omnipaxos` runs the elections, and the caller passes on every heartbeat
+//! sent and every reply received. Leases depend on it: a leader grants leases that count from the start of a
+//! round in which a majority named it. Once a voter has promised to follow a later leader, it no longer names
+//! an earlier one. Every round confirmed for the earlier leader therefore began before the later leader had
+//! its majority of promises, and before some voter of that majority last named the earlier leader.
 //!
-//! The library counts rounds from 0 in each process, and a reply says which round it answers and not which process asked. On
-//! the wire rounds therefore count from a number that each process draws: a late reply to an earlier process of this voter
-//! answers none of its rounds.
+//! `omnipaxos` counts rounds from 0 in each process, and a reply carries the round number but not the process
+//! that asked. On the wire, rounds therefore count from a random offset that each process draws, so that a
+//! late reply to an earlier process of this voter matches none of its rounds.
 
 use std::collections::BTreeSet;
 
@@ -19,7 +19,7 @@
 
 use super::types::VoterId;
 
-/// What of a leader's ballot differs among the voters of one generation.
+/// The parts of a leader's ballot that can differ between voters of the same generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) struct LeaderBallot {
     number: u32,
@@ -32,42 +32,42 @@
     }
 }
 
-/// The rounds of one voter. Times are the caller's, in milliseconds.
+/// Heartbeat rounds of one voter. Times are in milliseconds of the caller's clock.
 #[derive(Debug)]
 pub(super) struct HeartbeatRounds {
     voter_id: VoterId,
     voter_count: u64,
-    /// What is added to the library's numbers of rounds on the wire.
+    /// Offset between the round numbers of `omnipaxos` and those on the wire.
     round_offset: u32,
-    /// The number on the wire of the current round.
+    /// The current round's number on the wire.
     round: u32,
-    /// When the current round's requests were made.
+    /// Start of the current round, when its requests were sent.
     round_started_ms: f64,
     /// The voters that named this one as their leader in the current round.
     followers: BTreeSet<VoterId>,
-    /// Whether the current round was confirmed.
+    /// Whether a majority has followed in the current round and `confirm_round` has reported it.
     is_confirmed: bool,
-    /// The followers of the last round that a majority followed.
+    /// The followers of the last finished round that a majority followed.
     last_followers: BTreeSet<VoterId>,
-    /// The leader that this voter named last.
-    named: LeaderBallot,
-    named_at_ms: f64,
-    /// When this voter last named another leader than `named`.
-    named_other_at_ms: f64,
+    /// The leader that this voter named most recently.
+    named_leader: LeaderBallot,
+    named_leader_at_ms: f64,
+    /// Last time at which this voter named a leader other than `named_leader`.
+    named_other_leader_at_ms: f64,
     succession: Succession,
 }
 
-/// What a new leader learns of the leaders before it.
+/// What a new leader has learned about its predecessors.
 #[derive(Debug, Default)]
 struct Succession {
     /// The new leader's ballot.
     ballot: LeaderBallot,
-    /// The latest time at which a voter that replied may have named another leader.
-    latest_ms: f64,
+    /// The latest time at which any of the voters that replied may have named another leader.
+    latest_followed_ms: f64,
     replied: BTreeSet<VoterId>,
 }
 
-/// Whom a new leader asks when they last named another leader.
+/// The voters that a new leader has to ask when they last named another leader.
 #[derive(Debug)]
 pub(super) struct SuccessionQuery {
     /// The new leader's ballot.
@@ -77,8 +77,9 @@
 }
 
 impl HeartbeatRounds {
-    /// The rounds of a voter that has just started: it does not know what it named before, and assumes just now.
-    /// `process_nonce` differs from that of its earlier processes.
+    /// Creates the state of a voter that has just started. It does not know which leader it named before, and
+    /// assumes that it named one at `now_ms`. `process_nonce` must differ from those of earlier processes of
+    /// this voter.
     pub(super) fn new(
         voter_id: VoterId,
         voter_count: u64,
@@ -95,9 +96,9 @@
             followers: BTreeSet::new(),
             is_confirmed: false,
             last_followers: BTreeSet::new(),
-            named: LeaderBallot::default(),
-            named_at_ms: now_ms,
-            named_other_at_ms: now_ms,
+            named_leader: LeaderBallot::default(),
+            named_leader_at_ms: now_ms,
+            named_other_leader_at_ms: now_ms,
             succession: Succession::default(),
         }
     }
@@ -106,20 +107,20 @@
         voters as u64 * 2 > self.voter_count
     }
 
-    /// Whether a majority follows in the current round; a leader follows itself.
+    /// Whether a majority follows in the current round, counting the leader itself.
     fn has_majority(&self) -> bool {
         self.is_majority(self.followers.len() + 1)
     }
 
     fn record_named_leader(&mut self, now_ms: f64, leader: Ballot) {
-        if self.named != leader.into() {
-            (self.named, self.named_other_at_ms) = (leader.into(), self.named_at_ms);
+        if self.named_leader != leader.into() {
+            (self.named_leader, self.named_other_leader_at_ms) = (leader.into(), self.named_leader_at_ms);
         }
-        self.named_at_ms = now_ms;
+        self.named_leader_at_ms = now_ms;
     }
 
-    /// A heartbeat that is about to be sent. A request gets its round's number on the wire. A reply is changed to name no
-    /// leader before the one that this voter has promised to follow.
+    /// Adjusts a heartbeat that is about to be sent. A request gets the wire number of its round. A reply is
+    /// changed so that it never names a leader older than the one that this voter has promised to follow.
     pub(super) fn on_send(&mut self, now_ms: f64, heartbeat: &mut HeartbeatMsg, promise: Ballot) {
         match heartbeat {
             HeartbeatMsg::Request(request) => {
@@ -147,8 +148,8 @@
         }
     }
 
-    /// A reply to a heartbeat; one to an earlier round, or that names another leader, has no effect. It gets back the
-    /// library's number of its round.
+    /// Records a heartbeat reply and restores the `omnipaxos` number of its round. A reply to an earlier
+    /// round, or one that names another leader, is not counted.
     pub(super) fn on_reply(&mut self, from: VoterId, reply: &mut HeartbeatReply, promise: Ballot) {
         if reply.round == self.round && reply.leader == promise && promise.pid == self.voter_id {
             self.followers.insert(from);
@@ -156,32 +157,33 @@
         reply.round = reply.round.wrapping_sub(self.round_offset);
     }
 
-    /// Confirms the current round where a majority follows in it. True once a round.
+    /// Confirms the current round if a majority follows in it. Returns true at most once per round.
     pub(super) fn confirm_round(&mut self) -> bool {
         let is_newly_confirmed = !self.is_confirmed && self.has_majority();
         self.is_confirmed |= is_newly_confirmed;
         is_newly_confirmed
     }
 
-    /// When the current round's requests were made.
+    /// Returns the start of the current round, when its requests were sent.
     pub(super) fn round_started_ms(&self) -> f64 {
         self.round_started_ms
     }
 
-    /// The voters that followed this one in the last finished round that a majority followed, itself among them; those of
-    /// the current round so far where no such round has finished under this ballot.
+    /// Returns the voters, including this one, that followed this voter in the last finished round that a
+    /// majority followed; if no such round has finished under the current ballot, those of the current round
+    /// so far.
     pub(super) fn followers(&self) -> Vec<VoterId> {
         let followers = if self.last_followers.is_empty() { &self.followers } else { &self.last_followers };
         followers.iter().copied().chain([self.voter_id]).collect()
     }
 
-    /// When this voter last named a leader other than the one of `ballot`.
-    fn named_other_than_ms(&self, ballot: LeaderBallot) -> f64 {
-        if self.named == ballot { self.named_other_at_ms } else { self.named_at_ms }
+    /// Returns the last time at which this voter named a leader other than that of `ballot`.
+    fn last_named_other_ms(&self, ballot: LeaderBallot) -> f64 {
+        if self.named_leader == ballot { self.named_other_leader_at_ms } else { self.named_leader_at_ms }
     }
 
-    /// How long ago, in milliseconds, this voter last named a leader other than the one of `ballot`; none where it has not
-    /// promised to follow that one.
+    /// Returns the time in milliseconds since this voter last named a leader other than that of `ballot`;
+    /// `None` if `ballot` is not the one that it has promised.
     pub(super) fn ms_since_followed_other(
         &self,
         now_ms: f64,
@@ -189,23 +191,23 @@
         promise: Ballot,
     ) -> Option<u32> {
         let has_promised = ballot == promise.into();
-        has_promised.then(|| (now_ms - self.named_other_than_ms(ballot)).max(0.0) as u32)
+        has_promised.then(|| (now_ms - self.last_named_other_ms(ballot)).max(0.0) as u32)
     }
 
-    /// Starts to ask whom others followed, where this voter leads under a ballot that it did not ask for yet.
+    /// Starts a succession query if this voter leads under a ballot for which it has not started one.
     pub(super) fn begin_leading(&mut self, promise: Ballot) {
         let ballot = LeaderBallot::from(promise);
         if self.succession.ballot != ballot {
             self.last_followers.clear();
             self.succession = Succession {
                 ballot,
-                latest_ms: self.named_other_than_ms(ballot),
+                latest_followed_ms: self.last_named_other_ms(ballot),
                 replied: BTreeSet::from([self.voter_id]),
             };
         }
     }
 
-    /// The voters to ask when they last named another leader; nobody once a majority has replied.
+    /// Returns the voters to ask when they last named another leader; empty once a majority has replied.
     pub(super) fn succession_query(&self) -> SuccessionQuery {
         let replied = &self.succession.replied;
         let voters = if self.is_majority(replied.len()) {
@@ -216,7 +218,8 @@
         SuccessionQuery { ballot: self.succession.ballot, voters }
     }
 
-    /// A voter that has promised to follow this one last named another leader `ago_ms` milliseconds ago.
+    /// Records the reply of a voter that has promised to follow this one: it last named another leader
+    /// `ago_ms` milliseconds ago.
     pub(super) fn on_followed_reply(
         &mut self,
         now_ms: f64,
@@ -225,16 +228,17 @@
         ago_ms: u32,
     ) {
         if self.succession.ballot == ballot {
-            self.succession.latest_ms = self.succession.latest_ms.max(now_ms - f64::from(ago_ms));
+            self.succession.latest_followed_ms =
+                self.succession.latest_followed_ms.max(now_ms - f64::from(ago_ms));
             self.succession.replied.insert(from);
         }
     }
 
-    /// The latest time, in milliseconds, at which a leader before this one may have begun a round that a majority
-    /// followed; none before a majority has replied.
+    /// Returns the latest time, in milliseconds, at which an earlier leader may have begun a round that a
+    /// majority followed; `None` until a majority has replied.
     pub(super) fn predecessors_last_round(&self, promise: Ballot) -> Option<f64> {
         let is_current = self.succession.ballot == promise.into();
         let is_known = is_current && self.is_majority(self.succession.replied.len());
-        is_known.then_some(self.succession.latest_ms)
+        is_known.then_some(self.succession.latest_followed_ms)
     }
 }
--- a/src/consensus/library.rs
+++ b/src/consensus/library.rs
@@ -1,21 +1,23 @@
-//! The log library's settings for a voter.
+//! Configuration of `omnipaxos` for a voter.
 
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
 use super::storage::{MemoryStorage, Proposal};
 use super::types::{ConsensusConfig, ConsensusError, VoterId};
 
-/// Ticks of a heartbeat round, 200 ms: a leader that is silent for two or three rounds is replaced.
+/// Ticks in a heartbeat round, 200 ms. A leader that is silent for two or three rounds is replaced.
 const HEARTBEAT_ROUND_TICKS: u64 = 4;
-/// Ticks after which what was not answered is sent again, 400 ms: two heartbeat rounds, so that a reply has had its time.
+/// Ticks after which an unanswered message is sent again, 400 ms: two heartbeat rounds, which leaves time for
+/// a reply.
 pub(super) const RESEND_INTERVAL_TICKS: u64 = 8;
-/// Capacity of the library's queue of outgoing messages at the start; it grows where more are sent at a time.
+/// Initial capacity of the `omnipaxos` queue of outgoing messages; the queue grows when more messages are
+/// sent at once.
 const MESSAGE_BUFFER_SIZE: usize = 64;
 
-/// The library's replica of the log.
+/// The `omnipaxos` replica of the log.
 pub(super) type Paxos = OmniPaxos<Proposal, MemoryStorage>;
 
-/// A replica that goes on from what `storage` has.
+/// Builds a replica that continues from the state in `storage`.
 pub(super) fn build(config: &ConsensusConfig, storage: MemoryStorage) -> Result<Paxos, ConsensusError> {
     let library_config = OmniPaxosConfig {
         cluster_config: ClusterConfig {
@@ -34,7 +36,7 @@
     library_config.build(storage).map_err(|e| ConsensusError::Settings(e.to_string()))
 }
 
-/// Whether `voter` leads, has finished its prepare phase, and so can propose.
+/// Whether `voter` leads and has finished its prepare phase, so that it can propose.
 pub(super) fn is_led_by(paxos: &Paxos, voter: VoterId) -> bool {
     paxos.get_current_leader() == Some((voter, true))
 }
--- a/src/consensus/message.rs
+++ b/src/consensus/message.rs
@@ -1,4 +1,5 @@
-//! The messages between voters. On the wire they are `postcard`, so that variants and fields keep their order.
+//! Messages between voters. They are encoded with `postcard`, so the order of variants and fields is part of
+//! the wire format.
 
 use omnipaxos::messages::Message as PaxosMessage;
 use serde::{Deserialize, Serialize};
@@ -9,32 +10,33 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// A message of the library: the log's or the leader election's.
+    /// A message of `omnipaxos`: replication or leader election.
     Paxos(Box<PaxosMessage<Proposal>>),
-    /// A voter without its file asks another one for its state.
+    /// Sent by a voter without its vote file to request another voter's state.
     StateRequest {
-        /// Of the process that asks.
+        /// Identifies the requesting process.
         nonce: u64,
     },
-    /// The state of a voter.
+    /// Reply to `StateRequest` with the sender's state.
     StateReply {
-        /// Of the process that asked.
+        /// Nonce of the request, which identifies the requesting process.
         nonce: u64,
         state: Box<Persisted>,
     },
-    /// A new leader asks a voter that has promised to follow it when that voter last named another leader.
+    /// Sent by a new leader to ask a voter that has promised its ballot when that voter last named another
+    /// leader.
     FollowedRequest { ballot: LeaderBallot },
-    /// The time since then, in milliseconds.
+    /// Reply to `FollowedRequest` with the time since then, in milliseconds.
     FollowedReply { ballot: LeaderBallot, ago_ms: u32 },
 }
 
 impl Message {
     pub(super) fn encode(&self) -> Vec<u8> {
-        // Encoding into a vector cannot run out of space.
+        // Encoding into a growable vector cannot run out of space.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a message that takes up all of `bytes`.
+    /// Decodes a message; trailing bytes are an error.
     pub(super) fn decode(bytes: &[u8]) -> Result<Message, ReceiveError> {
         match postcard::take_from_bytes(bytes) {
             Ok((message, [])) => Ok(message),
@@ -43,8 +45,8 @@
     }
 }
 
-/// Whether an encoded message is a heartbeat. Heartbeats carry the number of their round, so that one which another
-/// message has overtaken is still valid.
+/// Whether an encoded message is a heartbeat. A heartbeat carries its round number, so it remains valid when
+/// it arrives after a message that was sent later.
 pub fn is_heartbeat(bytes: &[u8]) -> bool {
     match Message::decode(bytes) {
         Ok(Message::Paxos(message)) => matches!(*message, PaxosMessage::BLE(_)),
--- a/src/consensus/message_checks.rs
+++ b/src/consensus/message_checks.rs
@@ -1,4 +1,4 @@
-//! Checks and repairs of the library's messages before the library gets them.
+//! Validation and correction of incoming `omnipaxos` messages before they are handled.
 
 use omnipaxos::messages::Message as PaxosMessage;
 use omnipaxos::messages::sequence_paxos::{Compaction, PaxosMsg};
@@ -7,19 +7,20 @@
 use super::storage::Proposal;
 use super::types::MAX_DECISION_BYTES;
 
-/// Most log entries of one message: a voter compacts its log after far fewer, and a peer must not make it allocate more.
+/// Maximum number of log entries in a message. A voter compacts its log long before it has this many, and a
+/// peer must not be able to force larger allocations.
 const MAX_ENTRIES_PER_MESSAGE: usize = 256;
-/// Highest log index that is believed: no log gets there, and sums of indexes below it cannot overflow.
+/// Maximum log index accepted from a peer. No log reaches it, and sums of indexes up to it cannot overflow.
 const MAX_LOG_INDEX: usize = 1 << 40;
 
-/// Whether a message is of a kind and size that voters of this program send.
+/// Whether voters send messages of this kind and size.
 pub(super) fn is_within_bounds(message: &PaxosMessage<Proposal>) -> bool {
     let PaxosMessage::SequencePaxos(message) = message else { return true };
     let message = &message.msg;
     log_indexes(message).into_iter().all(|index| index <= MAX_LOG_INDEX) && has_valid_entries(message)
 }
 
-/// The log indexes that a message names; 0 in place of those that it has not.
+/// Returns the log indexes in a message, padded with 0.
 fn log_indexes(message: &PaxosMsg<Proposal>) -> [usize; 3] {
     match message {
         PaxosMsg::Prepare(m) => [m.decided_idx, m.accepted_idx, 0],
@@ -34,8 +35,8 @@
     }
 }
 
-/// Whether a message changes neither the set of voters nor another voter's log by a trim, and its entries are few and
-/// short enough.
+/// Whether a message neither reconfigures the voters nor trims another voter's log, and its entries are
+/// within the limits on number and length.
 fn has_valid_entries(message: &PaxosMsg<Proposal>) -> bool {
     match message {
         PaxosMsg::AcceptStopSign(_) | PaxosMsg::ForwardStopSign(_) => false,
@@ -58,9 +59,10 @@
         && entries.iter().all(|proposal| proposal.body.len() <= MAX_DECISION_BYTES)
 }
 
-/// Whether a message may be handled by a voter that has so many decided entries. A delayed one could overwrite them:
-/// such an `AcceptSync` is dropped, and a `Promise` loses its log. The library would ignore both: it takes no `AcceptSync` once
-/// it accepts, and reads no log of a `Promise` once it leads.
+/// Whether a voter with `decided_entries` decided entries may handle a message. A delayed message could
+/// overwrite decided entries: such an `AcceptSync` is rejected, and a `Promise` has its log removed. Neither
+/// changes what `omnipaxos` does: it ignores an `AcceptSync` once it is in the accept phase, and the log of a
+/// `Promise` once it leads.
 pub(super) fn preserves_decided_entries(
     message: &mut PaxosMessage<Proposal>,
     decided_entries: usize,
@@ -76,9 +78,9 @@
     }
 }
 
-/// Replaces a partial snapshot by its entries, as the beginning of the log suffix that it precedes. The library (0.2.4)
-/// merges such a snapshot with what its own log has up to the new count of decided entries, among it what was never
-/// decided.
+/// Replaces a partial snapshot with its entries, prepended to the log suffix that follows it. `omnipaxos`
+/// 0.2.4 merges such a snapshot with its own log up to the new decided index, including entries that were
+/// never decided.
 pub(super) fn expand_partial_snapshot(message: &mut PaxosMessage<Proposal>) {
     let PaxosMessage::SequencePaxos(message) = message else { return };
     let sync = match &mut message.msg {
--- a/src/consensus/storage.rs
+++ b/src/consensus/storage.rs
@@ -1,7 +1,7 @@
-//! What a voter must remember, and the storage that the log library writes it to.
+//! The persistent state of a voter, and the storage through which `omnipaxos` updates it.
 //!
-//! It owns the replicated log's decisions, its snapshots and the voter's state in memory. What has changed is collected
-//! until the voter gives it out to be written; the form of the file is `vote_file`'s.
+//! This module owns the decisions and snapshots of the replicated log and the voter's state in memory.
+//! Changes are collected until the voter takes them to be written; `vote_file` defines the file format.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,22 +12,24 @@
 use omnipaxos::storage::{Entry, Snapshot as LogSnapshot, StopSign, Storage, StorageOp, StorageResult};
 use serde::{Deserialize, Serialize};
 
-/// The epoch that fillers build on: no log gets there.
+/// The epoch that marks a filler. No log reaches it.
 const FILLER_EPOCH: u64 = u64::MAX;
 
-/// A decision that is proposed: an entry of the log.
+/// A proposed decision: an entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// What it is about; each topic has epochs of its own.
+    /// The topic of the decision. Each topic has its own epochs.
     pub topic: u8,
-    /// The newest epoch that its proposer knew. Where a newer one has been decided meanwhile, the proposal is superseded.
+    /// The newest epoch known to the proposer. The proposal is superseded if a newer epoch has been decided
+    /// in the meantime.
     pub based_on_epoch: u64,
-    /// The decision.
+    /// The encoded decision.
     pub body: Vec<u8>,
 }
 
 impl Proposal {
-    /// A proposal without effect, for a leader that has nothing to propose and needs a next entry.
+    /// Returns a proposal without effect, for a leader that needs another log entry and has nothing to
+    /// propose.
     pub(super) fn filler() -> Proposal {
         Proposal { topic: 0, based_on_epoch: FILLER_EPOCH, body: Vec::new() }
     }
@@ -41,21 +43,21 @@
     type Snapshot = Snapshot;
 }
 
-/// A topic's newest decision.
+/// The newest decision of a topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct TopicDecision {
     epoch: u64,
     body: Vec<u8>,
 }
 
-/// A decision as it is read.
+/// A borrowed decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DecisionRef<'a> {
     /// The topic.
     pub topic: u8,
-    /// Its epoch; 0 where the topic has no decision yet.
+    /// The epoch; 0 if the topic has no decision yet.
     pub epoch: u64,
-    /// The decision; empty where there is none.
+    /// The encoded decision; empty if there is none.
     pub body: &'a [u8],
 }
 
@@ -66,8 +68,9 @@
 }
 
 impl Decisions {
-    /// Applies the next proposal of the log. Whether it has an effect: one that builds on an older epoch is superseded.
-    /// One that builds on a newer epoch than the log's has an effect, so that epochs go on after a log was lost.
+    /// Applies the next proposal of the log and returns whether it took effect. A proposal based on an older
+    /// epoch is superseded. A proposal based on a newer epoch than the log's takes effect, so that epochs
+    /// continue after a log was lost.
     pub fn apply(&mut self, proposal: &Proposal) -> bool {
         if proposal.is_filler() {
             return false;
@@ -80,7 +83,7 @@
         has_effect
     }
 
-    /// The newest decision of each topic, in the order of topics.
+    /// Returns the newest decision of each topic, ordered by topic.
     pub fn all(&self) -> impl Iterator<Item = DecisionRef<'_>> {
         self.topics.iter().map(|(&topic, newest)| DecisionRef {
             topic,
@@ -89,7 +92,7 @@
         })
     }
 
-    /// The newest decision of a topic.
+    /// Returns the newest decision of a topic.
     pub fn newest(&self, topic: u8) -> DecisionRef<'_> {
         let newest = self.topics.get(&topic);
         newest.map_or(DecisionRef { topic, epoch: 0, body: &[] }, |newest| DecisionRef {
@@ -100,17 +103,17 @@
     }
 }
 
-/// A compacted part of the log. A part from the log's middle cannot be compacted alone: its proposals stay until they are
-/// merged with what was before.
+/// A compacted part of the log. A part that does not start at the beginning of the log cannot be compacted on
+/// its own: its proposals are kept until it is merged with the preceding part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     decided: Decisions,
-    /// Proposals that come after `decided`.
+    /// Proposals that follow `decided` in the log.
     uncompacted: Vec<Proposal>,
 }
 
 impl Snapshot {
-    /// The newest decision of each topic.
+    /// Returns the newest decision of each topic.
     pub fn decided(&self) -> Decisions {
         let mut decided = self.decided.clone();
         for proposal in &self.uncompacted {
@@ -119,7 +122,7 @@
         decided
     }
 
-    /// The entries that are not compacted yet.
+    /// Returns the entries that are not compacted yet.
     pub(super) fn into_uncompacted(self) -> Vec<Proposal> {
         self.uncompacted
     }
@@ -143,31 +146,32 @@
     }
 }
 
-/// A change of a voter's state, as its file has it: `postcard`, so that variants and fields keep their order.
+/// A change to a voter's state, as stored in its vote file. It is encoded with `postcard`, so the order of
+/// variants and fields is part of the file format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// The whole state.
+    /// Replaces the whole state.
     ReplaceAll(Box<Persisted>),
-    /// The log from an index on.
+    /// Replaces the log from an index on.
     Entries {
         /// The index of the first of `entries`.
         from_index: u64,
-        /// All entries from there on.
+        /// All entries from `from_index` on.
         entries: Vec<Proposal>,
     },
-    /// The ballot that is promised.
+    /// Sets the promised ballot.
     Promise(Ballot),
-    /// The newest ballot in which an entry was accepted.
+    /// Sets the newest ballot in which an entry was accepted.
     AcceptedBallot(Ballot),
-    /// How many entries are decided.
+    /// Sets the number of decided entries.
     DecidedEntries(u64),
-    /// The log before this index was removed.
+    /// Removes the log before this index.
     Trim(u64),
-    /// The log before its first entry, compacted.
+    /// Sets the snapshot that replaces the log before its first entry.
     Snapshot(Option<Snapshot>),
 }
 
-/// What a voter must remember.
+/// The state that a voter must keep across restarts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Persisted {
     pub(super) promise: Option<Ballot>,
@@ -176,17 +180,17 @@
     /// The index of the first of `entries`.
     first_index: u64,
     entries: Vec<Proposal>,
-    /// The log before `first_index`.
+    /// The compacted log before `first_index`.
     snapshot: Option<Snapshot>,
 }
 
 impl Persisted {
-    /// How many entries the log has had.
+    /// Returns the length of the log, including compacted entries.
     pub(super) fn log_length(&self) -> u64 {
         self.first_index + self.entries.len() as u64
     }
 
-    /// Makes a change. Entries that would leave a gap in the log change nothing.
+    /// Applies a change. Entries that would leave a gap in the log are ignored.
     pub(super) fn apply(&mut self, change: Change) {
         match change {
             Change::ReplaceAll(state) => *self = *state,
@@ -209,7 +213,8 @@
         }
     }
 
-    /// The entries from the index `from` on and before `to`; none where the log has not all of them.
+    /// Returns the entries from index `from` up to but not including `to`; empty if the log does not hold all
+    /// of them.
     fn entries_between(&self, from: u64, to: u64) -> Vec<Proposal> {
         let offset = |index: u64| index.checked_sub(self.first_index).map(|offset| offset as usize);
         match (offset(from), offset(to)) {
@@ -222,11 +227,11 @@
 #[derive(Debug, Default)]
 struct StorageState {
     persisted: Persisted,
-    /// What has changed since it was last given out to be written.
+    /// Changes that have not been taken to be written.
     unwritten: Vec<Change>,
 }
 
-/// The library's storage, in memory. The library has one handle of it, the voter another.
+/// In-memory storage for `omnipaxos`. `omnipaxos` holds one handle to it and the voter holds another.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemoryStorage(Rc<RefCell<StorageState>>);
 
@@ -239,7 +244,7 @@
         self.0.borrow().persisted.clone()
     }
 
-    /// The changes since the last call.
+    /// Returns and clears the changes since the last call.
     pub(super) fn take_unwritten(&self) -> Vec<Change> {
         mem::take(&mut self.0.borrow_mut().unwritten)
     }
@@ -324,7 +329,8 @@
         self.read(|state| state.promise)
     }
 
-    /// Stop signs reconfigure the voters; here they are those of the operator's file, and the log never changes them.
+    /// Does nothing. A stop sign reconfigures the set of voters; here the operator's file defines the voters
+    /// and the log never changes them.
     fn set_stopsign(&mut self, _: Option<StopSign>) -> StorageResult<()> {
         Ok(())
     }
@@ -337,7 +343,7 @@
         self.change(Change::Trim(index as u64))
     }
 
-    /// The same as a trim: the log's first index is stored once.
+    /// Same as `trim`, because the log's first index is stored only once.
     fn set_compacted_idx(&mut self, index: usize) -> StorageResult<()> {
         self.change(Change::Trim(index as u64))
     }
--- a/src/consensus/tests/agreement.rs
+++ b/src/consensus/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Guards against two decisions of one epoch, epochs that go back, and a fleet that does not decide.
+//! Guards against two decisions for one epoch, epochs that go back, and a fleet that stops deciding.
 
 use proptest::prelude::*;
 
@@ -17,9 +17,9 @@
     assert_eq!(followers, [1, 2, 3, 4, 5]);
 }
 
-/// Guards against a fleet that stands still since the first one that led has gone.
+/// Guards against a fleet that stops deciding after its first leader dies.
 #[test]
-fn a_leader_that_is_killed_is_replaced_and_learns_what_it_missed() {
+fn a_killed_leader_is_replaced_and_catches_up_after_its_restart() {
     let mut net = SimulatedNetwork::new(5, 2);
     net.run(100);
     let leader = net.replicas[&1].leader().unwrap();
@@ -29,13 +29,14 @@
     net.run(60);
     assert!(
         net.epoch() - net.newest_epoch_of(leader) <= 1,
-        "it knows {} of {}",
+        "it knows epoch {} of {}",
         net.newest_epoch_of(leader),
         net.epoch()
     );
 }
 
-/// 2-3: the three go on and the two stand still; 2-2-1: nobody decides; healed, all know the same.
+/// Partitioned 2-3, the three go on and the two stop deciding. Partitioned 2-2-1, nobody decides. Once
+/// healed, decisions continue.
 #[test]
 fn only_a_majority_decides() {
     let mut net = SimulatedNetwork::new(5, 3);
@@ -44,22 +45,27 @@
     net.run(40);
     let (few, many) = (net.newest_epoch_of(1), net.newest_epoch_of(3));
     net.run(60);
-    assert_eq!(net.newest_epoch_of(1), few, "the two stand still");
-    assert!(net.newest_epoch_of(3) > many, "the three go on");
+    assert_eq!(net.newest_epoch_of(1), few, "the minority must not decide");
+    assert!(net.newest_epoch_of(3) > many, "the majority must go on deciding");
     let term = net.replicas[&1].term().max(net.replicas[&2].term());
     net.split(&[&[1, 2], &[3, 4], &[5]]);
     net.run(40);
     let newest = net.epoch();
     let terms: Vec<LeaderTerm> = net.replicas.values().map(Consensus::term).collect();
     net.run(60);
-    assert_eq!(net.epoch(), newest, "nobody decides");
-    assert_eq!(terms, net.replicas.values().map(Consensus::term).collect::<Vec<_>>(), "nobody is followed");
+    assert_eq!(net.epoch(), newest, "no majority, yet an epoch was decided");
+    assert_eq!(
+        terms,
+        net.replicas.values().map(Consensus::term).collect::<Vec<_>>(),
+        "no term advances without a majority"
+    );
     assert!(net.replicas[&1].term().max(net.replicas[&2].term()) == term);
     net.split(&[]);
     assert!(net.epochs_decided_in(100) > 2);
 }
 
-/// The network that elections by reachability alone do not get through: one voter reaches all, the others it alone.
+/// Guards against a leader election that requires full connectivity: one voter reaches all others, and the
+/// others reach only that one.
 #[test]
 fn the_one_voter_that_reaches_a_majority_leads() {
     for (seed, hub) in [(4, 1), (5, 3), (6, 5)] {
@@ -73,20 +79,20 @@
     }
 }
 
-/// A link that fails one way only must not stop the fleet for longer than an election.
+/// A link that fails in one direction must not stop the fleet for longer than an election.
 #[test]
-fn a_link_cut_one_way_costs_an_election_at_most() {
+fn a_link_cut_in_one_direction_costs_at_most_one_election() {
     let mut net = SimulatedNetwork::new(5, 7);
     net.run(100);
     let leader = net.replicas[&1].leader().unwrap();
     let others: Vec<VoterId> = (1..=5).filter(|v| *v != leader).collect();
-    // The leader is heard by one alone, and hears all.
+    // Only one voter receives the leader's messages; the leader receives everyone's.
     net.cut_links = others[1..].iter().map(|v| (leader, *v)).collect();
     net.run(60);
     assert!(net.epochs_decided_in(60) > 2);
 }
 
-/// Guards against a voter that votes twice in a round since it has forgotten its first vote.
+/// Guards against a voter that votes twice in a ballot because it lost the record of its first vote.
 #[test]
 fn a_voter_without_its_file_votes_only_when_all_others_have_sent_their_state() {
     let mut net = SimulatedNetwork::new(3, 8);
@@ -97,52 +103,54 @@
     net.split(&[&[1, 2], &[3]]);
     let before = net.epoch();
     net.run(100);
-    assert!(!net.replicas[&1].is_voting(), "one of two has told");
-    assert_eq!(net.epoch(), before, "no majority among those that remember");
+    assert!(!net.replicas[&1].is_voting(), "only one of the two other voters has sent its state");
+    assert_eq!(net.epoch(), before, "a decision without a majority of voters that have a state");
     net.split(&[]);
     assert!(net.epochs_decided_in(100) > 2);
     assert!(net.replicas[&1].is_voting());
 }
 
-/// All disks but one lost: epochs go on where the one that remembers knows them.
+/// All disks but one are lost. Epochs continue from the newest one on the remaining disk.
 #[test]
-fn epochs_go_on_from_the_one_file_that_is_left() {
+fn epochs_continue_from_the_only_remaining_vote_file() {
     let mut net = SimulatedNetwork::new(3, 9);
     net.run(100);
     let before = net.epoch();
     (1..=3).for_each(|voter| net.kill(voter));
-    let remembering = (1..=3).find(|v| net.known[v] == before).unwrap();
-    net.disks.retain(|voter, _| *voter == remembering);
+    let voter_with_newest_epoch = (1..=3).find(|v| net.known[v] == before).unwrap();
+    net.disks.retain(|voter, _| *voter == voter_with_newest_epoch);
     (1..=3).for_each(|voter| net.start(voter));
     net.run(100);
     assert!(net.epoch() > before);
 }
 
 #[test]
-fn a_failed_disk_ends_a_vote() {
+fn a_voter_whose_disk_failed_no_longer_votes() {
     let mut net = SimulatedNetwork::new(3, 10);
     net.run(100);
     net.replicas.get_mut(&2).unwrap().fail();
-    assert!(net.epochs_decided_in(100) > 2, "two of three go on");
+    assert!(net.epochs_decided_in(100) > 2, "two of three voters go on deciding");
     assert!(!net.replicas[&2].is_voting() && net.replicas.get_mut(&2).unwrap().take_batch().is_none());
     net.kill(1);
     net.run(40);
     assert_eq!(net.epochs_decided_in(60), 0);
 }
 
-/// Found by seed: a voter that had an undecided entry took it for decided as it was sent a partial snapshot.
+/// Regression, found by seed: on receiving a partial snapshot, a voter took an undecided entry of its own for
+/// decided.
 #[test]
 fn an_undecided_entry_is_not_compacted_into_the_decided_ones() {
     run_with_faults(3, 360_401);
 }
 
-/// Found by seed: the messages of the one open proposal were lost, nothing showed it, and the fleet stood still.
+/// Regression, found by seed: all messages of the only open proposal were lost, no later message revealed the
+/// loss, and the fleet stopped deciding.
 #[test]
-fn a_proposal_whose_messages_were_lost_is_decided_all_the_same() {
+fn a_proposal_whose_messages_were_lost_is_still_decided() {
     run_with_faults(5, 686_117);
 }
 
-/// Two that lead for a moment propose on the same epoch: one of them acts.
+/// Two voters that briefly lead at the same time propose on the same epoch; only one proposal takes effect.
 #[test]
 fn a_decision_that_builds_on_an_older_epoch_is_superseded() {
     let mut decided = Decisions::default();
@@ -151,7 +159,7 @@
     assert!(decided.apply(&proposal(0, 1)));
     assert!(!decided.apply(&proposal(0, 2)));
     assert_eq!(decided.newest(TOPIC), newest(TOPIC, 1, &[1]));
-    assert!(decided.apply(&proposal(7, 3)), "a log that was lost goes on where epochs were");
+    assert!(decided.apply(&proposal(7, 3)), "epochs continue after a log was lost");
     assert_eq!(decided.newest(TOPIC), newest(TOPIC, 8, &[3]));
     assert_eq!(decided.newest(2), newest(2, 0, &[]));
 }
@@ -159,17 +167,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A message with a bit changed, past the frame's checksum, panics nothing. (What it says may be believed: frames are
-    /// not signed.)
+    /// A message with a flipped bit that passed the frame's checksum causes no panic. Its content may be
+    /// believed, since frames are not signed.
     #[test]
-    fn a_changed_message_panics_nothing(seed in 0u64..1_000_000) {
+    fn a_corrupt_message_causes_no_panic(seed in 0u64..1_000_000) {
         let mut net = SimulatedNetwork::new(3, seed);
         net.corrupts_messages = true;
         net.run(150);
     }
 
-    /// Whatever is cut, lost, killed and started, epochs never go back and no epoch has two decisions (the net checks
-    /// each step); healed, the fleet decides again.
+    /// Whatever is cut, lost, killed and restarted, epochs never go back and no epoch has two decisions
+    /// (`SimulatedNetwork` checks each step). Once healed, the fleet decides again.
     #[test]
     fn epochs_never_go_back(seed in 0u64..1_000_000, voters in prop::sample::select(vec![3u64, 5, 7])) {
         run_with_faults(voters, seed);
--- a/src/consensus/tests/heartbeat.rs
+++ b/src/consensus/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Guards against leases that count from too late a time, and followers that are counted wrongly.
+//! Guards against leases that count from too late a time, and against followers that are miscounted.
 
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::ballot_leader_election::{HeartbeatMsg, HeartbeatReply, HeartbeatRequest};
@@ -15,7 +15,7 @@
     HeartbeatReply { round, ballot: own, leader, happy: true }
 }
 
-/// Begins a round at 100 ms, and gives its number on the wire.
+/// Begins a round at 100 ms and returns its number on the wire.
 fn begin_round(rounds: &mut HeartbeatRounds, library_round: u32, own: Ballot) -> u32 {
     let mut request = HeartbeatMsg::Request(HeartbeatRequest { round: library_round });
     rounds.on_send(100.0, &mut request, own);
@@ -23,9 +23,9 @@
     request.round
 }
 
-/// A voter that leads is killed and starts again with the ballot that it had. Replies to rounds of its earlier process, late
-/// or sent twice, name the same round numbers of the library and the same leader: believed, they confirm a round that no
-/// other voter has seen, and the voter grants leases while it is cut off.
+/// A leader is killed and restarts with its former ballot. Late or duplicated replies to rounds of its
+/// earlier process carry the same `omnipaxos` round numbers and the same leader. If it counted them, it would
+/// confirm a round that no other voter has seen, and grant leases while it is cut off.
 #[test]
 fn a_reply_to_an_earlier_process_of_a_voter_confirms_none_of_its_rounds() {
     let own = ballot(1, 1);
@@ -37,19 +37,19 @@
         let mut late = reply(earlier_round, ballot(1, 2), own);
         restarted.on_reply(2, &mut late, own);
         assert!(!restarted.confirm_round(), "round {library_round}");
-        assert_ne!(late.round, library_round, "the library takes it for a reply to its own round");
+        assert_ne!(late.round, library_round, "`omnipaxos` would take it for a reply to its own round");
     }
 }
 
-/// Guards against a lease on the strength of replies that waited in the socket of a leader that stood still.
+/// Guards against leases based on replies that waited in the socket of a leader that was frozen.
 #[test]
-fn a_round_counts_from_when_it_was_asked_for() {
+fn a_round_counts_from_the_time_of_its_requests() {
     let mut net = SimulatedNetwork::new(3, 31);
     net.run(100);
     let leader = net.replicas[&1].leader().unwrap();
     let confirmed = |net: &SimulatedNetwork| net.replicas[&leader].last_confirmed_round().unwrap();
     let before = confirmed(&net);
-    // The leader stands still with its requests on their way, and reads all replies much later.
+    // The leader freezes while its requests are in transit, and reads all replies much later.
     let late = net.tick as f64 * TICK_MS + 60_000.0;
     let replies: Vec<_> = net.in_transit.extract_if(.., |m| m.2 == leader).collect();
     let consensus = net.replicas.get_mut(&leader).unwrap();
@@ -59,28 +59,28 @@
     assert!(confirmed(&net) <= before + 8.0 * TICK_MS, "{} after {before}", confirmed(&net));
 }
 
-/// Guards against an old leader that counts a voter which has promised to follow the next one.
+/// Guards against an old leader that counts a voter which has already promised to follow the next leader.
 #[test]
-fn a_voter_names_no_leader_before_the_one_that_it_has_promised_to_follow() {
+fn a_voter_names_no_leader_older_than_the_one_it_promised() {
     let mut rounds = HeartbeatRounds::new(2, 3, 1, 0.0);
     let (old, new) = (ballot(1, 1), ballot(2, 3));
-    let mut named = |now: f64, leader: Ballot, promise: Ballot| {
+    let mut named_leader = |now: f64, leader: Ballot, promise: Ballot| {
         let mut heartbeat = HeartbeatMsg::Reply(reply(1, ballot(1, 2), leader));
         rounds.on_send(now, &mut heartbeat, promise);
         let HeartbeatMsg::Reply(reply) = heartbeat else { unreachable!("it was a reply") };
         reply.leader
     };
-    assert_eq!(named(100.0, old, old), old);
-    assert_eq!(named(300.0, old, new), new, "the library still names the old one");
-    assert_eq!(rounds.ms_since_followed_other(1000.0, new.into(), old), None, "not before its promise");
+    assert_eq!(named_leader(100.0, old, old), old);
+    assert_eq!(named_leader(300.0, old, new), new, "`omnipaxos` still names the old leader");
+    assert_eq!(rounds.ms_since_followed_other(1000.0, new.into(), old), None, "no answer before its promise");
     assert_eq!(
         rounds.ms_since_followed_other(1000.0, new.into(), new),
         Some(900),
-        "it named the old one at 100"
+        "it named the old leader at 100 ms"
     );
 }
 
-/// A new leader knows the last round of the old one from any majority, and not from fewer.
+/// A new leader learns the old leader's last round from any majority, and not from fewer voters.
 #[test]
 fn a_new_leader_learns_when_the_old_one_was_last_followed() {
     let mut rounds = HeartbeatRounds::new(3, 5, 1, 0.0);
@@ -92,14 +92,14 @@
     rounds.on_followed_reply(1000.0, 1, new.into(), 700);
     assert_eq!(rounds.predecessors_last_round(new), None, "two of five");
     rounds.on_followed_reply(1010.0, 2, ballot(1, 3).into(), 0);
-    assert_eq!(rounds.predecessors_last_round(new), None, "an answer to an earlier ballot");
+    assert_eq!(rounds.predecessors_last_round(new), None, "a reply to an earlier ballot");
     rounds.on_followed_reply(1010.0, 4, new.into(), 600);
     assert_eq!(rounds.predecessors_last_round(new), Some(410.0));
     assert!(rounds.succession_query().voters.is_empty());
-    assert_eq!(rounds.predecessors_last_round(ballot(3, 5)), None, "another leads now");
+    assert_eq!(rounds.predecessors_last_round(ballot(3, 5)), None, "the query was for another ballot");
 }
 
-/// A reply that comes twice is one voter.
+/// A duplicated reply counts as one voter.
 #[test]
 fn a_voter_counts_once_in_a_round() {
     let mut rounds = HeartbeatRounds::new(1, 5, 1, 0.0);
@@ -111,11 +111,11 @@
     assert!(!rounds.confirm_round(), "two of five");
     rounds.on_reply(3, &mut reply(round.wrapping_sub(1), ballot(1, 3), own), own);
     rounds.on_reply(4, &mut reply(round, ballot(1, 4), ballot(2, 4)), own);
-    assert!(!rounds.confirm_round(), "another round, and another leader");
+    assert!(!rounds.confirm_round(), "replies to another round and for another leader do not count");
     let mut third = reply(round, ballot(1, 3), own);
     rounds.on_reply(3, &mut third, own);
-    assert_eq!(third.round, 7, "the library knows the round by its own number");
-    assert!(rounds.confirm_round() && !rounds.confirm_round(), "once a round");
+    assert_eq!(third.round, 7, "the `omnipaxos` round number is restored");
+    assert!(rounds.confirm_round() && !rounds.confirm_round(), "confirmed once per round");
     assert_eq!(rounds.round_started_ms(), 100.0);
 }
 
--- a/src/consensus/tests/mod.rs
+++ b/src/consensus/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Voters over a network that delays, loses and cuts by seed, with disks that lose what was not synced.
+//! Tests of voters over a simulated network that delays, drops and partitions by a seeded random generator,
+//! with disks that lose unsynced writes.
 
 mod agreement;
 mod heartbeat;
@@ -10,27 +11,28 @@
 use super::{Consensus, ConsensusConfig, DecisionRef, OutgoingMessage, VoterId, Write};
 
 const TOPIC: u8 = 1;
-/// Milliseconds of a tick.
+/// Length of a tick in milliseconds.
 const TICK_MS: f64 = 50.0;
 
-/// Voters, their disks, and the messages between them.
+/// Simulated voters, their disks, and the messages between them.
 struct SimulatedNetwork {
     voters: u64,
     replicas: BTreeMap<VoterId, Consensus>,
     disks: BTreeMap<VoterId, Vec<u8>>,
-    /// Messages by the tick at which they arrive, in order on each link.
+    /// Messages with the tick of their arrival, in order on each link: (arrival tick, sender, receiver,
+    /// bytes).
     in_transit: Vec<(u64, VoterId, VoterId, Vec<u8>)>,
     last_arrival: BTreeMap<(VoterId, VoterId), u64>,
     cut_links: BTreeSet<(VoterId, VoterId)>,
     random: fastrand::Rng,
     loss: f64,
-    /// One message in ten has a bit changed; agreement is not checked then.
+    /// Flips a bit in one message of ten. Agreement is not checked then.
     corrupts_messages: bool,
     tick: u64,
     starts: u64,
-    /// What was decided in an epoch, wherever it was read first.
+    /// The decision of each epoch, as first read at any voter.
     decided: BTreeMap<u64, Vec<u8>>,
-    /// The newest epoch that each has known.
+    /// The newest epoch that each voter has known.
     known: BTreeMap<VoterId, u64>,
 }
 
@@ -65,7 +67,7 @@
             .map(|bytes| vote_file::read(bytes, 1).unwrap().persisted)
             .unwrap_or_default();
         self.replicas.insert(own, Consensus::new(config, persisted, self.tick as f64 * TICK_MS).unwrap());
-        // A process that starts knows what its disk says at least.
+        // A restarted process knows at least what is on its disk.
         self.known.remove(&own);
     }
 
@@ -74,7 +76,7 @@
         self.in_transit.retain(|m| m.1 != voter && m.2 != voter);
     }
 
-    /// Cuts all links between two groups, both ways.
+    /// Cuts all links between different groups in both directions.
     fn split(&mut self, groups: &[&[VoterId]]) {
         self.cut_links.clear();
         for (at, one) in groups.iter().enumerate() {
@@ -102,7 +104,11 @@
                     let _ = consensus.receive(clock, from, &bytes);
                     continue;
                 }
-                assert_eq!(consensus.receive(clock, from, &bytes), Ok(()), "voters understand each other");
+                assert_eq!(
+                    consensus.receive(clock, from, &bytes),
+                    Ok(()),
+                    "voters accept each other's messages"
+                );
             }
         }
         ids.iter().for_each(|id| self.flush(*id));
@@ -118,7 +124,7 @@
         }
     }
 
-    /// Writes and sends what a voter has given out.
+    /// Carries out a voter's next batch: writes it to the disk and puts its messages in transit.
     fn flush(&mut self, id: VoterId) {
         let Some(batch) = self.replicas.get_mut(&id).and_then(Consensus::take_batch) else { return };
         match batch.write {
@@ -131,14 +137,14 @@
                 continue;
             }
             let last = self.last_arrival.entry((id, to)).or_default();
-            // One in ten is late.
+            // One message in ten is delayed by more than one tick.
             let delay = if self.random.u8(..10) == 0 { self.random.u64(2..6) } else { 1 };
             *last = (*last).max(self.tick + delay);
             self.in_transit.push((*last, id, to, bytes));
         }
     }
 
-    /// Has whoever leads propose.
+    /// Lets every voter propose; only a leader's proposal is accepted.
     fn propose(&mut self) {
         for consensus in self.replicas.values_mut() {
             let based = consensus.decided().newest(TOPIC).epoch;
@@ -164,7 +170,7 @@
         self.replicas[&voter].decided().newest(TOPIC).epoch
     }
 
-    /// Epochs decided in so many ticks.
+    /// Runs the network for `ticks` ticks and returns the number of epochs decided in them.
     fn epochs_decided_in(&mut self, ticks: u64) -> u64 {
         let before = self.epoch();
         self.run(ticks);
@@ -172,7 +178,7 @@
     }
 }
 
-/// Plays faults by seed.
+/// Runs a random sequence of faults chosen by `seed`, and checks that the fleet decides again once healed.
 fn run_with_faults(voters: u64, seed: u64) {
     let mut net = SimulatedNetwork::new(voters, seed);
     net.run(60);
@@ -184,13 +190,14 @@
             2 if net.replicas.values().all(Consensus::is_voting)
                 && (1..=voters).all(|v| net.disks.contains_key(&v)) =>
             {
-                // A voter loses its file; all the others have theirs.
+                // A voter loses its vote file while all other voters have theirs.
                 net.kill(voter);
                 net.disks.remove(&voter);
                 net.start(voter);
             }
             3 => {
-                // A torn end: a batch that was written and not synced was not answered for.
+                // An incomplete write at the end: a batch that was written but not synced has had no messages
+                // sent for it.
                 net.kill(voter);
                 if let Some(disk) = net.disks.get_mut(&voter) {
                     disk.extend([1, 2, 3]);
@@ -220,5 +227,5 @@
     net.run(100);
     let known = net.epoch();
     net.run(200);
-    assert!(net.epoch() > known, "healed, it decides again");
+    assert!(net.epoch() > known, "no decision after the network healed");
 }
--- a/src/consensus/types.rs
+++ b/src/consensus/types.rs
@@ -1,99 +1,102 @@
-//! What a voter is configured with, what it gives out, and its errors.
+//! Configuration, output and errors of a voter.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A voter's number: its place among the voters of the operator's file, from 1.
+/// Identifies a voter: its 1-based position among the voters of the operator's file.
 pub type VoterId = u64;
 
-/// Longest body of a decision, in bytes: the entries of a log that is not compacted yet fit one frame between members.
-/// What is longer travels as a document.
+/// Maximum length of a decision's body, in bytes. The log entries that are not compacted yet must fit in one
+/// frame between members; longer content is transferred as a document.
 pub const MAX_DECISION_BYTES: usize = 1024;
 
-/// The settings of a voter.
+/// Configuration of a voter.
 #[derive(Clone, Debug)]
 pub struct ConsensusConfig {
-    /// This voter.
+    /// The ID of this voter.
     pub voter_id: VoterId,
-    /// How many voters there are: 3, 5 or 7.
+    /// The number of voters: 3, 5 or 7.
     pub voter_count: u64,
-    /// The fleet's generation: raised by operators who start anew after a majority's disks were lost.
+    /// The fleet's generation. Operators raise it to start over after a majority of the voters has lost its
+    /// disks.
     pub generation: u32,
-    /// Differs at each start: it distinguishes replies to this process from those to an earlier one.
+    /// A number that differs between starts. It distinguishes replies to this process from replies to an
+    /// earlier one.
     pub nonce: u64,
 }
 
-/// Why a voter cannot be started.
+/// The reason a voter cannot be started.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum ConsensusError {
     /// The number of voters is not supported.
-    #[error("{0} voters: 3, 5 or 7 are needed")]
+    #[error("{0} voters configured; 3, 5 or 7 are required")]
     Voters(u64),
-    /// The library refuses the settings.
-    #[error("the consensus's settings: {0}")]
+    /// `omnipaxos` rejects the configuration.
+    #[error("invalid consensus configuration: {0}")]
     Settings(String),
 }
 
-/// Why a message was not taken.
+/// The reason a received message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReceiveError {
-    /// The sender is this voter itself, or no voter.
-    #[error("a message from {0}, which is not another voter")]
+    /// The sender is this voter itself or not a voter.
+    #[error("message from {0}, which is not another voter")]
     UnknownSender(VoterId),
-    /// The bytes are no message.
-    #[error("a message that does not decode")]
+    /// The bytes do not decode to a message.
+    #[error("malformed message")]
     Malformed,
-    /// The message names another sender or receiver than the link that it arrived on.
-    #[error("a message whose sender or receiver differs from its link")]
+    /// The sender or receiver in the message differs from the link on which it arrived.
+    #[error("sender or receiver of the message differs from its link")]
     Misaddressed,
-    /// The message is of a kind or size that voters of this program do not send.
-    #[error("a message of an unexpected kind or size")]
+    /// The kind or size of the message is one that voters never send.
+    #[error("unexpected kind or size of message")]
     OutOfBounds,
 }
 
-/// A leader and how many of its heartbeat rounds a majority has followed. Of two terms the greater is newer.
+/// A leader together with the number of its heartbeat rounds that a majority has followed. The greater of two
+/// terms is the newer one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaderTerm {
     /// The number of the leader's ballot.
     pub(super) ballot: u32,
-    /// The leader; 0 before the first.
+    /// The leader's voter ID; 0 before the first leader.
     pub(super) leader: VoterId,
-    /// How many of its rounds a majority has followed.
+    /// The number of the leader's rounds that a majority has followed.
     pub(super) round: u64,
 }
 
 impl LeaderTerm {
-    /// The leader whose rounds are counted; none before the first.
+    /// Returns the leader of this term, or `None` before the first leader.
     pub fn leader(&self) -> Option<VoterId> {
         (self.leader > 0).then_some(self.leader)
     }
 }
 
-/// What is to be written to the voter's file.
+/// A write to a voter's vote file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// Nothing.
+    /// No write.
     Nothing,
-    /// These bytes, at the file's end.
+    /// Append these bytes to the file.
     Append(Vec<u8>),
-    /// The whole file, by a new one and a rename.
+    /// Replace the whole file: write a new one and rename it over the old one.
     Replace(Vec<u8>),
 }
 
-/// An encoded message for another voter.
+/// An encoded message to another voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
-    /// The receiver.
+    /// The receiving voter.
     pub to: VoterId,
     /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// The output of a step. Batches are to be carried out in order.
+/// The output of a voter's step. The caller carries out batches in order.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// What must be on disk before anything is sent.
+    /// The write that must be synced before any message is sent.
     pub write: Write,
-    /// Messages to other voters.
+    /// The messages to other voters.
     pub messages: Vec<OutgoingMessage>,
 }
--- a/src/consensus/vote_file.rs
+++ b/src/consensus/vote_file.rs
@@ -1,7 +1,7 @@
-//! The form of a voter's file.
+//! File format of a voter's vote file.
 //!
-//! It owns the bytes; the caller reads the file, writes what a `Batch` has, and cuts a torn end. All numbers are
-//! little-endian.
+//! This module encodes and decodes the bytes. The caller reads the file, carries out the write of each
+//! `Batch`, and truncates an incomplete last frame. All numbers are little-endian.
 //!
 //! ```text
 //! header, 18 bytes
@@ -9,14 +9,15 @@
 //!    8  version      2  1
 //!   10  generation   4  of the fleet
 //!   14  checksum     4  CRC-32C of bytes 0 to 13
-//! frames, from byte 18 to the end; each a batch of changes that counts as a whole or not at all
+//! frames, from byte 18 to the end; each is a batch of changes that is applied as a whole or not at all
 //!    0  length       4  of the body
 //!    4  checksum     4  CRC-32C of the length's four bytes
 //!    8  checksum     4  CRC-32C of the body
 //!   12  body            `Vec<Change>` by postcard
 //! ```
 //!
-//! The length has a checksum of its own, so that a damaged length in the middle is not mistaken for a torn last frame.
+//! The length has its own checksum, so that a corrupt length in the middle of the file is not mistaken for an
+//! incomplete last frame.
 
 use thiserror::Error;
 
@@ -24,7 +25,7 @@
 use super::types::Write;
 
 const MAGIC: &[u8; 8] = b"micabeam";
-/// The version of the form that is written and read.
+/// The file format version that is written and read.
 const VERSION: u16 = 1;
 const VERSION_OFFSET: usize = 8;
 const GENERATION_OFFSET: usize = 10;
@@ -33,45 +34,49 @@
 const LENGTH_CHECKSUM_OFFSET: usize = 4;
 const BODY_CHECKSUM_OFFSET: usize = 8;
 const FRAME_HEADER_BYTES: usize = 12;
-/// Largest file that is read, in bytes: many times what is ever written, so that a wrong path does not fill the memory.
+/// Maximum size of a file that is read, in bytes. It is many times what is ever written, and keeps a wrong
+/// path from exhausting memory.
 pub const MAX_FILE_BYTES: usize = 4 << 20;
-/// Length in bytes from which on a file is written anew rather than appended to: many batches, so that this is rare.
+/// File size in bytes from which on the next write replaces the file instead of appending to it. It holds
+/// many batches, so that replacing is rare.
 pub(super) const REWRITE_FILE_BYTES: usize = 256 << 10;
 
-/// Why a voter's file does not read.
+/// The reason a vote file cannot be read.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum FileError {
-    /// It is something else.
-    #[error("it is not a voter's file")]
-    Foreign,
-    /// It is of a version that this program does not know.
-    #[error("it is of version {0}; this program knows {VERSION}")]
+    /// The file is not a vote file, or its header is corrupt.
+    #[error("not a vote file, or its header is corrupt")]
+    NotVoteFile,
+    /// The file has a version that this program does not support.
+    #[error("the file has format version {0}; this program supports version {VERSION}")]
     Version(u16),
-    /// It is of another generation of the fleet.
-    #[error("it is of generation {0}, not of this one")]
+    /// The file belongs to another generation of the fleet.
+    #[error("the file belongs to generation {0} of the fleet, not to the configured one")]
     Generation(u32),
-    /// It is damaged before its end: other voters rely on what follows, which must not be thrown away.
-    #[error("it is damaged at byte {0}, and not at its end")]
+    /// The file is corrupt before its end. The data after the corrupt frame must not be discarded, since
+    /// other voters rely on it.
+    #[error("the file is corrupt at byte {0}, before its last frame")]
     Damaged(usize),
-    /// It is longer than what is read.
-    #[error("it has more than {MAX_FILE_BYTES} bytes")]
-    Long,
+    /// The file exceeds the maximum size.
+    #[error("the file is larger than {MAX_FILE_BYTES} bytes")]
+    TooLong,
 }
 
-/// What a file has.
+/// The content of a vote file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VoteFileContent {
-    /// The voter's state; none where the file has never had a whole batch.
+    /// The voter's state; `None` if the file has no complete frame.
     pub persisted: Option<Persisted>,
-    /// Bytes up to the end of the last whole batch: what follows is torn, and to be cut.
+    /// Length in bytes up to the end of the last complete frame. The rest is an incomplete write and must be
+    /// truncated.
     pub valid_bytes: usize,
 }
 
-/// Decides whether changes are appended to the file or the file is written anew.
+/// Decides whether to append changes to the file or to replace it.
 #[derive(Debug)]
 pub(super) struct VoteFileWriter {
     generation: u32,
-    /// Length of the file in bytes; none before this process has written it.
+    /// Size of the file in bytes; `None` until this process has written it.
     file_bytes: Option<usize>,
 }
 
@@ -80,7 +85,8 @@
         VoteFileWriter { generation, file_bytes: None }
     }
 
-    /// The write that brings the file up to date, where `changes` lead to what `storage` has.
+    /// Returns the write that brings the file up to date. `changes` are the changes since the last write,
+    /// which led to the state in `storage`.
     pub(super) fn next_write(&mut self, changes: &[Change], storage: &MemoryStorage) -> Write {
         match self.file_bytes {
             Some(length) if length < REWRITE_FILE_BYTES => {
@@ -101,7 +107,7 @@
     }
 }
 
-/// The header of a file.
+/// Encodes the header of a vote file.
 pub fn encode_header(generation: u32) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend(VERSION.to_le_bytes());
@@ -110,9 +116,9 @@
     bytes
 }
 
-/// A batch of changes as a frame.
+/// Encodes a batch of changes as a frame.
 pub fn encode_frame(changes: &[Change]) -> Vec<u8> {
-    // Encoding into a vector cannot run out of space.
+    // Encoding into a growable vector cannot run out of space.
     let body = postcard::to_stdvec(changes).unwrap_or_default();
     let length = (body.len() as u32).to_le_bytes();
     let mut bytes = length.to_vec();
@@ -126,22 +132,23 @@
     Some(u32::from_le_bytes(bytes.get(offset..offset + 4)?.try_into().ok()?))
 }
 
-fn is_zeros(bytes: &[u8]) -> bool {
+fn is_all_zeros(bytes: &[u8]) -> bool {
     bytes.iter().all(|byte| *byte == 0)
 }
 
-/// Reads a file of a generation. A torn end is no error.
+/// Decodes a vote file of the given generation. An incomplete last frame is not an error.
 ///
 /// # Errors
-/// Where the file is another one's, of another version or generation, too long, or damaged before its end.
+/// If the file is not a vote file, has another version or generation, is too long, or is corrupt before its
+/// end.
 pub fn read(bytes: &[u8], generation: u32) -> Result<VoteFileContent, FileError> {
     if bytes.len() > MAX_FILE_BYTES {
-        return Err(FileError::Long);
+        return Err(FileError::TooLong);
     }
     if bytes.len() < HEADER_BYTES {
-        // The first write of a header may be torn too.
-        let is_torn = is_zeros(bytes) || MAGIC.starts_with(&bytes[..bytes.len().min(MAGIC.len())]);
-        return if is_torn { Ok(VoteFileContent::default()) } else { Err(FileError::Foreign) };
+        // The first write of a header may be incomplete too.
+        let is_torn = is_all_zeros(bytes) || MAGIC.starts_with(&bytes[..bytes.len().min(MAGIC.len())]);
+        return if is_torn { Ok(VoteFileContent::default()) } else { Err(FileError::NotVoteFile) };
     }
     check_header(bytes, generation)?;
     let mut content = VoteFileContent { persisted: None, valid_bytes: HEADER_BYTES };
@@ -159,11 +166,11 @@
     Ok(content)
 }
 
-/// Checks the header of a file that is long enough for one.
+/// Checks the header of a file that has at least `HEADER_BYTES` bytes.
 fn check_header(bytes: &[u8], generation: u32) -> Result<(), FileError> {
     let checksum = crc32c::crc32c(&bytes[..HEADER_CHECKSUM_OFFSET]);
     if !bytes.starts_with(MAGIC) || read_u32(bytes, HEADER_CHECKSUM_OFFSET) != Some(checksum) {
-        return Err(FileError::Foreign);
+        return Err(FileError::NotVoteFile);
     }
     let version = u16::from_le_bytes([bytes[VERSION_OFFSET], bytes[VERSION_OFFSET + 1]]);
     if version != VERSION {
@@ -178,16 +185,16 @@
 enum FrameRead {
     Whole {
         changes: Vec<Change>,
-        /// Of the frame, in bytes.
+        /// Length of the frame in bytes.
         length: usize,
     },
-    /// The end of a write that was not finished, and so not synced: nobody relies on it.
+    /// An incomplete write at the end of the file. It was never synced, so nobody relies on it.
     Torn,
-    /// What was synced has changed.
+    /// Data that had been synced is corrupt.
     Damaged,
 }
 
-/// Reads the frame that `bytes` begin with; they go on to the file's end.
+/// Decodes the frame at the start of `bytes`, which extend to the end of the file.
 fn read_frame(bytes: &[u8]) -> FrameRead {
     let (Some(body_length), Some(length_checksum), Some(body_checksum)) =
         (read_u32(bytes, 0), read_u32(bytes, LENGTH_CHECKSUM_OFFSET), read_u32(bytes, BODY_CHECKSUM_OFFSET))
@@ -195,8 +202,8 @@
         return FrameRead::Torn;
     };
     if crc32c::crc32c(&body_length.to_le_bytes()) != length_checksum {
-        // Space that was reserved for the file and never written is zeros to its end.
-        return if is_zeros(bytes) { FrameRead::Torn } else { FrameRead::Damaged };
+        // Preallocated space that was never written consists of zeros up to the end of the file.
+        return if is_all_zeros(bytes) { FrameRead::Torn } else { FrameRead::Damaged };
     }
     let length = FRAME_HEADER_BYTES + body_length as usize;
     let Some(body) = bytes.get(FRAME_HEADER_BYTES..length) else {
--- a/src/consensus/voter.rs
+++ b/src/consensus/voter.rs
@@ -1,5 +1,5 @@
-//! One voter: its state machine, which drives the library and gives out what is to be written and sent. The states and
-//! messages are listed at the head of `super`.
+//! The state machine of one voter. It drives `omnipaxos` and returns the resulting writes and messages. The
+//! parent module documents its states and messages.
 
 use std::mem;
 
@@ -19,25 +19,26 @@
 };
 use super::vote_file::VoteFileWriter;
 
-/// Ticks after which a new leader asks voters again whom they followed before, 100 ms. Shorter than the resend interval,
-/// since a rollout waits for the replies.
+/// Interval at which a new leader repeats `FollowedRequest`, in ticks: 100 ms. It is shorter than the resend
+/// interval because a rollout waits for the replies.
 const FOLLOWED_REQUEST_INTERVAL_TICKS: u64 = 2;
-/// Decided entries after which the log is compacted into a snapshot: with `MAX_DECISION_BYTES` each they fit one frame.
+/// Number of decided entries after which the log is compacted into a snapshot. This many entries of
+/// `MAX_DECISION_BYTES` each fit in one frame.
 const SNAPSHOT_AFTER_ENTRIES: usize = 32;
-/// Fillers are proposed while fewer entries than this are undecided, so that a leader without a majority does not fill
-/// its log with them.
+/// A filler is proposed only while fewer entries than this are undecided, so that a leader without a majority
+/// does not fill its log with fillers.
 const MAX_UNDECIDED_FOR_FILLER: usize = SNAPSHOT_AFTER_ENTRIES;
 
-/// The states; `Consensus::start_voting` and `Consensus::fail` make all transitions.
+/// States of a voter. All transitions are made by `Consensus::start_voting` and `Consensus::fail`.
 enum Phase {
-    /// Its file was lost or never written: it collects the states of the others.
+    /// The vote file was lost or never written; the voter collects the states of the other voters.
     Recovering(Recovery),
     Voting(Box<Paxos>),
-    /// Its disk failed, or the library refused its settings: it votes no more.
+    /// A write failed or `omnipaxos` rejected the configuration; the voter no longer votes.
     Failed,
 }
 
-/// One voter.
+/// A voter.
 pub struct Consensus {
     pub(super) config: ConsensusConfig,
     phase: Phase,
@@ -45,25 +46,27 @@
     file: VoteFileWriter,
     outgoing: Vec<OutgoingMessage>,
     decided: Decisions,
-    /// How many entries of the log `decided` includes.
+    /// The number of log entries applied to `decided`.
     applied_entries: usize,
     ticks: u64,
-    /// Ticks for which a proposal has waited for a majority.
+    /// Consecutive ticks during which the log has held undecided entries.
     undecided_ticks: u64,
     term: LeaderTerm,
-    /// When the last round began that a majority followed this voter in.
+    /// Start of the last round in which a majority followed this voter.
     confirmed_round_ms: f64,
     heartbeat: HeartbeatRounds,
-    /// The caller's clock at the last tick or message.
+    /// The caller's time at the last tick or message.
     now_ms: f64,
     superseded: u64,
 }
 
 impl Consensus {
-    /// A voter with the state that its file has; without one it recovers from the others first.
+    /// Creates a voter from the state in its vote file; without a state it first recovers from the other
+    /// voters.
     ///
     /// # Errors
-    /// `Voters` where the number of voters is not supported, `Settings` where the library refuses the settings.
+    /// `Voters` if the number of voters is not supported, `Settings` if `omnipaxos` rejects the
+    /// configuration.
     pub fn new(
         config: ConsensusConfig,
         persisted: Option<Persisted>,
@@ -94,7 +97,8 @@
         Ok(consensus)
     }
 
-    /// Recovering to Voting. The whole state is written first, whatever the file was.
+    /// Makes the transition from Recovering to Voting. The first write replaces the whole file, whatever its
+    /// content.
     fn start_voting(&mut self, persisted: Persisted) -> Result<(), ConsensusError> {
         self.storage = MemoryStorage::new(persisted);
         let paxos = library::build(&self.config, self.storage.clone())?;
@@ -103,18 +107,19 @@
         Ok(())
     }
 
-    /// Any state to Failed: after a failed write this voter must not promise what it cannot remember.
+    /// Makes the transition from any state to Failed. After a failed write the voter must not make promises
+    /// that it could lose.
     pub fn fail(&mut self) {
         self.phase = Phase::Failed;
         self.outgoing.clear();
     }
 
-    /// Whether it votes.
+    /// Whether this voter votes.
     pub fn is_voting(&self) -> bool {
         self.paxos().is_some()
     }
 
-    /// The library's state, while this voter votes.
+    /// Returns the `omnipaxos` replica, or `None` unless this voter votes.
     fn paxos(&self) -> Option<&Paxos> {
         match &self.phase {
             Phase::Voting(paxos) => Some(paxos),
@@ -122,60 +127,61 @@
         }
     }
 
-    /// The voter that this one has promised to follow, which leads or is about to.
+    /// Returns the voter that this one has promised to follow, which leads or is about to lead.
     pub fn leader(&self) -> Option<VoterId> {
         self.paxos()?.get_current_leader().map(|(leader, _)| leader)
     }
 
-    /// Whether this voter leads and can propose.
+    /// Whether this voter leads and may propose.
     pub fn is_leader(&self) -> bool {
         self.paxos().is_some_and(|paxos| is_led_by(paxos, self.config.voter_id))
     }
 
-    /// What is decided.
+    /// Returns the newest decision of each topic.
     pub fn decided(&self) -> &Decisions {
         &self.decided
     }
 
-    /// The newest term in which a majority followed this voter as the leader.
+    /// Returns the newest term in which a majority followed this voter as the leader.
     pub fn term(&self) -> LeaderTerm {
         self.term
     }
 
-    /// The voters that followed this one in the last round that a majority followed, itself among them; none where it does
-    /// not lead.
+    /// Returns the voters, including this one, that followed this voter in the last round that a majority
+    /// followed; empty if it does not lead.
     pub fn followers(&self) -> Vec<VoterId> {
         if self.is_leader() { self.heartbeat.followers() } else { Vec::new() }
     }
 
-    /// When the last round began that a majority followed this voter in, in milliseconds of the caller's clock; none where
-    /// it does not lead, or was not followed under this ballot yet.
+    /// Returns the start of the last round in which a majority followed this voter, in milliseconds of the
+    /// caller's clock; `None` if it does not lead or no round was confirmed under its current ballot.
     pub fn last_confirmed_round(&self) -> Option<f64> {
         let promise = self.paxos()?.get_promise();
         let is_own_term = self.term.ballot == promise.n && self.term.leader == promise.pid;
         (is_own_term && self.is_leader()).then_some(self.confirmed_round_ms)
     }
 
-    /// The latest time, in milliseconds of the caller's clock, at which a leader before this one may have begun a round
-    /// that a majority followed; none where this voter does not lead, or does not know yet.
+    /// Returns the latest time, in milliseconds of the caller's clock, at which an earlier leader may have
+    /// begun a round that a majority followed; `None` if this voter does not lead or does not know yet.
     pub fn predecessors_last_round(&self) -> Option<f64> {
         let promise = self.paxos()?.get_promise();
         self.heartbeat.predecessors_last_round(promise).filter(|_| self.is_leader())
     }
 
-    /// Whether all that is in its log is decided.
+    /// Whether every entry of this voter's log is decided.
     pub fn log_is_committed(&self) -> bool {
         self.paxos().is_some_and(|paxos| paxos.get_accepted_idx() <= paxos.get_decided_idx())
     }
 
-    /// How many proposals of the log, as far as it was applied here, had no effect since another decision was made before
-    /// them.
+    /// Returns the number of proposals, among the log entries applied here, that were superseded by an
+    /// earlier entry.
     pub fn superseded(&self) -> u64 {
         self.superseded
     }
 
-    /// Proposes a decision that builds on `based_on_epoch`, the newest epoch known. False where this voter does not lead,
-    /// where it has not decided what it proposed before, or where the body is longer than `MAX_DECISION_BYTES`.
+    /// Proposes a decision based on `based_on_epoch`, the newest epoch known to the caller. Returns false if
+    /// this voter does not lead, if its log has undecided entries, or if the body is longer than
+    /// `MAX_DECISION_BYTES`.
     pub fn propose(&mut self, topic: u8, based_on_epoch: u64, body: Vec<u8>) -> bool {
         if !self.is_leader() || body.len() > MAX_DECISION_BYTES {
             return false;
@@ -187,7 +193,7 @@
         is_accepted
     }
 
-    /// A tick of the clock: to be called twenty times a second.
+    /// Advances the timers by one tick. Called twenty times a second.
     pub fn tick(&mut self, now_ms: f64) {
         self.now_ms = now_ms;
         self.ticks += 1;
@@ -208,8 +214,8 @@
         paxos.tick();
         let undecided = paxos.get_accepted_idx().saturating_sub(paxos.get_decided_idx());
         self.undecided_ticks = if undecided == 0 { 0 } else { self.undecided_ticks + 1 };
-        // A voter notices a lost message only by the next one. Proposals are made one at a time, so that the leader has to
-        // add a filler as the next one.
+        // A voter detects a lost message only when the next one arrives. Proposals are made one at a time, so
+        // the leader has to append a filler to produce that next message.
         if self.undecided_ticks > 0
             && self.undecided_ticks.is_multiple_of(RESEND_INTERVAL_TICKS)
             && undecided < MAX_UNDECIDED_FOR_FILLER
@@ -222,7 +228,7 @@
         }
     }
 
-    /// As a new leader, asks voters when they last followed another one.
+    /// If this voter is a new leader, asks other voters when they last followed another leader.
     fn send_followed_requests(&mut self) {
         if !self.is_leader() {
             return;
@@ -233,10 +239,10 @@
         }
     }
 
-    /// A message of another voter.
+    /// Handles a message from another voter.
     ///
     /// # Errors
-    /// Where the message is not one that this voter can take; it has no effect then.
+    /// If the message is rejected; it then has no effect.
     pub fn receive(&mut self, now_ms: f64, from: VoterId, bytes: &[u8]) -> Result<(), ReceiveError> {
         self.now_ms = now_ms;
         if from == self.config.voter_id || !(1..=self.config.voter_count).contains(&from) {
@@ -312,7 +318,7 @@
         self.outgoing.push(OutgoingMessage { to, bytes: message.encode() });
     }
 
-    /// Takes what the library wants to send, and what it has decided.
+    /// Collects the messages and decided entries that `omnipaxos` has produced.
     fn process_library_output(&mut self) {
         let Phase::Voting(paxos) = &mut self.phase else { return };
         let mut messages = Vec::new();
@@ -329,7 +335,7 @@
         self.apply_decided();
     }
 
-    /// Raises the term for the current round, once a majority follows this voter in it.
+    /// Advances the term once per round, when a majority has followed this voter in the current round.
     fn confirm_round(&mut self) {
         let Some(ballot) = self.paxos().map(Paxos::get_promise).filter(|_| self.is_leader()) else {
             return;
@@ -344,7 +350,7 @@
         self.term = LeaderTerm { ballot: ballot.n, leader: ballot.pid, round };
     }
 
-    /// Applies the entries that were decided since the last call, and compacts the log.
+    /// Applies the entries decided since the last call and compacts the log when it is long enough.
     fn apply_decided(&mut self) {
         let Phase::Voting(paxos) = &mut self.phase else { return };
         for entry in paxos.read_decided_suffix(self.applied_entries).unwrap_or_default() {
@@ -359,12 +365,12 @@
         }
         self.applied_entries = paxos.get_decided_idx();
         if self.applied_entries > paxos.get_compacted_idx() + SNAPSHOT_AFTER_ENTRIES {
-            // Without effect where it cannot be done now; it is tried again.
+            // Has no effect if it is not possible now; the next call tries again.
             let _ = paxos.snapshot(Some(self.applied_entries), true);
         }
     }
 
-    /// What is to be written and sent since the last batch.
+    /// Returns the write and the messages produced since the last call, or `None` if there are none.
     pub fn take_batch(&mut self) -> Option<Batch> {
         let changes = self.storage.take_unwritten();
         let messages = mem::take(&mut self.outgoing);
--- a/src/frontend/fleet/vote_log/tests.rs
+++ b/src/frontend/fleet/vote_log/tests.rs
@@ -27,7 +27,7 @@
     assert!(read(&path, 1).unwrap().is_some());
     assert!(read(&path, 2).unwrap().is_none(), "a new generation begins");
     fs::write(&path, "something else, and long").unwrap();
-    assert!(read(&path, 1).unwrap_err().to_string().contains("not a voter's file"));
+    assert!(read(&path, 1).unwrap_err().to_string().contains("not a vote file, or its header is corrupt"));
     let (full, told) = VoteLog::start(PathBuf::from("/dev/full")).unwrap();
     assert!(full.write(Write::Append(vec![1])));
     assert!(!wait(&told));
