--- a/src/control_plane/tests/frames.rs
+++ b/src/control_plane/tests/frames.rs
@@ -29,15 +29,15 @@
     for (bytes, error) in [
         (frame(2).encode("prod", 1), FrameError::Cluster),
         (frame(2).encode("test", 2), FrameError::Cluster),
-        (vec![0; MAX_FRAME_BYTES + 1], FrameError::Long),
+        (vec![0; MAX_FRAME_BYTES + 1], FrameError::TooLong),
         (b"MB\x09rest".to_vec(), FrameError::Version),
-        (b"GET / HTTP/1.1".to_vec(), FrameError::Damaged),
-        (good[..good.len() - 1].to_vec(), FrameError::Damaged),
-        (good.iter().enumerate().map(|(at, b)| b ^ u8::from(at == 9)).collect(), FrameError::Damaged),
+        (b"GET / HTTP/1.1".to_vec(), FrameError::Invalid),
+        (good[..good.len() - 1].to_vec(), FrameError::Invalid),
+        (good.iter().enumerate().map(|(at, b)| b ^ u8::from(at == 9)).collect(), FrameError::Invalid),
     ] {
         assert_eq!(node.receive(1e6, 1, &bytes), Err(error));
     }
-    assert_eq!(node.receive(1e6, 2, &good), Err(FrameError::Damaged), "under another's name");
+    assert_eq!(node.receive(1e6, 2, &good), Err(FrameError::Invalid), "under another's name");
     assert_eq!(node.node().counters().dropped, 8);
     let decisions = vec![Decision { topic: zones::TOPIC, epoch: 9, body: vec![0xff; 9] }];
     let update = Body::DecisionUpdate { decisions, term: crate::consensus::LeaderTerm::default() };
--- a/src/fleet/decision_exchange.rs
+++ b/src/fleet/decision_exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange of decisions: what a member knows to be decided, and under which leader. Voters learn decisions from the
-//! log and send them on; every member asks voters for what it may have missed.
+//! The exchange of decisions: the decisions and the leader term that a member knows. Voters learn decisions
+//! from the log and forward them; every member queries voters for decisions that it may have missed.
 
 use std::collections::BTreeMap;
 
@@ -8,21 +8,21 @@
 use super::types::{MemberId, NodeEvent};
 use crate::consensus::{DecisionRef, LeaderTerm};
 
-/// Time between two decision queries of a member, in milliseconds: a new decision is sent to all at once, but that frame
-/// may be lost.
+/// Interval between two decision queries of a member, in milliseconds. A new decision is sent to all members
+/// at once, but that frame may be lost.
 const DECISION_QUERY_INTERVAL_MS: f64 = 250.0;
 
-/// What a member knows of the decisions.
+/// The decisions and the term that a member knows.
 #[derive(Debug)]
 pub(super) struct KnownDecisions {
     /// The newest decision of each topic.
     newest: BTreeMap<u8, Decision>,
-    /// The newest term.
+    /// The newest known term.
     term: LeaderTerm,
-    /// When the term last rose.
+    /// When the newest term became known.
     term_raised_ms: f64,
     last_query_ms: f64,
-    /// How many times voters were queried while a leader was known.
+    /// The number of times that voters were queried while a leader was known.
     queries: usize,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether a decision is newer than what was known of its topic; it is known then.
+    /// Records a decision if it is newer than the known one of its topic, and returns whether it was.
     fn learn(&mut self, decision: &Decision) -> bool {
         let topic = decision.topic;
         let known = self.newest.entry(topic).or_insert(Decision { topic, epoch: 0, body: Vec::new() });
@@ -58,7 +58,7 @@
         self.newest.values().map(|known| KnownEpoch { topic: known.topic, epoch: known.epoch }).collect()
     }
 
-    /// The decisions that are newer than those that another member knows.
+    /// Returns the decisions that are newer than the given epochs, which another member knows.
     fn newer_than(&self, epochs: &[KnownEpoch]) -> Vec<Decision> {
         let is_unknown = |decision: &&Decision| {
             let known = epochs.iter().find(|known| known.topic == decision.topic);
@@ -76,7 +76,7 @@
 }
 
 impl FleetNode {
-    /// Queries voters for newer decisions, where the last query is long enough ago.
+    /// Queries voters for newer decisions if the query interval has passed.
     pub(super) fn query_decisions(&mut self, now_ms: f64) {
         if now_ms < self.known.last_query_ms + DECISION_QUERY_INTERVAL_MS {
             return;
@@ -88,7 +88,8 @@
         }
     }
 
-    /// The voters to query now: the leader, and one of the others in turn. All of them where no leader is known.
+    /// Returns the voters to query now: the leader and one of the others in rotation, or all others if no
+    /// leader is known.
     fn voters_to_query(&mut self) -> Vec<MemberId> {
         let own = self.member_id();
         let others: Vec<MemberId> = self.voters().iter().copied().filter(|voter| *voter != own).collect();
@@ -99,13 +100,13 @@
         others.into_iter().enumerate().filter(is_queried).map(|(_, voter)| voter).collect()
     }
 
-    /// Answers a decision query of another member.
+    /// Replies to a decision query of another member.
     pub(super) fn reply_to_query(&mut self, to: MemberId, epochs: &[KnownEpoch]) {
         let decisions = self.known.newer_than(epochs);
         self.send(to, Body::DecisionUpdate { decisions, term: self.known.term });
     }
 
-    /// Learns what the log of this voter has decided.
+    /// Learns the decisions in this voter's log, and its term.
     pub(super) fn follow_consensus(&mut self, now_ms: f64) {
         let Some(consensus) = &self.consensus else { return };
         let term = consensus.term();
@@ -122,7 +123,8 @@
             .collect();
         self.known.raise_term(now_ms, term);
         if begins_to_lead {
-            // Guards against leases that run out while members still ask a leader that has gone.
+            // Tells members of the new leader at once, so that their leases do not expire while they still
+            // ask the previous one.
             self.send_update_to_all(&[]);
         }
         for decision in newer {
@@ -130,14 +132,14 @@
         }
     }
 
-    /// Learns a decision, and as a voter sends it on to all members.
+    /// Learns a decision; a voter also forwards it to all members.
     pub(super) fn learn_decision(&mut self, decision: Decision) {
         if !self.known.learn(&decision) {
             return;
         }
         self.counters.decisions += 1;
         self.events.push_back(NodeEvent::Decided { topic: decision.topic });
-        // Voters alone learn a decision first, from the log.
+        // A new decision first becomes known to voters, from the log, so they must forward it.
         if self.is_voter() {
             self.send_update_to_all(&[decision]);
         }
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Proposes a decision that builds on the newest epoch known of its topic. False where this node does not lead, or
-    /// has not decided what it proposed before.
+    /// Proposes a decision based on the newest known epoch of its topic. Returns false if this node does not
+    /// lead or its log has undecided entries.
     pub fn propose(&mut self, now_ms: f64, topic: u8, body: Vec<u8>) -> bool {
         let based_on_epoch = self.newest_decision(topic).epoch;
         let Some(consensus) = &mut self.consensus else { return false };
@@ -164,17 +166,17 @@
         true
     }
 
-    /// The newest decision of a topic; epoch 0 where there is none.
+    /// Returns the newest decision of a topic; its epoch is 0 if there is none.
     pub fn newest_decision(&self, topic: u8) -> DecisionRef<'_> {
         self.known.newest(topic)
     }
 
-    /// The newest term known.
+    /// Returns the newest known term.
     pub fn term(&self) -> LeaderTerm {
         self.known.term
     }
 
-    /// When the newest term became known, in milliseconds.
+    /// Returns the time at which the newest term became known, in milliseconds.
     pub fn term_raised_ms(&self) -> f64 {
         self.known.term_raised_ms
     }
--- a/src/fleet/delivery.rs
+++ b/src/fleet/delivery.rs
@@ -1,34 +1,37 @@
-//! Which frames of one member are accepted: each once, and of most kinds only what is newer than what was accepted before.
+//! Duplicate and reordering filter for the frames of one member: no frame is accepted twice, and of most
+//! kinds only a frame newer than all accepted before it. Chunks of documents are exempt.
 
 use super::frame::{Body, Frame};
 use crate::consensus;
 
-/// Channels of `DeliveryOrder::NewestOnly`. A frame that overtakes one of another channel is no reason to drop that one.
+/// Number of `DeliveryOrder::NewestOnly` channels. Each channel is ordered on its own, so a frame that
+/// overtakes one of another channel does not cause that one to be dropped.
 const CHANNEL_COUNT: usize = 12;
 const SWIM_CHANNEL: usize = 0;
 const CONSENSUS_CHANNEL: usize = 1;
 const DECISION_QUERY_CHANNEL: usize = 2;
 const DECISION_UPDATE_CHANNEL: usize = 3;
-/// The first channel of module messages: the rest of the channels is shared out among the topics.
+/// First channel of module messages. The topics share this and the following channels.
 const FIRST_MODULE_CHANNEL: usize = 4;
-/// How far behind the newest one a heartbeat is still accepted, in frames: as many as `ReplayWindow` has bits.
+/// How far behind the newest one a heartbeat is still accepted, in frames: the number of bits in
+/// `ReplayWindow`.
 const REPLAY_WINDOW_FRAMES: u64 = 128;
 
-/// In which order frames of a kind are accepted.
+/// The order in which frames of a kind are accepted.
 enum DeliveryOrder {
-    /// In any, also repeatedly: chunks of documents name their place.
+    /// Any order, repeats included: chunks of documents carry their position.
     Unordered,
-    /// Each once, also where others have overtaken it.
+    /// Each frame once, even if others have overtaken it.
     Once,
-    /// Only what is newer than all before it on the channel.
+    /// Only frames newer than all accepted before on the channel.
     NewestOnly { channel: usize },
 }
 
 fn delivery_order(body: &Body) -> DeliveryOrder {
     let channel = match body {
         Body::Swim(_) => SWIM_CHANNEL,
-        // Guards against leaders that are replaced for nothing: a datagram network reorders, and a reply to a heartbeat
-        // that another message has overtaken is still valid.
+        // A heartbeat reply that another message has overtaken is still valid. Dropping it would make the
+        // fleet replace leaders needlessly, since a datagram network reorders.
         Body::Consensus(message) if consensus::is_heartbeat(message) => return DeliveryOrder::Once,
         Body::Consensus(_) => CONSENSUS_CHANNEL,
         Body::DecisionQuery(_) => DECISION_QUERY_CHANNEL,
@@ -41,16 +44,16 @@
     DeliveryOrder::NewestOnly { channel }
 }
 
-/// The numbers that were accepted lately: the newest, and a bit for each of those before it.
+/// The recently accepted frame numbers: the newest one, and a bit for each of the numbers before it.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReplayWindow {
     newest: u64,
-    /// Bit n is for the number `newest - n`.
+    /// Bit n stands for the number `newest - n`.
     accepted: u128,
 }
 
 impl ReplayWindow {
-    /// Whether a number was not accepted before and is not too old to know; it counts as accepted then.
+    /// Accepts a number unless it was accepted before or is too old to tell, and returns whether it did.
     fn accept(&mut self, number: u64) -> bool {
         if number > self.newest {
             let advance = number - self.newest;
@@ -68,7 +71,7 @@
     }
 }
 
-/// What was accepted from one member: the incarnation that sent it, and the newest numbers.
+/// What was accepted from one member: its incarnation, and the newest frame numbers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReorderFilter {
     incarnation: u64,
@@ -77,7 +80,7 @@
 }
 
 impl ReorderFilter {
-    /// Whether a frame is accepted; its number is used up then.
+    /// Accepts a frame and records its number, or returns false.
     pub(super) fn accept(&mut self, frame: &Frame) -> bool {
         if frame.incarnation < self.incarnation {
             return false;
--- a/src/fleet/documents.rs
+++ b/src/fleet/documents.rs
@@ -1,9 +1,9 @@
-//! Documents that are too long for a decision: the log has a document's hash, and its bytes travel apart, in chunks that
-//! are requested one by one.
+//! Documents that are too long for a decision. The log carries only a document's hash; its bytes are
+//! transferred separately, in chunks that are requested one by one.
 //!
-//! It owns the documents that are here and the requests for those that are not. It leaves the sending to the node, which
-//! asks for `due_requests`, serves `chunk` and passes on what it receives to `receive_chunk`. A document is checked
-//! against its hash before it is stored.
+//! This module owns the stored documents and the pending requests. The node does the sending: it sends the
+//! `due_requests`, answers requests with `chunk`, and passes received chunks to `receive_chunk`. A document
+//! is verified against its hash before it is stored.
 
 #[cfg(test)]
 mod tests;
@@ -15,46 +15,46 @@
 
 use super::types::MemberId;
 
-/// A document's name: the BLAKE3 hash of its bytes.
+/// Identifies a document: the BLAKE3 hash of its bytes.
 pub type DocumentHash = [u8; 32];
 
-/// Longest document, in bytes.
+/// Maximum size of a document, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 256 << 10;
-/// Length of a chunk, in bytes: with its header it fits a frame.
+/// Size of a chunk, in bytes. Together with its header it fits in a frame.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Documents that are stored: bounds the memory to 2 MiB.
+/// Maximum number of stored documents, which bounds their memory to 2 MiB.
 const MAX_STORED_DOCUMENTS: usize = 8;
-/// Documents that are requested at a time.
+/// Maximum number of documents requested at the same time.
 const MAX_PENDING_DOCUMENTS: usize = 4;
 /// Time after which another member is asked, in milliseconds: two ticks of the node.
 const REQUEST_TIMEOUT_MS: f64 = 100.0;
-/// Bytes of a hash that `short` writes out.
+/// Number of bytes of a hash that `short_hex` prints.
 const SHORT_HASH_BYTES: usize = 6;
 
-/// The hash of a document.
+/// Returns the hash of a document.
 pub fn hash(bytes: &[u8]) -> DocumentHash {
     *blake3::hash(bytes).as_bytes()
 }
 
-/// The beginning of a hash in hexadecimal, for people.
-pub fn short(hash: &DocumentHash) -> String {
+/// Returns the first bytes of a hash in hexadecimal, for logs.
+pub fn short_hex(hash: &DocumentHash) -> String {
     hash[..SHORT_HASH_BYTES].iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A part of a document, as frames carry it.
+/// A part of a document, as sent in frames.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The document.
+    /// The hash of the document.
     pub hash: DocumentHash,
-    /// Length of the document, in bytes.
+    /// Size of the whole document, in bytes.
     pub document_bytes: u32,
-    /// The chunk's place in the document, from 0.
+    /// The index of the chunk, from 0.
     pub index: u16,
-    /// Its bytes.
+    /// The content of the chunk.
     pub bytes: Vec<u8>,
 }
 
-/// A chunk that is to be requested of a member.
+/// A chunk to be requested from a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DueRequest {
     pub(super) member: MemberId,
@@ -62,15 +62,15 @@
     pub(super) index: u16,
 }
 
-/// A document on its way here.
+/// A requested document that is not complete.
 struct PendingDocument {
-    /// Its length in bytes, once a chunk has named it.
+    /// The document's size in bytes, once a chunk has stated it.
     length: Option<usize>,
-    /// Its chunks, once the length is known.
+    /// The received chunks, once the size is known.
     chunks: Vec<Option<Vec<u8>>>,
     last_request_ms: f64,
     requests: usize,
-    /// A member that has it, as far as is known.
+    /// A member that is believed to have the document.
     source: Option<MemberId>,
 }
 
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Whom to ask next: every other time a member that should have it, else all in turn.
+    /// Returns the member to ask next: on every other request `source`, otherwise all members in rotation.
     fn next_member(&self, alive: &[MemberId]) -> Option<MemberId> {
         let in_turn = alive.get(self.requests / 2 % alive.len().max(1)).copied();
         let source = self.source.filter(|source| self.requests.is_multiple_of(2) && alive.contains(source));
         source.or(in_turn)
     }
 
-    /// The chunks that are missing; the first alone while the length is not known.
+    /// Returns the indexes of the missing chunks; only the first while the size is not known.
     fn missing_chunks(&self) -> Vec<u16> {
         if self.length.is_none() {
             return vec![0];
@@ -101,7 +101,8 @@
         indexes.filter(|index| self.chunks[usize::from(*index)].is_none()).collect()
     }
 
-    /// Adds a chunk; one that does not fit the document is ignored. Whether all chunks are here after it.
+    /// Adds a chunk and returns whether the document now has all of its chunks. A chunk that does not fit the
+    /// document is ignored.
     fn insert(&mut self, from: MemberId, chunk: Chunk) -> bool {
         let length = chunk.document_bytes as usize;
         if length > MAX_DOCUMENT_BYTES || self.length.is_some_and(|known| known != length) {
@@ -110,7 +111,7 @@
         if self.length.is_none() {
             self.length = Some(length);
             self.chunks = vec![None; length.div_ceil(CHUNK_BYTES).max(1)];
-            // The other chunks are requested at once.
+            // Makes the requests for the other chunks due at once.
             (self.last_request_ms, self.requests) = (f64::NEG_INFINITY, 0);
         }
         self.source = Some(from);
@@ -132,13 +133,13 @@
 /// The documents of a member.
 #[derive(Default)]
 pub(super) struct Documents {
-    /// The least recently used one first.
+    /// Ordered by last use, the least recently used document first.
     stored: VecDeque<StoredDocument>,
     pending: BTreeMap<DocumentHash, PendingDocument>,
 }
 
 impl Documents {
-    /// Stores a document, and gives its hash; none where it is longer than `MAX_DOCUMENT_BYTES`.
+    /// Stores a document and returns its hash; `None` if it is longer than `MAX_DOCUMENT_BYTES`.
     pub(super) fn store(&mut self, bytes: &[u8]) -> Option<DocumentHash> {
         if bytes.len() > MAX_DOCUMENT_BYTES {
             return None;
@@ -154,7 +155,7 @@
         Some(hash)
     }
 
-    /// A document that is here. It becomes the most recently used one.
+    /// Returns a stored document and marks it as the most recently used one.
     pub(super) fn get(&mut self, hash: &DocumentHash) -> Option<Arc<[u8]>> {
         let position = self.stored.iter().position(|document| document.hash == *hash)?;
         let document = self.stored.remove(position)?;
@@ -163,20 +164,20 @@
         Some(bytes)
     }
 
-    /// Has a document requested until it is here, first of a member that should have it. Without effect while
-    /// `MAX_PENDING_DOCUMENTS` are requested.
+    /// Requests a document until it arrives. `source` is a member expected to have it, which is asked first.
+    /// Has no effect while `MAX_PENDING_DOCUMENTS` are requested.
     pub(super) fn request(&mut self, hash: DocumentHash, source: Option<MemberId>) {
         if self.pending.len() < MAX_PENDING_DOCUMENTS && self.get(&hash).is_none() {
             self.pending.entry(hash).or_insert_with(|| PendingDocument::new(source));
         }
     }
 
-    /// Requests a document no more.
+    /// Stops requesting a document.
     pub(super) fn cancel_request(&mut self, hash: &DocumentHash) {
         self.pending.remove(hash);
     }
 
-    /// The chunks to request now, of `alive`: the members that are up, without this one.
+    /// Returns the chunk requests that are due. `alive` lists the members that are up, without this one.
     pub(super) fn due_requests(&mut self, now_ms: f64, alive: &[MemberId]) -> Vec<DueRequest> {
         let mut requests = Vec::new();
         for (&hash, pending) in &mut self.pending {
@@ -191,7 +192,7 @@
         requests
     }
 
-    /// A chunk of a document that is here.
+    /// Returns a chunk of a stored document.
     pub(super) fn chunk(&mut self, hash: &DocumentHash, index: u16) -> Option<Chunk> {
         let document = self.get(hash)?;
         let start = usize::from(index) * CHUNK_BYTES;
@@ -199,8 +200,8 @@
         Some(Chunk { hash: *hash, document_bytes: document.len() as u32, index, bytes })
     }
 
-    /// A chunk was received. True where its document is complete now. A document with another hash than its name is
-    /// requested anew.
+    /// Handles a received chunk. Returns true if it completes its document. A completed document whose hash
+    /// does not match is requested again from the start.
     pub(super) fn receive_chunk(&mut self, from: MemberId, chunk: Chunk) -> bool {
         let hash = chunk.hash;
         let Some(pending) = self.pending.get_mut(&hash) else { return false };
--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -1,16 +1,17 @@
-//! Frames: what members send one another, each in a datagram.
+//! Frames: the datagrams that members exchange, one frame each.
 //!
-//! It owns the form; who may send what is the node's to check. A frame is
+//! This module encodes and decodes frames. The node checks who may send which frame. A frame is
 //!
 //! ```text
 //!    0  magic      2  "MB"
 //!    2  version    1  3
-//!    3  checksum   4  CRC-32C of all that follows, little-endian
-//!    7  header        by postcard: cluster (its name), generation, from, incarnation, number,
-//!                     and the body with its length before it
+//!    3  checksum   4  CRC-32C of everything after it, little-endian
+//!    7  header        `postcard`: cluster name, generation, from, incarnation, number,
+//!                     and the body prefixed with its length
 //! ```
 //!
-//! and the body is a `Body` by postcard, so that its variants and fields keep their order.
+//! and the body is a `Body` encoded with `postcard`, so the order of its variants and fields is part of the
+//! wire format.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -20,43 +21,44 @@
 use crate::consensus::LeaderTerm;
 
 const MAGIC: &[u8; 2] = b"MB";
-/// The version of the form that is written and read.
+/// The frame format version that is written and read.
 const VERSION: u8 = 3;
-/// Longest frame, in bytes: it fits a UDP datagram.
+/// Maximum frame size, in bytes. It fits in a UDP datagram.
 pub const MAX_FRAME_BYTES: usize = 60_000;
 
-/// Why a frame is dropped.
+/// The reason a frame is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// It is longer than any that is sent.
-    #[error("a frame of more than {MAX_FRAME_BYTES} bytes")]
-    Long,
-    /// It is of another version.
-    #[error("a frame of another version")]
+    /// The frame is longer than any frame that is sent.
+    #[error("frame larger than {MAX_FRAME_BYTES} bytes")]
+    TooLong,
+    /// The frame has another format version.
+    #[error("frame with an unsupported version")]
     Version,
-    /// It is of another cluster, or of another generation of it.
-    #[error("a frame of another cluster or generation")]
+    /// The frame belongs to another cluster, or to another generation of it.
+    #[error("frame of another cluster or generation")]
     Cluster,
-    /// It does not decode, or is not from the member whose address it came from.
-    #[error("a frame that does not read")]
-    Damaged,
-    /// Its sender may not send this body, or the body has more than a frame may.
-    #[error("a frame that its sender may not send")]
+    /// The frame does not decode, does not come from the member that owns its source address, or carries a
+    /// SWIM packet or consensus message that is rejected.
+    #[error("malformed frame, frame from the wrong sender, or rejected content")]
+    Invalid,
+    /// The sender may not send this kind of body, or the body has more topics than allowed.
+    #[error("frame with a body that its sender may not send")]
     Unexpected,
 }
 
-/// A decision on its way to a member.
+/// A decision sent to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
     /// The topic.
     pub topic: u8,
-    /// Its epoch.
+    /// The epoch.
     pub epoch: u64,
-    /// The decision itself; its form is the topic's module's.
+    /// The encoded decision, in the format of the topic's module.
     pub body: Vec<u8>,
 }
 
-/// The epoch of the newest decision that a member knows of a topic.
+/// The epoch of the newest decision of a topic that a member knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownEpoch {
     /// The topic.
@@ -65,14 +67,14 @@
     pub epoch: u64,
 }
 
-/// What a frame carries.
+/// The content of a frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// A packet of SWIM.
+    /// A SWIM packet.
     Swim(Vec<u8>),
-    /// A message of the consensus.
+    /// A message between voters, as encoded by `crate::consensus`.
     Consensus(Vec<u8>),
-    /// A member asks a voter for decisions that are newer than those that it knows.
+    /// Asks a voter for decisions newer than those that the sender knows.
     DecisionQuery(Vec<KnownEpoch>),
     /// Decisions that the receiver may not know.
     DecisionUpdate {
@@ -85,14 +87,14 @@
     ModuleMessage {
         /// The module's topic.
         topic: u8,
-        /// The message; its form is the module's.
+        /// The encoded message, in the format of the module.
         bytes: Vec<u8>,
     },
-    /// Asks for a chunk of a document.
+    /// Requests a chunk of a document.
     ChunkRequest {
-        /// The document.
+        /// The hash of the document.
         hash: DocumentHash,
-        /// The chunk's place in the document, from 0.
+        /// The index of the chunk, from 0.
         index: u16,
     },
     /// A chunk of a document.
@@ -109,23 +111,23 @@
     body: &'a [u8],
 }
 
-/// A frame with what its header says of the sender.
+/// A decoded frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The sender's place in the operator's file.
+    /// The sender.
     pub from: MemberId,
-    /// When the sender's process started, by its clock.
+    /// Start time of the sender's process, by its clock.
     pub incarnation: u64,
-    /// Counts the frames from the sender to the receiver.
+    /// Sequence number of the frame among those from the sender to the receiver.
     pub number: u64,
-    /// What it carries.
+    /// The content.
     pub body: Body,
 }
 
 impl Frame {
-    /// The datagram of this frame.
+    /// Encodes this frame as a datagram.
     pub fn encode(&self, cluster: &str, generation: u32) -> Vec<u8> {
-        // Encoding into a vector cannot run out of space.
+        // Encoding into a growable vector cannot run out of space.
         let body = postcard::to_stdvec(&self.body).unwrap_or_default();
         let Frame { from, incarnation, number, .. } = *self;
         let header = Header { cluster, generation, from, incarnation, number, body: &body };
@@ -137,31 +139,31 @@
         bytes
     }
 
-    /// Reads a datagram as a frame of a cluster and its generation. Whatever the bytes, it does not panic.
+    /// Decodes a datagram as a frame of a cluster and generation. It never panics, whatever the bytes.
     ///
     /// # Errors
-    /// Where the datagram is no such frame.
+    /// If the datagram is not such a frame.
     pub fn decode(bytes: &[u8], cluster: &str, generation: u32) -> Result<Frame, FrameError> {
         if bytes.len() > MAX_FRAME_BYTES {
-            return Err(FrameError::Long);
+            return Err(FrameError::TooLong);
         }
-        let rest = bytes.strip_prefix(MAGIC).ok_or(FrameError::Damaged)?;
-        let (version, rest) = rest.split_first().ok_or(FrameError::Damaged)?;
+        let rest = bytes.strip_prefix(MAGIC).ok_or(FrameError::Invalid)?;
+        let (version, rest) = rest.split_first().ok_or(FrameError::Invalid)?;
         if *version != VERSION {
             return Err(FrameError::Version);
         }
-        let (checksum, rest) = rest.split_first_chunk::<4>().ok_or(FrameError::Damaged)?;
+        let (checksum, rest) = rest.split_first_chunk::<4>().ok_or(FrameError::Invalid)?;
         if crc32c::crc32c(rest) != u32::from_le_bytes(*checksum) {
-            return Err(FrameError::Damaged);
+            return Err(FrameError::Invalid);
         }
         let Ok((header, [])) = postcard::take_from_bytes::<Header<'_>>(rest) else {
-            return Err(FrameError::Damaged);
+            return Err(FrameError::Invalid);
         };
         if header.cluster != cluster || header.generation != generation {
             return Err(FrameError::Cluster);
         }
         let Ok((body, [])) = postcard::take_from_bytes(header.body) else {
-            return Err(FrameError::Damaged);
+            return Err(FrameError::Invalid);
         };
         Ok(Frame { from: header.from, incarnation: header.incarnation, number: header.number, body })
     }
--- a/src/fleet/node.rs
+++ b/src/fleet/node.rs
@@ -1,4 +1,5 @@
-//! The node of a member: it takes frames, drives membership, consensus and documents, and collects effects and events for the caller.
+//! A member's node. It handles frames, drives membership, consensus and documents, and collects effects and
+//! events for the caller.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,34 +14,37 @@
     Batch, Consensus, ConsensusConfig, ConsensusError, OutgoingMessage, Persisted, VoterId, Write,
 };
 
-/// Most members of a fleet.
+/// Maximum number of members of a fleet.
 pub const MAX_MEMBERS: usize = 4096;
-/// Time between two ticks, in milliseconds.
+/// Interval between two ticks, in milliseconds.
 pub const TICK_MS: f64 = 50.0;
-/// Most events that wait for the caller, so that peers cannot fill the memory; further module messages are dropped.
+/// Maximum number of events queued for the caller, so that peers cannot exhaust memory. Further module
+/// messages are dropped.
 const MAX_QUEUED_EVENTS: usize = 4096;
-/// Most messages that wait for one write, where a disk is slow; further ones are dropped, and sent again by the library.
+/// Maximum number of messages queued behind one write, which matters with a slow disk. Further ones are
+/// dropped, and `omnipaxos` sends them again.
 const MAX_MESSAGES_PER_WRITE: usize = 4096;
-/// Most topics of a frame: several times as many as the control plane has modules.
+/// Maximum number of topics in a frame: several times the number of control-plane modules.
 const MAX_TOPICS_PER_FRAME: usize = 16;
 
-/// The node of one member.
+/// A member's node.
 pub struct FleetNode {
     config: NodeConfig,
-    /// The members that vote, in order.
+    /// The voters, in the order of the operator's file.
     voters: Vec<MemberId>,
-    /// This member's number among them.
+    /// This member's voter ID; `None` if it is not a voter.
     voter_id: Option<VoterId>,
-    /// Where this member is a voter.
+    /// This member's consensus voter; `None` if it is not a voter.
     pub(super) consensus: Option<Consensus>,
-    /// Messages that wait for a write, of each batch; the first for the write that is under way.
+    /// Messages that wait for a write to be synced, one entry per pending write; the first entry belongs to
+    /// the oldest write.
     awaiting_write: VecDeque<Vec<OutgoingMessage>>,
     swim: Swim,
     documents: Documents,
     pub(super) known: KnownDecisions,
-    /// One for each member.
+    /// One filter for each member.
     filters: Vec<ReorderFilter>,
-    /// The number of the last frame to each member.
+    /// The number of the last frame sent to each member.
     sent_frames: Vec<u64>,
     last_tick_ms: f64,
     effects: Vec<Effect>,
@@ -50,10 +54,11 @@
 }
 
 impl FleetNode {
-    /// A node, with the state that its voter's file has.
+    /// Creates a node, with the state read from its vote file.
     ///
     /// # Errors
-    /// Where the member is a voter and its consensus cannot be set up, as with an unsupported number of voters.
+    /// If the member is a voter and its consensus cannot be set up, for example because the number of voters
+    /// is not supported.
     pub fn new(
         config: NodeConfig,
         persisted: Option<Persisted>,
@@ -91,23 +96,23 @@
         })
     }
 
-    /// What is to be done since the last call, in order. The caller must carry out all of it.
+    /// Returns the effects since the last call, in order. The caller must carry out all of them.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         self.flush();
         std::mem::take(&mut self.effects)
     }
 
-    /// The next event for a module. The caller must ask until there is none.
+    /// Returns the next event for a module. The caller must call this until it returns `None`.
     pub fn next_event(&mut self) -> Option<NodeEvent> {
         self.events.pop_front()
     }
 
-    /// When `tick` is to be called next, in milliseconds.
+    /// Returns the time at which `tick` is due next, in milliseconds.
     pub fn next_deadline(&self) -> f64 {
         self.last_tick_ms + TICK_MS
     }
 
-    /// Drives all that depends on the clock.
+    /// Advances everything that depends on the clock.
     pub fn tick(&mut self, now_ms: f64) {
         self.last_tick_ms = now_ms;
         let random = &mut self.random;
@@ -120,11 +125,11 @@
         self.send_chunk_requests(now_ms);
     }
 
-    /// A datagram from a member's address. What is not accepted is counted and dropped.
+    /// Handles a datagram from a member's address. A rejected datagram is counted and dropped.
     ///
     /// # Errors
-    /// Where the datagram is no frame of this cluster from that member, or its body is not accepted. A frame that is late
-    /// or repeated is no error.
+    /// If the datagram is not a frame of this cluster from that member, or its body is rejected. A frame that
+    /// is late or repeated is not an error.
     pub fn receive(&mut self, now_ms: f64, from: MemberId, bytes: &[u8]) -> Result<(), FrameError> {
         self.counters.received_bytes += bytes.len() as u64;
         let result = self.decode(from, bytes).and_then(|frame| self.receive_frame(now_ms, frame));
@@ -137,12 +142,12 @@
     fn decode(&self, from: MemberId, bytes: &[u8]) -> Result<Frame, FrameError> {
         let frame = Frame::decode(bytes, &self.config.cluster, self.config.generation)?;
         let is_from_member = frame.from == from && from != self.config.member_id;
-        if is_from_member { Ok(frame) } else { Err(FrameError::Damaged) }
+        if is_from_member { Ok(frame) } else { Err(FrameError::Invalid) }
     }
 
     fn receive_frame(&mut self, now_ms: f64, frame: Frame) -> Result<(), FrameError> {
-        let filter = self.filters.get_mut(usize::from(frame.from)).ok_or(FrameError::Damaged)?;
-        // Modules rely on the order of each link.
+        let filter = self.filters.get_mut(usize::from(frame.from)).ok_or(FrameError::Invalid)?;
+        // Modules rely on in-order delivery on each link.
         if !filter.accept(&frame) {
             self.counters.stale += 1;
             return Ok(());
@@ -158,11 +163,11 @@
     fn dispatch(&mut self, now_ms: f64, frame: Frame) -> Result<(), FrameError> {
         let Frame { from, incarnation, body, .. } = frame;
         match body {
-            Body::Swim(packet) => self.swim.receive(now_ms, &packet).map_err(|_| FrameError::Damaged)?,
+            Body::Swim(packet) => self.swim.receive(now_ms, &packet).map_err(|_| FrameError::Invalid)?,
             Body::Consensus(message) => {
                 let voter = voter_id(&self.voters, from).ok_or(FrameError::Unexpected)?;
                 let consensus = self.consensus.as_mut().ok_or(FrameError::Unexpected)?;
-                consensus.receive(now_ms, voter, &message).map_err(|_| FrameError::Damaged)?;
+                consensus.receive(now_ms, voter, &message).map_err(|_| FrameError::Invalid)?;
             }
             Body::DecisionQuery(epochs) => {
                 if !self.is_voter() || epochs.len() > MAX_TOPICS_PER_FRAME {
@@ -200,7 +205,8 @@
         Ok(())
     }
 
-    /// The oldest `Effect::Write` has been written and synced, or has failed: then this voter votes no more.
+    /// Reports that the oldest pending `Effect::Write` has been synced or has failed. After a failure this
+    /// voter no longer votes.
     pub fn on_written(&mut self, is_synced: bool) {
         if !is_synced {
             self.awaiting_write.clear();
@@ -213,7 +219,8 @@
         self.send_to_voters(messages);
     }
 
-    /// Sends a message to the same module of another member; one to this member is delivered as an event.
+    /// Sends a message to the same module of another member. A message to this member itself is delivered as
+    /// an event.
     pub fn send_message(&mut self, to: MemberId, topic: u8, bytes: Vec<u8>) {
         if to == self.config.member_id {
             let incarnation = self.config.incarnation;
@@ -222,18 +229,18 @@
         self.send(to, Body::ModuleMessage { topic, bytes });
     }
 
-    /// Stores a document for others to request, and gives its hash; none where it is too long.
+    /// Stores a document for others to request, and returns its hash; `None` if the document is too long.
     pub fn store_document(&mut self, bytes: &[u8]) -> Option<DocumentHash> {
         self.documents.store(bytes)
     }
 
-    /// A document, where it is here.
+    /// Returns a stored document, or `None` if it is not stored here.
     pub fn document(&mut self, hash: &DocumentHash) -> Option<Arc<[u8]>> {
         self.documents.get(hash)
     }
 
-    /// Has a document requested until it is here or `cancel_document_request` is called, first of a member that should
-    /// have it.
+    /// Requests a document until it arrives or `cancel_document_request` is called. `source` is a member
+    /// expected to have it, which is asked first.
     pub fn request_document(&mut self, now_ms: f64, hash: DocumentHash, source: Option<MemberId>) {
         self.documents.request(hash, source);
         self.send_chunk_requests(now_ms);
@@ -248,64 +255,64 @@
         }
     }
 
-    /// Requests a document no more.
+    /// Stops requesting a document.
     pub fn cancel_document_request(&mut self, hash: &DocumentHash) {
         self.documents.cancel_request(hash);
     }
 
-    /// When the last round began in which a majority followed this node as the leader, in milliseconds; none where the
-    /// newest term known is another leader's.
+    /// Returns the start of the last round in which a majority followed this node as the leader, in
+    /// milliseconds; `None` if the newest known term is another leader's.
     pub fn last_confirmed_round(&self) -> Option<f64> {
         let is_own_term = self.term().leader() == self.voter_id;
         self.consensus.as_ref().filter(|_| is_own_term)?.last_confirmed_round()
     }
 
-    /// The latest time, in milliseconds, at which a leader before this one may have begun a round that a majority
-    /// followed; none where this node does not lead, or does not know yet.
+    /// Returns the latest time, in milliseconds, at which an earlier leader may have begun a round that a
+    /// majority followed; `None` if this node does not lead or does not know yet.
     pub fn predecessors_last_round(&self) -> Option<f64> {
         self.consensus.as_ref()?.predecessors_last_round()
     }
 
-    /// The voter that leads, as a member: the one that a majority was last known to follow. A voter that was cut off may
-    /// not know that by its own log for long.
+    /// Returns the member that leads: the one last known to be followed by a majority. This is preferred to
+    /// the voter's own log, which in a voter that was cut off may name an outdated leader for some time.
     pub fn leader(&self) -> Option<MemberId> {
         let leader = self.term().leader().or_else(|| self.consensus.as_ref()?.leader());
         self.voters.get((leader? as usize).checked_sub(1)?).copied()
     }
 
-    /// The members whose votes carry this leader; none where it does not lead.
+    /// Returns the members that follow this node as the leader; empty if it does not lead.
     pub fn followers(&self) -> Vec<MemberId> {
         let followers = self.consensus.as_ref().map(Consensus::followers).unwrap_or_default();
         followers.iter().filter_map(|voter| self.voters.get(*voter as usize - 1).copied()).collect()
     }
 
-    /// The members that vote.
+    /// Returns the members that are voters, in the order of the operator's file.
     pub fn voters(&self) -> &[MemberId] {
         &self.voters
     }
 
-    /// Whether this member is a voter by the operator's file.
+    /// Whether the operator's file makes this member a voter.
     pub(super) fn is_voter(&self) -> bool {
         self.voter_id.is_some()
     }
 
-    /// This member.
+    /// Returns the ID of this member.
     pub fn member_id(&self) -> MemberId {
         self.config.member_id
     }
 
-    /// What the operator's file says of all members.
+    /// Returns the configuration of all members.
     pub fn members(&self) -> &[MemberConfig] {
         &self.config.members
     }
 
-    /// All members but this one.
+    /// Returns all members except this one.
     pub(super) fn other_members(&self) -> impl Iterator<Item = MemberId> + use<> {
         let own = self.config.member_id;
         (0..self.config.members.len() as MemberId).filter(move |member| *member != own)
     }
 
-    /// Gives out what membership and consensus want sent and written.
+    /// Turns the output of membership and consensus into effects.
     fn flush(&mut self) {
         for packet in self.swim.take_packets() {
             self.send(packet.to, Body::Swim(packet.bytes));
@@ -319,7 +326,7 @@
         }
         match self.awaiting_write.back_mut() {
             None => self.send_to_voters(messages),
-            // Batches stay in order: these messages wait for the last write before them.
+            // Batches must stay in order, so these messages wait for the last pending write.
             Some(last) if last.len() < MAX_MESSAGES_PER_WRITE => last.extend(messages),
             Some(_) => {}
         }
@@ -345,39 +352,39 @@
         }
     }
 
-    /// What it has counted.
+    /// Returns the node's counters.
     pub fn counters(&self) -> &NodeCounters {
         &self.counters
     }
 
-    /// Whether each member is up, in the order of the operator's file.
+    /// Returns whether each member is up, in the order of the operator's file.
     pub fn alive(&self) -> &[bool] {
         self.swim.alive()
     }
 
-    /// Whether it votes now; none where it is no voter.
+    /// Whether this member votes now; `None` if it is not a voter.
     pub fn is_voting(&self) -> Option<bool> {
         self.consensus.as_ref().map(Consensus::is_voting)
     }
 
-    /// Whether it leads.
+    /// Whether this member leads.
     pub fn is_leader(&self) -> bool {
         self.consensus.as_ref().is_some_and(Consensus::is_leader)
     }
 
-    /// Whether all that this voter has in its log is decided.
+    /// Whether every entry of this voter's log is decided; false if this member is not a voter.
     pub fn log_is_committed(&self) -> bool {
         self.consensus.as_ref().is_some_and(Consensus::log_is_committed)
     }
 
-    /// How many proposals of the log, as far as it was applied here, had no effect since another decision was made before
-    /// them; 0 where this member is no voter.
+    /// Returns the number of proposals, among the log entries applied here, that were superseded by an
+    /// earlier entry; 0 if this member is not a voter.
     pub fn superseded(&self) -> u64 {
         self.consensus.as_ref().map_or(0, Consensus::superseded)
     }
 }
 
-/// A member's number among the voters, from 1.
+/// Returns a member's voter ID, from 1; `None` if it is not a voter.
 fn voter_id(voters: &[MemberId], member: MemberId) -> Option<VoterId> {
     voters.iter().position(|voter| *voter == member).map(|position| position as VoterId + 1)
 }
--- a/src/fleet/swim.rs
+++ b/src/fleet/swim.rs
@@ -1,7 +1,7 @@
-//! Membership: which members are up, by SWIM (`foca`), driven by packets and the clock.
+//! Membership: tracks which members are up, using SWIM (`foca`). Driven by packets and the clock.
 //!
-//! It owns the protocol's timers and what is known of the members. The caller passes on each packet and calls `tick`, and
-//! sends what `take_packets` gives.
+//! This module owns the protocol's timers and the state of the members. The caller passes on each received
+//! packet, calls `tick`, and sends the packets returned by `take_packets`.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -15,31 +15,32 @@
 
 use super::types::MemberId;
 
-/// Longest packet of the protocol, in bytes: it is not fragmented on a usual network.
+/// Maximum packet size, in bytes, chosen so that packets are not fragmented on a usual network.
 const MAX_PACKET_BYTES: usize = 1200;
-/// Most timers at a time: the library has a few for each member.
+/// Maximum number of pending timers. `foca` uses a few for each member.
 const MAX_TIMERS: usize = 8192;
-/// Time between two probes, in milliseconds.
+/// Interval between two probes, in milliseconds.
 const PROBE_PERIOD_MS: u64 = 300;
-/// Time for a direct probe's answer, in milliseconds; the rest of the period is for indirect ones.
+/// Timeout of a direct probe, in milliseconds. The rest of the period is left for indirect probes.
 const PROBE_TIMEOUT_MS: u64 = PROBE_PERIOD_MS / 3;
-/// Members that are asked to probe one that did not answer.
+/// Number of members that are asked to probe one that did not answer.
 const INDIRECT_PROBES: usize = 3;
-/// How long a member that does not answer is suspected before it counts as down, in milliseconds: two probe periods and
-/// more, so that it can refute.
+/// Time for which an unresponsive member is suspected before it counts as down, in milliseconds. It exceeds
+/// two probe periods, so that the member can refute the suspicion.
 const SUSPICION_TIMEOUT_MS: u64 = 700;
-/// Time between two rounds of gossip, in milliseconds.
+/// Interval between two rounds of gossip, in milliseconds.
 const GOSSIP_INTERVAL_MS: u64 = 200;
-/// Members that each round of gossip goes to.
+/// Number of members that receive each round of gossip.
 const GOSSIP_FANOUT: usize = 2;
-/// Most times that an update is sent, whatever the fleet's size.
+/// Maximum number of times that an update is sent, whatever the size of the fleet.
 const MAX_TRANSMISSIONS: u32 = 40;
-/// Time after which a member announces itself to one that is not known to be up, in milliseconds: two parts of the fleet
-/// that started or were cut apart would otherwise never learn of each other.
+/// Interval at which a member announces itself to a member that is not known to be up, in milliseconds.
+/// Without this, two parts of the fleet that started separately or were partitioned would never learn of each
+/// other.
 const ANNOUNCE_INTERVAL_MS: f64 = 500.0;
 
-/// A member's process. One that has started later replaces an earlier one of the same member; one that was declared down
-/// and is not goes on with the next renewal.
+/// Identifies a process of a member. A process that started later replaces an earlier one of the same member.
+/// A process that was wrongly declared down continues under the next renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SwimIdentity {
     member: MemberId,
@@ -63,7 +64,7 @@
     }
 }
 
-/// A timer of the library. Of two for the same time the older fires first.
+/// A pending `foca` timer. Of two timers due at the same time the older one fires first.
 #[derive(Clone, Debug)]
 struct PendingTimer {
     fires_at_ms: f64,
@@ -91,22 +92,22 @@
     }
 }
 
-/// A packet of the protocol for another member.
+/// A protocol packet for another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct SwimPacket {
     pub(super) to: MemberId,
     pub(super) bytes: Vec<u8>,
 }
 
-/// What the library has asked for.
+/// Collects the output of `foca`.
 #[derive(Default)]
 struct SwimRuntime {
     now_ms: f64,
-    /// Of the newest timer.
+    /// Sequence number of the newest timer.
     sequence: u64,
     outgoing: Vec<SwimPacket>,
     timers: BinaryHeap<Reverse<PendingTimer>>,
-    /// Whether a member went up or down.
+    /// Whether a member has gone up or down since the last refresh.
     has_changed: bool,
 }
 
@@ -130,11 +131,11 @@
     }
 }
 
-/// The members as one of them knows them.
+/// This member's view of which members are up.
 pub(super) struct Swim {
     foca: Foca<SwimIdentity, PostcardCodec, SmallRng, foca::NoCustomBroadcast>,
     runtime: SwimRuntime,
-    /// Whether each member is up; this one always is.
+    /// Whether each member is up; this member always is.
     alive: Vec<bool>,
     member_id: MemberId,
     last_announce_ms: f64,
@@ -151,10 +152,10 @@
         Swim { foca, runtime: SwimRuntime::default(), alive, member_id, last_announce_ms: f64::NEG_INFINITY }
     }
 
-    /// A packet of the protocol.
+    /// Handles a protocol packet.
     ///
     /// # Errors
-    /// Where the library cannot use it.
+    /// If `foca` rejects the packet.
     pub(super) fn receive(&mut self, now_ms: f64, bytes: &[u8]) -> Result<(), foca::Error> {
         self.runtime.now_ms = now_ms;
         let result = self.foca.handle_data(bytes, &mut self.runtime);
@@ -162,7 +163,8 @@
         result
     }
 
-    /// Fires timers and announces this member. `pick` chooses one of so many members that are not up.
+    /// Fires due timers and announces this member. `pick` chooses one of the given number of members that are
+    /// not up.
     pub(super) fn tick(&mut self, now_ms: f64, pick: impl FnOnce(usize) -> usize) {
         self.runtime.now_ms = now_ms;
         self.fire_timers(now_ms);
@@ -174,14 +176,15 @@
     }
 
     fn fire_timers(&mut self, now_ms: f64) {
-        // At most as many as there are now: a process that was frozen must not make up for each missed period.
+        // Fires at most as many timers as are pending now, so that a process that was frozen does not catch
+        // up on every missed period.
         for _ in 0..self.runtime.timers.len() {
             match self.runtime.timers.peek() {
                 Some(Reverse(next)) if next.fires_at_ms <= now_ms => {}
                 _ => break,
             }
             if let Some(Reverse(next)) = self.runtime.timers.pop() {
-                // The library answers a timer that is obsolete with an error.
+                // `foca` returns an error for an obsolete timer.
                 let _ = self.foca.handle_timer(next.timer, &mut self.runtime);
             }
         }
@@ -210,21 +213,22 @@
         }
     }
 
-    /// Whether each member is up, in the order of the operator's file.
+    /// Returns whether each member is up, in the order of the operator's file.
     pub(super) fn alive(&self) -> &[bool] {
         &self.alive
     }
 
-    /// The packets to be sent since the last call.
+    /// Returns and clears the packets queued since the last call.
     pub(super) fn take_packets(&mut self) -> Vec<SwimPacket> {
         std::mem::take(&mut self.runtime.outgoing)
     }
 }
 
-/// The library's settings for a fleet of so many members.
+/// Returns the `foca` configuration for a fleet of the given size.
 fn config(members: usize) -> Config {
     let at_least_one = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
-    // An update reaches all with near certainty after a few times the logarithm of their number.
+    // An update reaches all members with near certainty once it has been sent a few times the logarithm of
+    // their number.
     let transmissions = (4 + 2 * members.max(2).ilog2()).min(MAX_TRANSMISSIONS);
     Config {
         probe_period: Duration::from_millis(PROBE_PERIOD_MS),
@@ -232,11 +236,11 @@
         num_indirect_probes: at_least_one(INDIRECT_PROBES),
         max_transmissions: NonZeroU8::new(transmissions as u8).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: Duration::from_millis(SUSPICION_TIMEOUT_MS),
-        // The members are those of the operator's file: remembering those that are down takes no growing space.
+        // The operator's file defines the members, so remembering those that are down needs bounded space.
         remove_down_after: None,
         max_packet_size: at_least_one(MAX_PACKET_BYTES),
         notify_down_members: true,
-        // `Swim::announce` does this, for the members of the operator's file.
+        // `Swim::announce` does this instead, for the members of the operator's file.
         periodic_announce: None,
         periodic_announce_to_down_members: None,
         periodic_gossip: Some(PeriodicParams {
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Frames that overtake one another or come twice.
+//! Tests of frames that are reordered or repeated.
 
 use proptest::prelude::*;
 
@@ -6,7 +6,7 @@
 use super::frame::{Body, Frame};
 use crate::consensus::{Consensus, ConsensusConfig, Persisted, is_heartbeat};
 
-/// A heartbeat as a voter sends it.
+/// Returns a heartbeat as a voter sends it.
 fn heartbeat() -> Vec<u8> {
     let config = ConsensusConfig { voter_id: 1, voter_count: 3, generation: 1, nonce: 1 };
     let mut voter = Consensus::new(config, Some(Persisted::default()), 0.0).unwrap();
@@ -19,34 +19,44 @@
     Frame { from: 1, incarnation: 5, number, body }
 }
 
-/// Guards against leaders that are replaced for nothing where the network reorders.
+/// Guards against leaders that are replaced needlessly because the network reorders heartbeats.
 #[test]
-fn heartbeats_are_taken_once_in_any_order_and_others_only_forward() {
-    let (mut newest, body) = (ReorderFilter::default(), Body::Consensus(heartbeat()));
-    let takes = |newest: &mut ReorderFilter, number| newest.accept(&frame(number, body.clone()));
-    assert!(takes(&mut newest, 9) && takes(&mut newest, 7) && takes(&mut newest, 8));
-    assert!(!takes(&mut newest, 8) && !takes(&mut newest, 9), "each once");
-    let ask =
-        |newest: &mut ReorderFilter, number| newest.accept(&frame(number, Body::DecisionQuery(Vec::new())));
-    assert!(ask(&mut newest, 6), "another kind is numbered for itself");
-    assert!(!ask(&mut newest, 5) && !ask(&mut newest, 6));
-    assert!(takes(&mut newest, 500) && !takes(&mut newest, 10), "too old to tell");
+fn heartbeats_are_accepted_once_in_any_order_and_other_frames_only_if_newer() {
+    let (mut filter, body) = (ReorderFilter::default(), Body::Consensus(heartbeat()));
+    let accepts_heartbeat = |filter: &mut ReorderFilter, number| filter.accept(&frame(number, body.clone()));
+    assert!(
+        accepts_heartbeat(&mut filter, 9)
+            && accepts_heartbeat(&mut filter, 7)
+            && accepts_heartbeat(&mut filter, 8)
+    );
+    assert!(
+        !accepts_heartbeat(&mut filter, 8) && !accepts_heartbeat(&mut filter, 9),
+        "each heartbeat only once"
+    );
+    let accepts_query =
+        |filter: &mut ReorderFilter, number| filter.accept(&frame(number, Body::DecisionQuery(Vec::new())));
+    assert!(accepts_query(&mut filter, 6), "each channel tracks its own newest number");
+    assert!(!accepts_query(&mut filter, 5) && !accepts_query(&mut filter, 6));
+    assert!(
+        accepts_heartbeat(&mut filter, 500) && !accepts_heartbeat(&mut filter, 10),
+        "numbers before the replay window are rejected"
+    );
     let later = Frame { incarnation: 6, ..frame(1, body.clone()) };
     assert!(
-        newest.accept(&later) && !takes(&mut newest, 501),
-        "a later process, and then not the earlier one"
+        filter.accept(&later) && !accepts_heartbeat(&mut filter, 501),
+        "frames of a later process are accepted, then none of the earlier one"
     );
 }
 
 proptest! {
-    /// Whatever the order, no heartbeat is taken twice.
+    /// No heartbeat is accepted twice, whatever the order of arrival.
     #[test]
-    fn no_heartbeat_is_taken_twice(numbers in proptest::collection::vec(1u64..400, 0..200)) {
-        let (mut newest, body) = (ReorderFilter::default(), Body::Consensus(heartbeat()));
-        let mut taken = std::collections::BTreeSet::new();
+    fn no_heartbeat_is_accepted_twice(numbers in proptest::collection::vec(1u64..400, 0..200)) {
+        let (mut filter, body) = (ReorderFilter::default(), Body::Consensus(heartbeat()));
+        let mut accepted = std::collections::BTreeSet::new();
         for number in numbers {
-            if newest.accept(&frame(number, body.clone())) {
-                prop_assert!(taken.insert(number));
+            if filter.accept(&frame(number, body.clone())) {
+                prop_assert!(accepted.insert(number));
             }
         }
     }
--- a/src/fleet/types.rs
+++ b/src/fleet/types.rs
@@ -1,55 +1,57 @@
-//! What a node is configured with, what it gives out, and what it counts.
+//! Configuration, output and counters of a node.
 
 use super::documents::DocumentHash;
 use crate::consensus::Write;
 
-/// A dispatcher's place among the members of the operator's file, from 0.
+/// Identifies a member: its 0-based position among the members of the operator's file.
 pub type MemberId = u16;
 
-/// What the operator's file says of a member.
+/// Configuration of a member in the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberConfig {
-    /// Its zone.
+    /// The member's zone.
     pub zone: usize,
-    /// Whether it is a voter.
+    /// Whether the member is a voter.
     pub is_voter: bool,
 }
 
-/// The settings of a node.
+/// Configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The cluster's name.
     pub cluster: String,
     /// The fleet's generation.
     pub generation: u32,
-    /// All members.
+    /// All members, in the order of the operator's file.
     pub members: Vec<MemberConfig>,
-    /// This one.
+    /// The ID of this member.
     pub member_id: MemberId,
-    /// When this process started, in milliseconds of its clock: it distinguishes this process from an earlier one.
+    /// Start time of this process, in milliseconds of its clock. It distinguishes this process from an
+    /// earlier one of the same member.
     pub incarnation: u64,
-    /// For random numbers.
+    /// Seed of the node's random number generator.
     pub seed: u64,
 }
 
-/// What the caller is to do for a node.
+/// An action that the caller carries out for a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a datagram to a member.
     Send {
-        /// The member.
+        /// The receiving member.
         to: MemberId,
         /// The encoded frame.
         bytes: Vec<u8>,
     },
-    /// Write and sync to the voter's file, in order, and report each by `FleetNode::on_written`.
+    /// Write to the voter's vote file and sync it. The caller carries out writes in order and reports each by
+    /// `FleetNode::on_written`.
     Write(Write),
 }
 
 /// An event for a control-plane module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeEvent {
-    /// A message of the same module of another member.
+    /// A message from the same module of another member.
     Message {
         /// The module's topic.
         topic: u8,
@@ -60,23 +62,24 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// A topic has a newer decision: `FleetNode::newest_decision` has it.
+    /// A topic has a newer decision, available from `FleetNode::newest_decision`.
     Decided {
         /// The topic.
         topic: u8,
     },
-    /// A document that was requested is here.
+    /// A requested document has arrived.
     Document(DocumentHash),
 }
 
-/// What a node has counted.
+/// Counters of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeCounters {
-    /// Frames that were taken.
+    /// Frames accepted.
     pub frames: u64,
-    /// Frames that were dropped: of another cluster, damaged, too long, or from nobody.
+    /// Frames rejected: they belong to another cluster, are corrupt or too long, or their sender may not send
+    /// them.
     pub dropped: u64,
-    /// Frames that were late or repeated.
+    /// Frames ignored because they were late or repeated.
     pub stale: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
@@ -84,6 +87,6 @@
     pub received_bytes: u64,
     /// Decisions learned.
     pub decisions: u64,
-    /// Decisions proposed here.
+    /// Decisions proposed by this node.
     pub proposed: u64,
 }
--- a/src/fleet/wire_tests.rs
+++ b/src/fleet/wire_tests.rs
@@ -1,4 +1,4 @@
-//! Guards the form of each kind of frame between dispatchers.
+//! Guards the encoding of each kind of frame between dispatchers.
 
 use super::documents::Chunk;
 use super::frame::{Body, Decision, Frame, KnownEpoch};
@@ -7,7 +7,7 @@
 use crate::wire_fixture::assert_bytes;
 
 #[test]
-fn each_kind_of_frame_keeps_its_form() {
+fn each_kind_of_frame_keeps_its_encoding() {
     let term: LeaderTerm = postcard::from_bytes(&[3, 2, 200, 1]).unwrap();
     let decisions = vec![Decision { topic: 2, epoch: 300, body: vec![1, 2] }];
     for (name, body) in [
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn a_member_is_announced_by_the_same_bytes() {
+fn the_encoding_of_an_announcement_stays_the_same() {
     let mut swim = Swim::new(1, 3, 1_700_000_000_000, 9);
     swim.tick(0.0, |_| 1);
     let sent = swim.take_packets();
-    let SwimPacket { to, bytes } = sent.first().expect("it announces itself");
+    let SwimPacket { to, bytes } = sent.first().expect("the member announces itself");
     assert_eq!(*to, 2);
     assert_bytes("fleet.swim_announce", bytes);
 }
--- a/src/frontend/fleet/log_lines.rs
+++ b/src/frontend/fleet/log_lines.rs
@@ -47,7 +47,7 @@
 pub(super) fn policy_decided(decision: &PolicyDecision) {
     let none = ChangeOutcome { version: 0, in_force: false, reason: String::new() };
     let last = decision.last.as_ref().unwrap_or(&none);
-    let hash = fleet::short(&decision.policy.hash);
+    let hash = fleet::short_hex(&decision.policy.hash);
     tracing::info!(
         in_force = decision.policy.version,
         hash,
