--- a/src/consensus/tests/stored_votes.rs
+++ b/src/consensus/tests/stored_votes.rs
@@ -39,7 +39,7 @@
     /// A file truncated at any byte is read up to its last complete frame. With one bit flipped it is
     /// rejected, or loses only its last batch.
     #[test]
-    fn an_incomplete_last_frame_is_cut_and_a_corrupt_middle_rejected(seed in 0u64..8, at in 0.0..1.0f64, bit in 0u32..8) {
+    fn an_incomplete_last_frame_is_ignored_and_a_corrupt_middle_rejected(seed in 0u64..8, at in 0.0..1.0f64, bit in 0u32..8) {
         let mut net = SimulatedNetwork::new(3, seed);
         net.run(60);
         let good = net.disks[&1].clone();
--- a/src/consensus/vote_file.rs
+++ b/src/consensus/vote_file.rs
@@ -1,7 +1,8 @@
 //! File format of a voter's vote file.
 //!
-//! This module encodes and decodes the bytes. The caller reads the file, carries out the write of each
-//! `Batch`, and truncates an incomplete last frame. All numbers are little-endian.
+//! This module encodes and decodes the bytes. The caller reads the file and carries out the write of each
+//! `Batch`. An incomplete last frame is ignored, and the first write of a process replaces the whole file.
+//! All numbers are little-endian.
 //!
 //! ```text
 //! header, 18 bytes
@@ -53,9 +54,9 @@
     /// The file belongs to another generation of the fleet.
     #[error("the file belongs to generation {0} of the fleet, not to the configured one")]
     Generation(u32),
-    /// The file is corrupt before its end. The data after the corrupt frame must not be discarded, since
-    /// other voters rely on it.
-    #[error("the file is corrupt at byte {0}, before its last frame")]
+    /// The file is corrupt in a way that an incomplete last write does not explain. Data from there on must
+    /// not be discarded, since other voters rely on it.
+    #[error("corrupt frame at byte {0} (not an incomplete last write)")]
     Damaged(usize),
     /// The file exceeds the maximum size.
     #[error("the file is larger than {MAX_FILE_BYTES} bytes")]
@@ -67,8 +68,8 @@
 pub struct VoteFileContent {
     /// The voter's state; `None` if the file has no complete frame.
     pub persisted: Option<Persisted>,
-    /// Length in bytes up to the end of the last complete frame. The rest is an incomplete write and must be
-    /// truncated.
+    /// Length in bytes up to the end of the last complete frame. The rest is an incomplete write, which is
+    /// ignored.
     pub valid_bytes: usize,
 }
 
@@ -139,8 +140,8 @@
 /// Decodes a vote file of the given generation. An incomplete last frame is not an error.
 ///
 /// # Errors
-/// If the file is not a vote file, has another version or generation, is too long, or is corrupt before its
-/// end.
+/// If the file is not a vote file, has another version or generation, is too long, or is corrupt other than
+/// by an incomplete last write.
 pub fn read(bytes: &[u8], generation: u32) -> Result<VoteFileContent, FileError> {
     if bytes.len() > MAX_FILE_BYTES {
         return Err(FileError::TooLong);
--- a/src/frontend/fleet/config.rs
+++ b/src/frontend/fleet/config.rs
@@ -1,4 +1,5 @@
-//! The tables `fleet` and `rollout` of the operator's file: read, checked as a whole, and all that is wrong told at once.
+//! The tables `fleet` and `rollout` of the operator's file: parsing and validation. All errors are reported
+//! together.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,47 +14,47 @@
 use crate::rollout::RolloutSettings;
 use crate::zones::{FailoverSettings, MAX_ZONES};
 
-/// What is wrong with the table.
+/// An error in the `fleet` or `rollout` table.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
-    /// The dispatcher's own name is no member's.
+    /// The dispatcher's own name does not match any member.
     #[error("fleet: `name` is `{0}`, and no [[fleet.member]] has that name")]
-    Own(String),
-    /// Two members of one name or address, or two zones of one name.
+    UnknownOwnName(String),
+    /// Two members share a name or an address, or two zones share a name.
     #[error("fleet: `{0}` is given twice")]
-    Twice(String),
-    /// A member's zone is not on the list.
+    Duplicate(String),
+    /// A member's zone is not one of `zones`.
     #[error("fleet: `{member}` is in zone `{zone}`, which `zones` does not name")]
-    Zone {
+    UnknownZone {
         /// The member.
         member: String,
         /// Its zone.
         zone: String,
     },
-    /// The number of voters cannot be.
+    /// The number of voters is not supported.
     #[error("fleet: {0} members have `voter = true`: 3, 5 or 7 are needed")]
-    Voters(usize),
-    /// A voter has nowhere to remember its votes.
-    #[error("fleet: `{0}` is a voter and needs `state`, a file that lasts over a restart")]
-    State(String),
-    /// Policies are shared, and there is nobody to share them with.
-    #[error("rollout: it needs the table [fleet]")]
-    Alone,
-    /// A figure that is out of its bounds.
-    #[error("fleet: `{name}` is {value}, and must be from {least} to {most}")]
-    OutOf {
-        /// Its key.
+    UnsupportedVoterCount(usize),
+    /// A voter has no file for its votes.
+    #[error("fleet: `{0}` is a voter and needs `state`, the path of a file that survives restarts")]
+    MissingStateFile(String),
+    /// The table `rollout` is present without the table `fleet`.
+    #[error("rollout: the table [fleet] is required")]
+    RolloutWithoutFleet,
+    /// A value is out of range.
+    #[error("fleet: `{name}` is {value}, and must be from {min} to {max}")]
+    OutOfBounds {
+        /// The key of the value.
         name: &'static str,
-        /// What it is.
+        /// The configured value.
         value: f64,
-        /// Its least.
-        least: f64,
-        /// Its most.
-        most: f64,
+        /// The minimum.
+        min: f64,
+        /// The maximum.
+        max: f64,
     },
 }
 
-/// The table as the file has it.
+/// The table `fleet` as written in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetTable {
@@ -70,7 +71,7 @@
     member: Vec<MemberTable>,
 }
 
-/// The table `rollout` as the file has it.
+/// The table `rollout` as written in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutTable {
@@ -82,20 +83,20 @@
     agreed: bool,
 }
 
-/// How policies are shared.
+/// Configuration of policy rollouts.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// The policy file that this member's operator wants.
+    /// This member's policy file, as maintained by its operator.
     pub policy: PathBuf,
     /// The directory where policies are stored.
     pub keep: PathBuf,
-    /// How changes are made.
+    /// Settings of policy changes.
     pub settings: RolloutSettings,
-    /// Whether all decide in common; if not, each member takes its own file over by itself.
+    /// Whether members agree on policies; if not, each member applies its own file by itself.
     pub agreed: bool,
 }
 
-/// Why a policy's file cannot be used.
+/// The reason a policy file cannot be used.
 #[derive(Debug, Error)]
 #[error("{path}: {cause}")]
 pub struct PolicyFileError {
@@ -107,17 +108,18 @@
 enum PolicyFileFault {
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    #[error("{0} bytes, and {MAX_DOCUMENT_BYTES} at most")]
+    #[error("file has {0} bytes; the maximum is {MAX_DOCUMENT_BYTES}")]
     TooLong(usize),
     #[error(transparent)]
     Version(#[from] PolicyError),
 }
 
 impl Rollout {
-    /// Reads the policy that is wanted.
+    /// Reads this member's policy file.
     ///
     /// # Errors
-    /// Where the file cannot be read, is too long or has no version; the rest of it is checked by each member.
+    /// If the file cannot be read, is too long or has no version. Each member checks the rest of the policy
+    /// itself.
     pub fn read(&self) -> Result<WantedPolicy, PolicyFileError> {
         read_policy(&self.policy)
             .map_err(|cause| PolicyFileError { path: self.policy.display().to_string(), cause })
@@ -166,54 +168,54 @@
     4.0
 }
 
-/// What the tables say, checked.
+/// The validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The cluster's name.
     pub cluster: String,
-    /// Its generation.
+    /// The fleet's generation.
     pub generation: u32,
-    /// The voter's file; a voter has one.
+    /// The vote file, which a voter must have.
     pub state: Option<PathBuf>,
-    /// The zones, by name.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Jobs that an endpoint of size 1 runs at once.
+    /// The number of jobs that an endpoint of size 1 runs concurrently.
     pub slots: f64,
-    /// How zones are closed and opened.
+    /// Settings of zone failover.
     pub failover: FailoverSettings,
-    /// The members' names.
+    /// The names of the members.
     pub names: Vec<String>,
-    /// Their addresses.
+    /// The addresses of the members.
     pub addresses: Vec<SocketAddr>,
-    /// Their zones, and which of them vote.
+    /// The zone of each member, and whether it is a voter.
     pub members: Vec<MemberConfig>,
     /// The index of this member.
     pub own: usize,
-    /// How policies are shared, where they are.
+    /// Configuration of policy rollouts, if policies are shared.
     pub rollout: Option<Rollout>,
 }
 
-/// Checks of a table, which collect all that is wrong with it.
+/// Collects the errors found while checking a table.
 #[derive(Default)]
 struct Checks {
     errors: Vec<ConfigError>,
 }
 
 impl Checks {
-    /// A figure, which is to be within its bounds.
-    fn within(&mut self, name: &'static str, value: f64, least: f64, most: f64) -> f64 {
-        if !(least..=most).contains(&value) {
-            self.errors.push(ConfigError::OutOf { name, value, least, most });
+    /// Records an error if a value is out of range, and returns the value.
+    fn check_range(&mut self, name: &'static str, value: f64, min: f64, max: f64) -> f64 {
+        if !(min..=max).contains(&value) {
+            self.errors.push(ConfigError::OutOfBounds { name, value, min, max });
         }
         value
     }
 }
 
 impl FleetTable {
-    /// Checks the table, and the table `rollout` where there is one.
+    /// Validates this table, and the table `rollout` if present.
     ///
     /// # Errors
-    /// All that is wrong with them.
+    /// All errors found.
     pub fn check(self, rollout: Option<RolloutTable>) -> Result<Config, Vec<ConfigError>> {
         let mut checks = Checks::default();
         self.check_names(&mut checks);
@@ -240,49 +242,50 @@
         }
     }
 
-    /// Zones, members' names and members' addresses are to be given once each.
+    /// Checks that zone names, member names and member addresses are unique.
     fn check_names(&self, checks: &mut Checks) {
         let mut known = BTreeSet::new();
         let zones = self.zones.iter().map(|zone| format!("zone {zone}"));
         let members = self.member.iter().flat_map(|member| [member.name.clone(), member.address.to_string()]);
         let repeated = zones.chain(members).filter(|name| !known.insert(name.clone()));
-        checks.errors.extend(repeated.map(ConfigError::Twice));
+        checks.errors.extend(repeated.map(ConfigError::Duplicate));
     }
 
     fn check_sizes(&self, checks: &mut Checks) {
-        checks.within("cluster (its length)", self.cluster.len() as f64, 1.0, 64.0);
-        checks.within("zones (their number)", self.zones.len() as f64, 1.0, MAX_ZONES as f64);
-        checks.within("member (their number)", self.member.len() as f64, 3.0, MAX_MEMBERS as f64);
-        checks.within("generation", f64::from(self.generation), 1.0, 1e6);
-        checks.within("slots", self.slots, 0.01, 10_000.0);
+        checks.check_range("cluster (its length)", self.cluster.len() as f64, 1.0, 64.0);
+        checks.check_range("zones (their number)", self.zones.len() as f64, 1.0, MAX_ZONES as f64);
+        checks.check_range("member (their number)", self.member.len() as f64, 3.0, MAX_MEMBERS as f64);
+        checks.check_range("generation", f64::from(self.generation), 1.0, 1e6);
+        checks.check_range("slots", self.slots, 0.01, 10_000.0);
     }
 
-    /// The members' zones, and which of them vote.
+    /// Returns the zone of each member and whether it is a voter, and checks both.
     fn check_members(&self, checks: &mut Checks) -> Vec<MemberConfig> {
         let mut members = Vec::new();
         for member in &self.member {
             match self.zones.iter().position(|zone| *zone == member.zone) {
                 Some(zone) => members.push(MemberConfig { zone, is_voter: member.voter }),
-                None => checks
-                    .errors
-                    .push(ConfigError::Zone { member: member.name.clone(), zone: member.zone.clone() }),
+                None => checks.errors.push(ConfigError::UnknownZone {
+                    member: member.name.clone(),
+                    zone: member.zone.clone(),
+                }),
             }
         }
         let voters = self.member.iter().filter(|member| member.voter).count();
         if ![3, 5, 7].contains(&voters) {
-            checks.errors.push(ConfigError::Voters(voters));
+            checks.errors.push(ConfigError::UnsupportedVoterCount(voters));
         }
         members
     }
 
-    /// The index of the member that this dispatcher is. A voter needs a file for its votes.
+    /// Returns the index of this dispatcher's member, and checks that a voter has a vote file.
     fn check_own(&self, checks: &mut Checks) -> Option<usize> {
         let Some(own) = self.member.iter().position(|member| member.name == self.name) else {
-            checks.errors.push(ConfigError::Own(self.name.clone()));
+            checks.errors.push(ConfigError::UnknownOwnName(self.name.clone()));
             return None;
         };
         if self.member[own].voter && self.state.is_none() {
-            checks.errors.push(ConfigError::State(self.name.clone()));
+            checks.errors.push(ConfigError::MissingStateFile(self.name.clone()));
         }
         Some(own)
     }
@@ -298,12 +301,12 @@
         let margin = self.margin.unwrap_or(default.margin);
         let max_stale_ms = self.keep_ms.unwrap_or(default.max_stale_ms);
         FailoverSettings {
-            close_after_ms: checks.within("close_after_ms", close_after_ms, 100.0, 6e4),
-            closed_for_ms: checks.within("closed_for_ms", closed_for_ms, 500.0, 6e5),
-            step_ms: checks.within("step_ms", step_ms, 250.0, 6e5),
-            forgive_ms: checks.within("forgive_ms", forgive_ms, 1000.0, 864e5),
-            margin: checks.within("margin", margin, 0.1, 1.0),
-            max_stale_ms: checks.within("keep_ms", max_stale_ms, 3000.0, 36e5),
+            close_after_ms: checks.check_range("close_after_ms", close_after_ms, 100.0, 6e4),
+            closed_for_ms: checks.check_range("closed_for_ms", closed_for_ms, 500.0, 6e5),
+            step_ms: checks.check_range("step_ms", step_ms, 250.0, 6e5),
+            forgive_ms: checks.check_range("forgive_ms", forgive_ms, 1000.0, 864e5),
+            margin: checks.check_range("margin", margin, 0.1, 1.0),
+            max_stale_ms: checks.check_range("keep_ms", max_stale_ms, 3000.0, 36e5),
         }
     }
 }
@@ -314,8 +317,8 @@
         let lease_ms = self.lease_ms.unwrap_or(default.lease_ms);
         let pause_ms = self.hold_ms.unwrap_or(default.pause_ms);
         let settings = RolloutSettings {
-            lease_ms: checks.within("rollout.lease_ms", lease_ms, 2000.0, 6e5),
-            pause_ms: checks.within("rollout.hold_ms", pause_ms, 50.0, 1000.0),
+            lease_ms: checks.check_range("rollout.lease_ms", lease_ms, 2000.0, 6e5),
+            pause_ms: checks.check_range("rollout.hold_ms", pause_ms, 50.0, 1000.0),
         };
         Rollout { policy: self.policy, keep: self.keep, settings, agreed: self.agreed }
     }
--- a/src/frontend/fleet/config/tests.rs
+++ b/src/frontend/fleet/config/tests.rs
@@ -9,11 +9,11 @@
     [rules]\nmargin = 0.8\n";
 
 #[test]
-fn a_table_with_anything_wrong_is_refused_with_what_it_is() {
+fn an_invalid_table_is_rejected_with_a_message_naming_the_problem() {
     let read = |text: &str| toml::from_str::<FleetTable>(text).map_err(|e| e.to_string());
     let config = read(GOOD).unwrap().check(None).unwrap();
     assert_eq!((config.own, config.members[2].zone, config.failover.margin), (0, 1, 0.8));
-    for (from, to, says) in [
+    for (from, to, expected) in [
         ("name = \"n0\"\nstate", "name = \"n9\"\nstate", "no [[fleet.member]] has that name"),
         ("state = \"/tmp/x\"\n", "", "`n0` is a voter and needs `state`"),
         ("127.0.0.1:2", "127.0.0.1:1", "`127.0.0.1:1` is given twice"),
@@ -24,9 +24,9 @@
         ("margin = 0.8", "close_after_ms = nan", "`close_after_ms` is NaN"),
         ("cluster = \"c\"", "cluster = \"\"", "`cluster (its length)` is 0"),
     ] {
-        let errors = read(&GOOD.replacen(from, to, 1)).unwrap().check(None).expect_err(says);
-        let said: Vec<String> = errors.iter().map(ToString::to_string).collect();
-        assert!(said.iter().any(|error| error.contains(says)), "{says}: {said:?}");
+        let errors = read(&GOOD.replacen(from, to, 1)).unwrap().check(None).expect_err(expected);
+        let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
+        assert!(messages.iter().any(|error| error.contains(expected)), "{expected}: {messages:?}");
     }
     assert!(read(&GOOD.replace("voter", "votes")).is_err_and(|e| e.contains("unknown field `votes`")));
     assert!(read(&GOOD.replace("127.0.0.1:2", "here")).is_err());
--- a/src/frontend/fleet/fleet_loop.rs
+++ b/src/frontend/fleet/fleet_loop.rs
@@ -1,6 +1,7 @@
-//! The fleet's thread: one event loop for the fleet's address, the voter's file, and what comes from the frontends and goes
-//! to them. It owns the member while the address is held (`open_node`), tries for the address while another process of an
-//! upgrade holds it, and keeps what a full channel refused. It decides nothing; `crate::control_plane` does.
+//! The fleet thread: one event loop for the fleet's socket, the vote file, and the channels to and from the
+//! frontends. It owns the member while the address is held (`open_node`), retries binding the address while
+//! another process of an upgrade holds it, and keeps messages that a full channel did not accept. All
+//! decisions are made by `crate::control_plane`.
 
 use std::collections::VecDeque;
 use std::io;
@@ -25,55 +26,58 @@
 use crate::rollout;
 use crate::zones::ZoneLoad;
 
-/// While another process holds the address, as the one that an upgrade replaces, it is tried again after this time, in
-/// milliseconds.
+/// Interval between attempts to bind the address while another process holds it, such as the process that an
+/// upgrade replaces, in milliseconds.
 const BIND_RETRY_INTERVAL_MS: f64 = 100.0;
-/// Longest time between two rounds of the loop, in milliseconds.
-const MAX_ROUND_MS: f64 = 1000.0;
-/// Figures are told to the frontends so often, in milliseconds.
-const FIGURES_INTERVAL_MS: f64 = 200.0;
+/// Maximum time between two iterations of the loop, in milliseconds.
+const MAX_ITERATION_MS: f64 = 1000.0;
+/// Interval between two updates of the metrics for the frontends, in milliseconds.
+const METRICS_INTERVAL_MS: f64 = 200.0;
 
-/// Whether this process has the fleet's address.
+/// Whether this process holds the fleet's address.
 pub(super) enum Membership {
-    /// It is tried for at this time, in milliseconds.
+    /// The address is not held; the next attempt to bind it is at this time, in milliseconds.
     Opening { next_try_ms: f64 },
-    /// It is held.
+    /// The address is held.
     Open(Box<OpenNode>),
-    /// It was given up for good: the votes of this member could not be read.
+    /// The address was given up for good because the member could not be opened on it, for example because
+    /// its votes could not be read.
     Abandoned,
 }
 
-/// The state of the thread.
+/// The state of the fleet thread.
 pub(super) struct FleetLoop {
     pub(super) config: Config,
     handle: LoopHandle<'static, FleetLoop>,
     pub(super) clock: Clock,
     pub(super) membership: Membership,
-    /// Whether the log has told that the address is not free.
+    /// Whether a failure to bind the address has been logged.
     bind_failure_logged: bool,
     members_by_address: FxHashMap<SocketAddr, MemberId>,
     drops: DatagramDrops,
     pub(super) events: SyncSender<FleetEvent>,
-    /// Whether the frontends' side has gone.
-    is_over: bool,
-    /// What the frontends said of their serving as they went; taken to be in use where they said nothing.
+    /// Whether the frontends' end of the command channel is closed.
+    frontends_closed: bool,
+    /// Whether the frontends keep serving, as stated when they left. They are assumed to keep serving if they
+    /// stated nothing.
     departure: Departure,
-    /// What the frontends reported last.
+    /// The number of open jobs in the last report of the frontends.
     open_jobs: usize,
     zone_loads: Vec<ZoneLoad>,
-    /// The policy that the operator wants, until it is proposed.
+    /// The operator's policy, until it is proposed.
     pub(super) wanted: Option<WantedPolicy>,
-    /// When to render the figures next, in milliseconds.
-    next_figures_ms: f64,
-    /// Shares that the frontends had no room for yet.
+    /// When to render the metrics next, in milliseconds.
+    next_metrics_ms: f64,
+    /// Shares that the full channel to the frontends has not accepted yet.
     pending_shares: Option<ZoneShares>,
-    /// Policy commands that the frontends had no room for yet.
+    /// Policy commands that the full channel to the frontends has not accepted yet.
     pub(super) pending_policy_commands: VecDeque<PolicyCommand>,
-    /// The policy's status as the frontends know it.
-    told_policy_status: String,
+    /// The policy status that was last sent to the frontends.
+    sent_policy_status: String,
 }
 
-/// Starts the thread. It ends once the frontends' side of `commands` is gone and the fleet's address is left.
+/// Starts the thread. It ends once the frontends' end of `commands` is closed and the member has left the
+/// fleet.
 pub(super) fn start(
     config: Config,
     wanted: Option<WantedPolicy>,
@@ -82,8 +86,9 @@
 ) -> io::Result<()> {
     std::thread::Builder::new().name("fleet".into()).spawn(move || {
         if let Err(error) = run(config, wanted, commands, events.clone()) {
-            tracing::error!(%error, "fleet loop ended");
-            // Whoever gets the address next is taken for the only process of this member.
+            tracing::error!(%error, "fleet event loop failed");
+            // Stops serving here, because the process that binds the address next counts as the only process
+            // of this member.
             let _ = events.send(FleetEvent::Policy(PolicyCommand::ServeUntil(f64::NEG_INFINITY)));
         }
     })?;
@@ -100,13 +105,13 @@
     let source =
         event_loop.handle().insert_source(commands, |event, (), state: &mut FleetLoop| match event {
             channel::Event::Msg(command) => state.on_command(command),
-            channel::Event::Closed => state.is_over = true,
+            channel::Event::Closed => state.frontends_closed = true,
         });
     source.map_err(|e| e.error)?;
     let mut state = FleetLoop::new(config, event_loop.handle(), wanted, events);
     state.tick();
-    while !state.is_over {
-        let wait_ms = (state.next_deadline() - state.clock.now()).clamp(0.0, MAX_ROUND_MS);
+    while !state.frontends_closed {
+        let wait_ms = (state.next_deadline() - state.clock.now()).clamp(0.0, MAX_ITERATION_MS);
         event_loop.dispatch(Some(Duration::from_secs_f64(wait_ms / 1e3)), &mut state)?;
         state.tick();
     }
@@ -125,7 +130,7 @@
         wanted: Option<WantedPolicy>,
         events: SyncSender<FleetEvent>,
     ) -> FleetLoop {
-        // Leases count while the machine is suspended.
+        // Leases keep running while the machine is suspended.
         let clock = Clock::boot();
         let addresses = config.addresses.iter().enumerate();
         FleetLoop {
@@ -134,15 +139,15 @@
             members_by_address: addresses.map(|(member, address)| (*address, member as MemberId)).collect(),
             drops: DatagramDrops::default(),
             events,
-            is_over: false,
-            departure: Departure::ServesOn,
+            frontends_closed: false,
+            departure: Departure::KeepsServing,
             open_jobs: 0,
             zone_loads: Vec::new(),
             wanted,
-            next_figures_ms: clock.now(),
+            next_metrics_ms: clock.now(),
             pending_shares: None,
             pending_policy_commands: VecDeque::new(),
-            told_policy_status: String::new(),
+            sent_policy_status: String::new(),
             config,
             handle,
             clock,
@@ -197,7 +202,7 @@
         }
     }
 
-    /// Has the member's part in changes of policy do something, where there is one.
+    /// Calls the rollout participant, if there is one.
     pub(super) fn with_participant(&mut self, call: impl FnOnce(&mut rollout::Participant)) {
         let now_ms = self.clock.now();
         if let Some(node) = self.node_mut() {
@@ -205,10 +210,10 @@
         }
     }
 
-    /// Gives the lease back, or tells that it runs out by itself.
+    /// Returns the lease, or announces that it will expire on its own.
     fn leave(&mut self) {
         let now_ms = self.clock.now();
-        let serves_on = self.departure == Departure::ServesOn;
+        let serves_on = self.departure == Departure::KeepsServing;
         self.with_participant(|participant| participant.leave(now_ms, serves_on));
     }
 
@@ -217,14 +222,14 @@
         self.node().is_none_or(|node| node.control_plane.has_left(self.clock.now()))
     }
 
-    /// Tries for the address, and opens the member on it.
+    /// Tries to bind the address and to open the member on it.
     fn try_open(&mut self, now_ms: f64) {
         let address = self.config.addresses[self.config.own];
         let socket = match open_node::bind(address) {
             Ok(socket) => socket,
             Err(error) => {
                 if !std::mem::replace(&mut self.bind_failure_logged, true) {
-                    tracing::warn!(%address, %error, "fleet address not free");
+                    tracing::warn!(%address, %error, "cannot bind the fleet address; retrying");
                 }
                 let next_try_ms = now_ms + BIND_RETRY_INTERVAL_MS;
                 self.membership = Membership::Opening { next_try_ms };
@@ -234,18 +239,19 @@
         self.membership = match OpenNode::open(&self.config, &self.handle, socket, now_ms) {
             Ok(node) => {
                 let name = &self.config.names[self.config.own];
-                tracing::info!(cluster = self.config.cluster, name, %address, "fleet joined");
+                tracing::info!(cluster = self.config.cluster, name, %address, "joined the fleet");
                 Membership::Open(Box::new(node))
             }
-            // What could be read at the start cannot be read now: without its votes the member stays out.
+            // The files were readable at startup but are not now. A member without its votes must stay out of
+            // the fleet.
             Err(error) => {
-                tracing::error!(%error, "fleet left");
+                tracing::error!(%error, "cannot open the fleet member; it stays out of the fleet until a restart");
                 Membership::Abandoned
             }
         };
     }
 
-    /// The fleet's socket can be read.
+    /// Handles readiness of the fleet's socket.
     pub(super) fn on_datagrams(&mut self) {
         let (clock, members, drops) = (&self.clock, &self.members_by_address, &mut self.drops);
         if let Membership::Open(node) = &mut self.membership {
@@ -253,7 +259,7 @@
         }
     }
 
-    /// A write of the voter's file has ended.
+    /// Handles the result of a write to the vote file.
     pub(super) fn on_written(&mut self, result: WriteResult) {
         let now_ms = self.clock.now();
         if let Some(node) = self.node_mut() {
@@ -261,10 +267,11 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Performs all work that is due.
     fn tick(&mut self) {
         let now_ms = self.clock.now();
-        // Only once it knows what is decided can it tell whether its file is news.
+        // Whether the policy file is newer than the decided policy is known only once this member follows a
+        // leader.
         let follows = self.node().is_some_and(|node| node.control_plane.follows_leader(now_ms));
         if self.wanted.is_some() && (self.runs_own_policy() || follows) {
             self.propose(now_ms);
@@ -282,7 +289,7 @@
         self.notify_frontends(now_ms);
     }
 
-    /// Carries out what the control plane wants, until nothing more follows from it.
+    /// Carries out the effects of the control plane until no further effects follow.
     fn carry_out(&mut self) {
         loop {
             let (clock, addresses) = (&self.clock, &self.config.addresses);
@@ -313,16 +320,16 @@
         }
     }
 
-    /// Tells the frontends what is new, as far as their channel has room for it.
+    /// Sends pending updates to the frontends, as far as their channel accepts them.
     fn notify_frontends(&mut self, now_ms: f64) {
-        if now_ms >= self.next_figures_ms {
-            self.next_figures_ms = now_ms + FIGURES_INTERVAL_MS;
+        if now_ms >= self.next_metrics_ms {
+            self.next_metrics_ms = now_ms + METRICS_INTERVAL_MS;
             let text = match self.node() {
                 Some(node) => figures::render(&self.config.zones, &node.control_plane, self.drops, now_ms),
                 None => figures::address_held(false),
             };
-            // The next ones are as good.
-            let _ = self.events.try_send(FleetEvent::Figures(text));
+            // A lost update does no harm: the next one replaces it.
+            let _ = self.events.try_send(FleetEvent::Metrics(text));
         }
         while let Some(command) = self.pending_policy_commands.pop_front() {
             if let Err(refused) = self.events.try_send(FleetEvent::Policy(command)) {
@@ -334,10 +341,10 @@
         }
         let status = self.node().and_then(|node| node.control_plane.rollout_status());
         let status = status.map(|status| log_lines::policy_status(&status, now_ms));
-        if let Some(status) = status.filter(|status| *status != self.told_policy_status)
+        if let Some(status) = status.filter(|status| *status != self.sent_policy_status)
             && self.events.try_send(FleetEvent::PolicyStatus(status.clone())).is_ok()
         {
-            self.told_policy_status = status;
+            self.sent_policy_status = status;
         }
         if let Some(shares) = self.pending_shares.take()
             && self.events.try_send(FleetEvent::Shares(shares.clone())).is_err()
@@ -346,13 +353,13 @@
         }
     }
 
-    /// When `tick` is to be called next.
+    /// Returns the time at which `tick` is due next.
     fn next_deadline(&self) -> f64 {
         let membership_ms = match &self.membership {
             Membership::Opening { next_try_ms } => *next_try_ms,
             Membership::Open(node) => node.control_plane.next_deadline(),
             Membership::Abandoned => f64::INFINITY,
         };
-        membership_ms.min(self.next_figures_ms)
+        membership_ms.min(self.next_metrics_ms)
     }
 }
--- a/src/frontend/fleet/log_lines.rs
+++ b/src/frontend/fleet/log_lines.rs
@@ -1,12 +1,11 @@
-//! What the fleet tells operators in words: the policy's status line on the console, and the events of the log that name a
-//! decision.
+//! Texts for operators: the status line of the policy on the console, and the log events for decisions.
 
 use super::config::Config;
 use crate::fleet::{self, MemberId};
 use crate::rollout::{ChangeOutcome, ParticipantStatus, PolicyDecision};
 use crate::zones::{TableChange, ZoneState, ZoneSummary, ZoneTable};
 
-/// Where the policy stands, in a line.
+/// Returns the status line of the policy.
 pub(super) fn policy_status(status: &ParticipantStatus, now_ms: f64) -> String {
     let ParticipantStatus { version, decision, epoch, is_paused, lease_until_ms, wanted } = status;
     let number = |version: Option<u64>| version.map_or("none".to_string(), |version| version.to_string());
@@ -22,7 +21,7 @@
     )
 }
 
-/// What became of the last version that was staged.
+/// Returns the outcome of the last version that was staged.
 fn last_change(last: Option<&ChangeOutcome>) -> String {
     match last {
         None => "none".to_string(),
@@ -31,19 +30,19 @@
     }
 }
 
-/// The same of a member that takes its own policy over without agreement.
+/// Returns the status line of a member that applies its own policy without agreement.
 pub(super) fn own_policy_status(version: u64) -> String {
     format!(
         "runs {version} decided {version} staged none wanted none epoch 0 serves yes holds no last {version} in force, alone"
     )
 }
 
-/// A member has taken its own policy over, without agreement.
+/// Logs that this member has applied its own policy without agreement.
 pub(super) fn own_policy_in_force(version: u64) {
     tracing::info!(in_force = version, version, outcome = "in force", reason = "", "policy decided");
 }
 
-/// A decision on policies was read.
+/// Logs a decision on the policy.
 pub(super) fn policy_decided(decision: &PolicyDecision) {
     let none = ChangeOutcome { version: 0, in_force: false, reason: String::new() };
     let last = decision.last.as_ref().unwrap_or(&none);
@@ -59,7 +58,7 @@
     );
 }
 
-/// A decision on zones was read.
+/// Logs a decision on zones.
 pub(super) fn zones_decided(config: &Config, change: &TableChange) {
     let name = |member: &MemberId| config.names.get(usize::from(*member)).map_or("", String::as_str);
     tracing::info!(
@@ -73,7 +72,7 @@
     );
 }
 
-/// What was seen of the zones in a line, as `a=answered/refused/silent/reporters`.
+/// Formats the zone summaries on one line, as `a=answered/refused/silent/reporters`.
 fn zone_summaries(names: &[String], summaries: &[ZoneSummary]) -> String {
     let text = |(name, summary): (&String, &ZoneSummary)| {
         let ZoneSummary { answered, refused, silent, reporters } = summary;
@@ -82,7 +81,7 @@
     names.iter().zip(summaries).map(text).collect::<Vec<_>>().join(" ")
 }
 
-/// The zones' states in a line, as `a=open/1000 b=closed/0`.
+/// Formats the zone states on one line, as `a=open/1000 b=closed/0`.
 fn zone_states(names: &[String], table: &ZoneTable) -> String {
     let word = |state: ZoneState| match state {
         ZoneState::Open => "open",
--- a/src/frontend/fleet/messages.rs
+++ b/src/frontend/fleet/messages.rs
@@ -1,103 +1,104 @@
-//! What the frontends and the fleet's thread send each other, over two bounded channels. Neither waits for the other.
+//! Messages between the frontends and the fleet thread. They travel over two bounded channels, and neither
+//! side blocks on the other.
 
 use crate::rollout;
 use crate::zones::{AttemptResult, ZoneLoad};
 
-/// A policy as an operator's file has it.
+/// A policy from an operator's policy file, which the operator wants to be in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WantedPolicy {
-    /// Its version.
+    /// The version.
     pub version: u64,
-    /// Its text.
+    /// The text.
     pub text: String,
 }
 
-/// An attempt that has ended in a zone of the fleet.
+/// An attempt that ended in a zone of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndedAttempt {
-    /// The zone, by the fleet's order.
+    /// The index of the zone, in the fleet's order.
     pub zone: usize,
-    /// How it ended, as far as the zone goes.
+    /// The result, as far as it concerns the zone.
     pub result: AttemptResult,
-    /// How long its endpoint took, in milliseconds.
+    /// The endpoint's response time, in milliseconds.
     pub latency_ms: f64,
 }
 
-/// What happened at the frontends since the last report.
+/// Traffic at the frontends since the last report.
 #[derive(Debug, Default)]
 pub(super) struct TrafficReport {
     /// Requests that were admitted.
     pub admitted: usize,
-    /// Requests that were rejected, since no zone has room.
+    /// Requests that were rejected because no zone had capacity.
     pub rejected: usize,
     /// Attempts that ended.
     pub ended: Vec<EndedAttempt>,
     /// Jobs that are open now.
     pub open_jobs: usize,
-    /// Each zone as it is now, by the fleet's order.
+    /// The current load of each zone, in the fleet's order.
     pub zones: Vec<ZoneLoad>,
 }
 
-/// Whether the frontends go on serving as the process leaves the fleet.
+/// Whether the frontends keep serving when the process leaves the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
-    /// They do, until the lease is over.
-    ServesOn,
-    /// They start nothing new: the lease can be given back.
+    /// They keep serving until the lease expires.
+    KeepsServing,
+    /// They start no new requests, so the lease can be returned.
     Stopped,
 }
 
-/// What the frontends tell the thread.
+/// A command from the frontends to the fleet thread.
 #[derive(Debug)]
 pub(super) enum FleetCommand {
-    /// What happened since the last time.
+    /// The traffic since the last report.
     Report(TrafficReport),
-    /// The operator wants this policy.
+    /// Propose the operator's policy.
     Propose(WantedPolicy),
-    /// A policy was checked: nothing, or what is wrong with it here.
+    /// The result of checking a policy: `None`, or what is wrong with it on this member.
     Checked { version: u64, error: Option<String> },
-    /// The frontends hold what comes in.
+    /// The frontends have paused and hold incoming requests.
     Paused(rollout::Pause),
     /// The process leaves the fleet.
     Leave(Departure),
 }
 
-/// What each zone may get from this dispatcher.
+/// The traffic that this dispatcher may send to each zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ZoneShares {
-    /// The share of each zone, by the fleet's order, in thousandths.
+    /// The share of each zone, in thousandths, in the fleet's order.
     pub zones: Vec<u16>,
     /// The share of requests that is admitted, in thousandths.
     pub admitted: u16,
 }
 
-/// What the thread tells the frontends.
+/// An event from the fleet thread to the frontends.
 #[derive(Debug)]
 pub(super) enum FleetEvent {
-    /// What each zone may get.
+    /// New shares of the zones.
     Shares(ZoneShares),
-    /// The figures, rendered.
-    Figures(String),
-    /// Where the policy stands, in a line for operators.
+    /// The rendered metrics.
+    Metrics(String),
+    /// The status line of the policy, for operators.
     PolicyStatus(String),
-    /// What is to be done with the policy.
+    /// A policy command to carry out.
     Policy(PolicyCommand),
 }
 
-/// What the frontends are to do with the policy, in order.
+/// A command to the frontends concerning the policy. Commands are carried out in order.
 #[derive(Clone, Debug)]
 pub enum PolicyCommand {
-    /// Check a policy against what is known here, and tell the result.
+    /// Check a policy against this member's state and report the result.
     Check(WantedPolicy),
-    /// Hold what comes in, and tell that.
+    /// Hold incoming requests and report that they are held.
     Pause(rollout::Pause),
-    /// Let what was held go on.
+    /// Resume: process the held requests.
     Resume,
-    /// A policy is in force.
+    /// Apply a policy that is now in force.
     Apply {
-        /// Its text.
+        /// The text of the policy.
         text: String,
     },
-    /// Requests may be started until then, in milliseconds of `core::boot_ms`.
+    /// Allow requests to start until this time, in milliseconds of `core::boot_ms`.
     ServeUntil(f64),
 }
--- a/src/frontend/fleet/mod.rs
+++ b/src/frontend/fleet/mod.rs
@@ -1,10 +1,11 @@
-//! The frontends' side of the fleet. What this process shares with the others of its fleet runs in a loop of its own on one
-//! thread (`fleet_loop`: the socket, the voter's file, the control plane); this side hands it what happened at the frontends
-//! and gives out what it has decided. Two bounded channels join the two; neither side waits for the other. It decides
-//! nothing.
+//! The frontends' interface to the fleet. Everything shared with the other members of the fleet runs in an
+//! event loop on its own thread (`fleet_loop`: the socket, the vote file, the control plane). This side sends
+//! that thread what happened at the frontends and passes on what it returns; it makes no decisions of its
+//! own. Two bounded channels connect the two sides, and neither side blocks on the other.
 //!
-//! The caller calls `tick` with the core whose zones are steered, carries out each `next_policy_command` by `carry_out`, and
-//! calls `stop` once, when the address is to be left to another process.
+//! The caller calls `tick` with the core whose zones the fleet controls, carries out each
+//! `next_policy_command` by `carry_out`, and calls `stop` once, when it leaves the address to another
+//! process.
 
 mod config;
 mod figures;
@@ -35,62 +36,62 @@
 use crate::zones::{FULL_SHARE, ZoneLoad};
 use messages::{EndedAttempt, FleetCommand, FleetEvent, TrafficReport, ZoneShares};
 
-/// Messages that may wait on their way, each way: a few seconds of them.
-const MAX_WAITING_MESSAGES: usize = 256;
-/// Most attempts and slots of a zone that are told: they travel as 16-bit numbers.
-const MAX_TOLD_USAGE: u16 = 60_000;
+/// Capacity of the channel in each direction, in messages: a few seconds' worth.
+const CHANNEL_CAPACITY: usize = 256;
+/// Maximum number of attempts and slots that is reported for a zone. They are sent as 16-bit numbers.
+const MAX_REPORTED_USAGE: u16 = 60_000;
 
-/// Why a process cannot take part in its fleet.
+/// The reason a process cannot take part in its fleet.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// The voter's file does not read.
+    /// The vote file cannot be read.
     #[error(transparent)]
     VoteLog(#[from] VoteLogError),
-    /// The policy that the operator wants does not read.
+    /// The operator's policy file cannot be read.
     #[error(transparent)]
     PolicyFile(#[from] PolicyFileError),
-    /// Its thread could not be started.
-    #[error("the fleet's thread: {0}")]
+    /// The fleet thread could not be started.
+    #[error("cannot start the fleet thread: {0}")]
     Thread(io::Error),
-    /// Its channel could not be added to the event loop.
+    /// The channel could not be added to the event loop.
     #[error("{0}")]
     EventLoop(calloop::Error),
 }
 
-/// The frontends' side.
+/// The frontends' interface to the fleet thread.
 pub struct Fleet {
     handle: LoopHandle<'static, Gateway>,
     clock: Clock,
     zone_names: Vec<String>,
-    /// Jobs that an endpoint of size 1 runs at once.
+    /// The number of jobs that an endpoint of size 1 runs concurrently.
     slots_per_size: f64,
-    /// To the thread; none once the process has left the fleet.
+    /// Sends commands to the thread; `None` once the process has left the fleet.
     commands: Option<SyncSender<FleetCommand>>,
     token: Option<RegistrationToken>,
-    /// The zones of the core, as indexes among the fleet's.
+    /// For each zone of the core, its index among the fleet's zones.
     core_zones: Vec<Option<usize>>,
-    /// When to tell the thread next what happened here, in milliseconds.
+    /// When the next traffic report to the thread is due, in milliseconds.
     next_report_ms: f64,
-    /// The newest shares, until the core has them.
+    /// The newest shares that the core has not received yet.
     pending_shares: Option<ZoneShares>,
-    figures: String,
-    /// What the thread wants done with the policy, in order.
+    metrics: String,
+    /// Policy commands from the thread that are still to be carried out, in order.
     policy_commands: VecDeque<PolicyCommand>,
-    /// Answers that the thread had no room for yet, in order.
-    pending_answers: VecDeque<FleetCommand>,
-    /// Where the policy stands, where one is shared.
+    /// Commands that must not be lost and that the full channel has not accepted yet, in order.
+    pending_commands: VecDeque<FleetCommand>,
+    /// The status line of the policy; `None` unless policies are shared.
     policy_status: Option<String>,
     shares_policy: bool,
-    /// Reports that the thread had no room for.
+    /// The number of reports lost because the channel was full.
     lost_reports: u64,
 }
 
 impl Fleet {
-    /// Starts the thread, which opens the fleet's address as soon as it is free. The voter's file is read once before, so
-    /// that one that does not read is refused at the start.
+    /// Starts the thread, which binds the fleet's address as soon as it is free. The vote file is read once
+    /// beforehand, so that an unreadable file is reported at startup.
     ///
     /// # Errors
-    /// Where the voter's file or the wanted policy does not read, or the thread does not start.
+    /// If the vote file or the operator's policy cannot be read, or the thread cannot be started.
     pub fn new(
         config: Config,
         handle: LoopHandle<'static, Gateway>,
@@ -102,8 +103,8 @@
         let shares_policy = config.rollout.is_some();
         let wanted = config.rollout.as_ref().map(Rollout::read).transpose()?;
         let (zone_names, slots_per_size) = (config.zones.clone(), config.slots);
-        let (event_sender, events) = channel::sync_channel(MAX_WAITING_MESSAGES);
-        let (command_sender, commands) = channel::sync_channel(MAX_WAITING_MESSAGES);
+        let (event_sender, events) = channel::sync_channel(CHANNEL_CAPACITY);
+        let (command_sender, commands) = channel::sync_channel(CHANNEL_CAPACITY);
         fleet_loop::start(config, wanted, commands, event_sender).map_err(FleetError::Thread)?;
         let source = handle.insert_source(events, |event, (), gateway: &mut Gateway| {
             if let (channel::Event::Msg(event), Some(fleet)) = (event, &mut gateway.fleet) {
@@ -121,17 +122,17 @@
             token: Some(token),
             core_zones: Vec::new(),
             pending_shares: None,
-            figures: figures::address_held(false),
+            metrics: figures::address_held(false),
             policy_commands: VecDeque::new(),
-            pending_answers: VecDeque::new(),
+            pending_commands: VecDeque::new(),
             policy_status: None,
             shares_policy,
             lost_reports: 0,
         })
     }
 
-    /// Takes a core for the one whose zones are steered.
-    pub fn steer(&mut self, core: &mut Core) {
+    /// Makes `core` follow the fleet's traffic split, and records how its zones map to the fleet's zones.
+    pub fn attach_core(&mut self, core: &mut Core) {
         let index = |name: &String| self.zone_names.iter().position(|zone| zone == name);
         self.core_zones = core.site().zones.iter().map(index).collect();
         core.enable_traffic_split();
@@ -140,70 +141,70 @@
     fn on_event(&mut self, event: FleetEvent) {
         match event {
             FleetEvent::Shares(shares) => self.pending_shares = Some(shares),
-            FleetEvent::Figures(text) => self.figures = text,
+            FleetEvent::Metrics(text) => self.metrics = text,
             FleetEvent::PolicyStatus(text) => self.policy_status = Some(text),
             FleetEvent::Policy(command) => self.policy_commands.push_back(command),
         }
     }
 
-    /// Whether policies are shared: then a frontend asks before it starts a request.
+    /// Whether policies are shared. If they are, a frontend checks its lease before it starts a request.
     pub fn shares_policy(&self) -> bool {
         self.shares_policy
     }
 
-    /// Where the policy stands, in a line for operators, where one is shared.
+    /// Returns the status line of the policy for operators; `None` unless policies are shared.
     pub fn policy_status(&self) -> Option<&String> {
         self.policy_status.as_ref()
     }
 
-    /// The operator wants this policy.
+    /// Proposes the operator's policy.
     pub fn propose(&mut self, policy: WantedPolicy) {
-        self.answer(FleetCommand::Propose(policy));
+        self.send_reliably(FleetCommand::Propose(policy));
     }
 
-    /// What is to be done next with the policy.
+    /// Returns the next policy command to carry out.
     pub fn next_policy_command(&mut self) -> Option<PolicyCommand> {
         self.policy_commands.pop_front()
     }
 
-    /// Has a frontend carry a command out, and tells the thread what came of it.
+    /// Carries out a policy command on the frontend and reports the result to the thread.
     pub fn carry_out(&mut self, net: &mut Sockets, frontend: &mut HttpFrontend, command: PolicyCommand) {
         match command {
             PolicyCommand::Check(WantedPolicy { version, text }) => {
                 let errors = frontend.check(&text).err().unwrap_or_default();
                 let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
                 let error = (!texts.is_empty()).then(|| texts.join("; "));
-                self.answer(FleetCommand::Checked { version, error });
+                self.send_reliably(FleetCommand::Checked { version, error });
             }
             PolicyCommand::Pause(pause) => {
                 frontend.set_paused(net, true);
-                self.answer(FleetCommand::Paused(pause));
+                self.send_reliably(FleetCommand::Paused(pause));
             }
             PolicyCommand::Resume => frontend.set_paused(net, false),
             PolicyCommand::Apply { text } => frontend.apply_policy(&text),
             PolicyCommand::ServeUntil(until) => frontend.serve_until(net, until),
         }
-        self.flush_answers();
+        self.flush_commands();
     }
 
-    /// Tells the thread something that must not be lost.
-    fn answer(&mut self, answer: FleetCommand) {
-        self.pending_answers.push_back(answer);
-        self.flush_answers();
+    /// Sends the thread a command that must not be lost.
+    fn send_reliably(&mut self, command: FleetCommand) {
+        self.pending_commands.push_back(command);
+        self.flush_commands();
     }
 
-    fn flush_answers(&mut self) {
-        let Some(commands) = &self.commands else { return self.pending_answers.clear() };
-        while let Some(answer) = self.pending_answers.pop_front() {
-            match commands.try_send(answer) {
+    fn flush_commands(&mut self) {
+        let Some(commands) = &self.commands else { return self.pending_commands.clear() };
+        while let Some(command) = self.pending_commands.pop_front() {
+            match commands.try_send(command) {
                 Ok(()) => {}
-                Err(TrySendError::Full(answer)) => return self.pending_answers.push_front(answer),
+                Err(TrySendError::Full(command)) => return self.pending_commands.push_front(command),
                 Err(TrySendError::Disconnected(_)) => return,
             }
         }
     }
 
-    /// Gives the core what its zones may get, and the thread what happened here.
+    /// Updates the core's traffic split and sends the thread a traffic report when one is due.
     pub fn tick(&mut self, mut core: Option<&mut Core>) {
         if let (Some(shares), Some(core)) = (self.pending_shares.take(), &mut core) {
             let share = |zone: &Option<usize>| {
@@ -216,7 +217,7 @@
             return;
         }
         self.next_report_ms = now_ms + TICK_MS;
-        self.flush_answers();
+        self.flush_commands();
         let report = self.traffic_report(core);
         self.send_report(report);
     }
@@ -238,22 +239,23 @@
         });
         for (zone, load) in core.zone_loads(self.core_zones.len()).into_iter().enumerate() {
             if let Some(usage) = fleet_zone(zone).and_then(|zone| report.zones.get_mut(zone)) {
-                usage.in_flight += load.open_attempts.min(usize::from(MAX_TOLD_USAGE)) as u16;
-                usage.slots += (load.ready_size * self.slots_per_size).min(f64::from(MAX_TOLD_USAGE)) as u16;
+                usage.in_flight += load.open_attempts.min(usize::from(MAX_REPORTED_USAGE)) as u16;
+                usage.slots +=
+                    (load.ready_size * self.slots_per_size).min(f64::from(MAX_REPORTED_USAGE)) as u16;
             }
         }
         report.open_jobs = core.open_jobs();
         report
     }
 
-    /// Hands a report to the thread, which may be behind: then it is lost, as a datagram would be.
+    /// Sends a report to the thread. If the channel is full the report is lost, as a datagram would be.
     fn send_report(&mut self, report: TrafficReport) {
         if let Some(commands) = &self.commands {
             self.lost_reports += u64::from(commands.try_send(FleetCommand::Report(report)).is_err());
         }
     }
 
-    /// When `tick` is to be called next.
+    /// Returns the time at which `tick` is due next.
     pub fn next_deadline(&self) -> f64 {
         match &self.commands {
             Some(_) if self.pending_shares.is_some() || !self.policy_commands.is_empty() => 0.0,
@@ -262,24 +264,25 @@
         }
     }
 
-    /// Whether it has left the fleet.
+    /// Whether this process has left the fleet.
     pub fn is_stopped(&self) -> bool {
         self.commands.is_none()
     }
 
-    /// Leaves the address to the process that follows: the thread ends once the leader knows, or the lease is over.
+    /// Leaves the fleet and its address to the process that follows. The thread ends once the leader has been
+    /// informed or the lease has expired.
     pub fn stop(&mut self, departure: Departure) {
-        self.answer(FleetCommand::Leave(departure));
+        self.send_reliably(FleetCommand::Leave(departure));
         self.policy_commands.clear();
         self.commands = None;
         if let Some(token) = self.token.take() {
             self.handle.remove(token);
         }
-        self.figures = figures::address_held(false);
+        self.metrics = figures::address_held(false);
     }
 
-    /// Its figures, in the text exposition format, as the thread told them last.
-    pub fn figures(&self) -> String {
-        self.figures.clone() + &figures::lost_reports(self.lost_reports)
+    /// Returns the fleet's metrics in the text exposition format, as last received from the thread.
+    pub fn metrics(&self) -> String {
+        self.metrics.clone() + &figures::lost_reports(self.lost_reports)
     }
 }
--- a/src/frontend/fleet/open_node.rs
+++ b/src/frontend/fleet/open_node.rs
@@ -1,5 +1,6 @@
-//! A member while its process holds the fleet's address: the socket, the control plane that is driven by its datagrams, and
-//! the voter's file. It carries out what the control plane wants sent and written; what concerns the frontends it gives back.
+//! A member whose process holds the fleet's address: the socket, the control plane that is driven by its
+//! datagrams, and the vote file. It carries out the sends and writes of the control plane, and returns the
+//! effects that concern the frontends.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -22,52 +23,52 @@
 use crate::rollout;
 use crate::zones;
 
-/// Datagrams read before other events of the loop have their turn.
+/// Maximum number of datagrams read before other events of the loop are processed.
 const MAX_DATAGRAMS_PER_TURN: usize = 512;
-/// Writes that may wait for the thread that writes; a disk that is further behind has failed.
-const MAX_WAITING_WRITES: usize = 1024;
+/// Maximum number of writes queued for the writer thread. A disk that falls further behind counts as failed.
+const MAX_QUEUED_WRITES: usize = 1024;
 
-/// Why a member cannot open although its address is free.
+/// The reason a member cannot open although its address is free.
 #[derive(Debug, Error)]
 pub(super) enum OpenError {
-    /// The voter's file does not read.
+    /// The vote file cannot be read.
     #[error(transparent)]
     VoteLog(#[from] VoteLogError),
-    /// The consensus refuses its settings.
+    /// The consensus configuration is invalid.
     #[error(transparent)]
     Consensus(#[from] ConsensusError),
-    /// The stored policies do not read.
+    /// The stored policies cannot be read.
     #[error("{dir}: {cause}")]
     PolicyStore {
-        /// Their directory.
+        /// The directory of the stored policies.
         dir: String,
-        /// Why.
+        /// The cause.
         cause: io::Error,
     },
-    /// A source could not be added to the event loop.
+    /// An event source could not be added to the event loop.
     #[error("{0}")]
     EventLoop(calloop::Error),
-    /// The thread that writes the voter's file could not be started.
-    #[error("fleet: {0}")]
+    /// The thread that writes the vote file could not be started.
+    #[error("fleet: cannot start the vote file's writer thread: {0}")]
     Thread(io::Error),
 }
 
-/// Datagrams that came to nothing.
+/// Counts of datagrams that were not received or not sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DatagramDrops {
-    /// From addresses that no member has.
-    pub strangers: u64,
-    /// That the system did not send.
-    pub unsent: u64,
+    /// Datagrams received from addresses that belong to no member.
+    pub unknown_senders: u64,
+    /// Datagrams that the system failed to send.
+    pub send_errors: u64,
 }
 
-/// An effect that the frontends or operators are to see.
+/// An effect that concerns the frontends or operators.
 pub(super) enum NodeOutput {
-    /// What each zone may get has changed.
+    /// The traffic shares of the zones have changed.
     View(zones::ZoneView),
-    /// A decision on zones was read.
+    /// A decision on zones was applied.
     ZonesDecided(zones::TableChange),
-    /// Something is to be done with the policy.
+    /// An effect of the rollout participant.
     Rollout(rollout::Effect),
 }
 
@@ -76,16 +77,16 @@
     socket: Rc<UdpSocket>,
     pub(super) control_plane: ControlPlane,
     vote_log: Option<VoteLog>,
-    /// Writes that the writing thread had no room for yet.
-    waiting_writes: VecDeque<Write>,
-    /// Room for a datagram; a byte more than the longest, so that a longer one is seen.
+    /// Writes that the writer thread's full queue has not accepted yet.
+    queued_writes: VecDeque<Write>,
+    /// Receive buffer: one byte longer than the longest frame, so that a longer datagram is detected.
     buffer: Vec<u8>,
 }
 
 /// Binds the fleet's address.
 ///
 /// # Errors
-/// Where another process holds it, or the system refuses it.
+/// If another process holds the address, or the system refuses to bind it.
 pub(super) fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
     socket.bind(&address.into())?;
@@ -94,8 +95,8 @@
 }
 
 impl OpenNode {
-    /// Opens a member on its socket. The voter's file is read only now: the process that held the address may have voted
-    /// until then.
+    /// Opens a member on its socket. The vote file is read only now, since the process that held the address
+    /// before may have voted until then.
     pub(super) fn open(
         config: &Config,
         handle: &LoopHandle<'static, FleetLoop>,
@@ -120,10 +121,11 @@
             None => None,
         };
         let buffer = vec![0; MAX_FRAME_BYTES + 1];
-        Ok(OpenNode { socket, control_plane, vote_log, waiting_writes: VecDeque::new(), buffer })
+        Ok(OpenNode { socket, control_plane, vote_log, queued_writes: VecDeque::new(), buffer })
     }
 
-    /// Reads datagrams that have come, and hands them to the control plane; `member` names the sender by its address.
+    /// Reads pending datagrams and passes them to the control plane. `member` maps a sender's address to its
+    /// member.
     pub(super) fn read_datagrams(
         &mut self,
         now_ms: impl Fn() -> f64,
@@ -135,29 +137,29 @@
                 Ok((length, from)) => {
                     let now_ms = now_ms();
                     let Some(member) = member(&from) else {
-                        drops.strangers += 1;
+                        drops.unknown_senders += 1;
                         continue;
                     };
-                    // What cannot be taken is counted by the node.
+                    // The node counts frames that it rejects.
                     let _ = self.control_plane.receive(now_ms, member, &self.buffer[..length]);
                 }
-                // A datagram that found nobody comes back as an error of the socket.
+                // The socket reports an earlier datagram that nobody received as an error.
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionRefused) => {}
                 Err(_) => return,
             }
         }
     }
 
-    /// A write has been done, or cannot be done any more: then the voter votes no more.
+    /// Handles the result of a write. After a failure this member no longer votes.
     pub(super) fn on_written(&mut self, now_ms: f64, result: WriteResult) {
         self.control_plane.on_written(now_ms, result == WriteResult::Done);
         if result == WriteResult::Failed {
-            self.waiting_writes.clear();
+            self.queued_writes.clear();
             self.vote_log = None;
         }
     }
 
-    /// Sends and writes what the control plane wants sent and written, and gives what else it wants.
+    /// Carries out the sends and writes of the control plane, and returns its other effects.
     pub(super) fn carry_out(
         &mut self,
         now_ms: impl Fn() -> f64,
@@ -169,11 +171,11 @@
             match effect {
                 Effect::Node(fleet::Effect::Send { to, bytes }) => {
                     let address = addresses[usize::from(to)];
-                    drops.unsent += u64::from(self.socket.send_to(&bytes, address).is_err());
+                    drops.send_errors += u64::from(self.socket.send_to(&bytes, address).is_err());
                 }
                 Effect::Node(fleet::Effect::Write(write)) => {
-                    if self.waiting_writes.len() < MAX_WAITING_WRITES {
-                        self.waiting_writes.push_back(write);
+                    if self.queued_writes.len() < MAX_QUEUED_WRITES {
+                        self.queued_writes.push_back(write);
                     } else {
                         self.control_plane.on_written(now_ms(), false);
                     }
@@ -188,11 +190,11 @@
         outputs
     }
 
-    /// Hands waiting writes to the thread that writes, as far as it has room for them.
+    /// Passes queued writes to the writer thread until its queue is full.
     pub(super) fn flush_writes(&mut self) {
-        while let (Some(vote_log), Some(write)) = (&self.vote_log, self.waiting_writes.pop_front()) {
+        while let (Some(vote_log), Some(write)) = (&self.vote_log, self.queued_writes.pop_front()) {
             if !vote_log.write(write.clone()) {
-                self.waiting_writes.push_front(write);
+                self.queued_writes.push_front(write);
                 break;
             }
         }
@@ -217,7 +219,7 @@
     }
 }
 
-/// Hands the policies that are stored here to the node, which other members may ask for them.
+/// Passes the policies stored on disk to the node, so that other members can request them.
 fn restore_policies(config: &Config, control_plane: &mut ControlPlane, now_ms: f64) -> Result<(), OpenError> {
     let Some(rollout) = config.rollout.as_ref().filter(|rollout| rollout.agreed) else { return Ok(()) };
     let stored = policy_store::read(&rollout.keep).map_err(|cause| {
--- a/src/frontend/fleet/policy_changes.rs
+++ b/src/frontend/fleet/policy_changes.rs
@@ -1,12 +1,12 @@
-//! The thread's part in changes of policy: what the operator wants goes to the control plane, and what the control plane
-//! wants done with a policy goes to the disk and to the frontends.
+//! Policy changes on the fleet thread: passes the operator's policy to the control plane, and the control
+//! plane's effects to the disk and the frontends.
 
 use super::fleet_loop::{FleetLoop, Membership};
 use super::messages::{FleetEvent, PolicyCommand, WantedPolicy};
 use super::{log_lines, policy_store};
 use crate::rollout;
 
-/// Whether something that was carried out is to be told to the control plane's other members at once.
+/// Whether carrying out an effect may have produced further effects that must be carried out at once.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum FollowUp {
     Now,
@@ -14,12 +14,12 @@
 }
 
 impl FleetLoop {
-    /// Whether policies are taken over from this member's own file, without agreement.
+    /// Whether this member applies its own policy file without agreement.
     pub(super) fn runs_own_policy(&self) -> bool {
         self.config.rollout.as_ref().is_some_and(|rollout| !rollout.agreed)
     }
 
-    /// Proposes the policy that the operator wants to the others, or takes it over where nothing is agreed.
+    /// Proposes the operator's policy to the fleet, or applies it directly if policies are not agreed on.
     pub(super) fn propose(&mut self, now_ms: f64) {
         if self.runs_own_policy()
             && let Some(policy) = self.wanted.take()
@@ -31,7 +31,7 @@
             participant.propose(now_ms, node, policy.version, policy.text.as_bytes())
         });
         if let Some(Err(error)) = result {
-            tracing::warn!(version = policy.version, %error, "policy file refused");
+            tracing::warn!(version = policy.version, %error, "policy file rejected");
         }
         self.wanted = None;
     }
@@ -44,7 +44,7 @@
         log_lines::own_policy_in_force(version);
     }
 
-    /// Carries out one effect of the participant.
+    /// Carries out one effect of the rollout participant.
     pub(super) fn carry_out_rollout(&mut self, effect: rollout::Effect) -> FollowUp {
         use rollout::Effect;
         let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
@@ -62,7 +62,7 @@
             }
             Effect::Pause(pause) => self.pending_policy_commands.push_back(PolicyCommand::Pause(pause)),
             Effect::Resume => self.pending_policy_commands.push_back(PolicyCommand::Resume),
-            // Before any policy there is nothing to take over.
+            // Version 0 stands for no policy, so there is nothing to apply.
             Effect::Apply(policy, _) if policy.version == 0 => {}
             Effect::Apply(_, bytes) => {
                 self.pending_policy_commands.push_back(PolicyCommand::Apply { text: text(bytes) });
--- a/src/frontend/fleet/vote_log.rs
+++ b/src/frontend/fleet/vote_log.rs
@@ -1,5 +1,5 @@
-//! The voter's file: read at the start, and written by a thread of its own, since a sync blocks. Its form is
-//! `crate::consensus::vote_file`'s.
+//! Reads the vote file at startup and writes it on a separate thread, since a sync blocks.
+//! `crate::consensus::vote_file` defines the format.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write as _};
@@ -12,10 +12,10 @@
 
 use crate::consensus::{Persisted, Write, vote_file};
 
-/// Writes that may wait for the thread.
-const MAX_WAITING_WRITES: usize = 256;
+/// Maximum number of writes queued for the thread.
+const MAX_QUEUED_WRITES: usize = 256;
 
-/// Why a voter's file cannot be used.
+/// The reason a vote file cannot be used.
 #[derive(Debug, Error)]
 #[error("{path}: {cause}")]
 pub struct VoteLogError {
@@ -31,20 +31,20 @@
     File(#[from] vote_file::FileError),
 }
 
-/// How a write has ended.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteResult {
-    /// It is on disk.
+    /// The write is on disk.
     Done,
-    /// It could not be done; nothing more is written.
+    /// The write failed; nothing more is written.
     Failed,
 }
 
-/// Reads a voter's file. Nothing is remembered where there is none, or where it is of an earlier generation: operators who
-/// start a new one mean to forget what the old one remembered.
+/// Reads a vote file. Returns `None` if there is no file or it belongs to an earlier generation: by starting
+/// a new generation, operators discard the state of the old one.
 ///
 /// # Errors
-/// Where it cannot be read, or is damaged, or of a later version or generation.
+/// If the file cannot be read, is corrupt, or is of another version or a later generation.
 pub(super) fn read(path: &Path, generation: u32) -> Result<Option<Persisted>, VoteLogError> {
     read_file(path, generation).map_err(|cause| VoteLogError { path: path.display().to_string(), cause })
 }
@@ -62,47 +62,48 @@
         Ok(content) => {
             if content.valid_bytes < bytes.len() {
                 let cut_bytes = bytes.len() - content.valid_bytes;
-                tracing::warn!(path = %path.display(), cut_bytes, "torn end of the voter's file cut");
+                tracing::warn!(path = %path.display(), cut_bytes, "ignored an incomplete write at the end of the vote file");
             }
             Ok(content.persisted)
         }
         Err(vote_file::FileError::Generation(old)) if old < generation => {
-            tracing::info!(path = %path.display(), old, generation, "voter's file of an earlier generation ignored");
+            tracing::info!(path = %path.display(), old, generation, "ignored a vote file of an earlier generation");
             Ok(None)
         }
         Err(e) => Err(e.into()),
     }
 }
 
-/// The thread that writes.
+/// Handle of the thread that writes the vote file.
 pub(super) struct VoteLog(SyncSender<Write>);
 
 impl VoteLog {
-    /// Starts the thread; the channel gives the result of each write, in order. It ends after a write that failed.
+    /// Starts the thread. The channel returns the result of each write, in order. The thread ends after a
+    /// failed write.
     ///
     /// # Errors
-    /// Where the system starts no thread.
+    /// If the system cannot start a thread.
     pub(super) fn start(path: PathBuf) -> io::Result<(VoteLog, Channel<WriteResult>)> {
-        let (writes, waiting) = mpsc::sync_channel::<Write>(MAX_WAITING_WRITES);
+        let (write_sender, write_receiver) = mpsc::sync_channel::<Write>(MAX_QUEUED_WRITES);
         let (result_sender, results) = channel();
         let name = "fleet-disk".to_string();
-        thread::Builder::new().name(name).spawn(move || write_all(&path, &waiting, &result_sender))?;
-        Ok((VoteLog(writes), results))
+        thread::Builder::new().name(name).spawn(move || write_all(&path, &write_receiver, &result_sender))?;
+        Ok((VoteLog(write_sender), results))
     }
 
-    /// Has something written. False where the thread is far behind or has ended.
+    /// Queues a write. Returns false if the queue is full or the thread has ended.
     pub(super) fn write(&self, write: Write) -> bool {
         self.0.try_send(write).is_ok()
     }
 }
 
-fn write_all(path: &Path, waiting: &mpsc::Receiver<Write>, results: &Sender<WriteResult>) {
-    let mut appending = None;
-    while let Ok(write) = waiting.recv() {
-        let result = match carry_out(path, write, &mut appending) {
+fn write_all(path: &Path, writes: &mpsc::Receiver<Write>, results: &Sender<WriteResult>) {
+    let mut append_file = None;
+    while let Ok(write) = writes.recv() {
+        let result = match carry_out(path, write, &mut append_file) {
             Ok(()) => WriteResult::Done,
             Err(error) => {
-                tracing::error!(path = %path.display(), %error, "voter's file not written, the voter votes no more");
+                tracing::error!(path = %path.display(), %error, "failed to write the vote file; this member no longer votes");
                 WriteResult::Failed
             }
         };
@@ -112,25 +113,26 @@
     }
 }
 
-fn carry_out(path: &Path, write: Write, appending: &mut Option<File>) -> io::Result<()> {
+fn carry_out(path: &Path, write: Write, append_file: &mut Option<File>) -> io::Result<()> {
     match write {
         Write::Nothing => Ok(()),
         Write::Append(bytes) => {
-            let file = match appending {
+            let file = match append_file {
                 Some(file) => file,
-                None => appending.insert(OpenOptions::new().append(true).open(path)?),
+                None => append_file.insert(OpenOptions::new().append(true).open(path)?),
             };
             file.write_all(&bytes)?;
             file.sync_data()
         }
         Write::Replace(bytes) => {
-            *appending = None;
+            *append_file = None;
             replace(path, &bytes)
         }
     }
 }
 
-/// Replaces a file by a new one and a rename, all of it synced: it is there as before, or as it is to be.
+/// Replaces a file by writing a new one and renaming it, and syncs both. After a crash either the old or the
+/// new content is there.
 fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut new_path = path.as_os_str().to_owned();
     new_path.push(".new");
--- a/src/frontend/gateway.rs
+++ b/src/frontend/gateway.rs
@@ -181,7 +181,7 @@
         telemetry::render(&counts, gauges)
             + &holds.figure()
             + &lists.unwrap_or_default()
-            + &self.fleet.as_ref().map(Fleet::figures).unwrap_or_default()
+            + &self.fleet.as_ref().map(Fleet::metrics).unwrap_or_default()
     }
 
     /// Begins to stop: what was taken is finished, and nothing new is taken after a short while.
@@ -194,7 +194,7 @@
         }
         // A successor needs the fleet's address now; without one the lease is given back once nothing new is taken.
         if let Some(fleet) = self.fleet.as_mut().filter(|_| has_successor || self.http.is_none()) {
-            fleet.stop(Departure::ServesOn);
+            fleet.stop(Departure::KeepsServing);
         }
         if let Some(gearman) = &mut self.gearman {
             gearman.stop();
--- a/src/frontend/operator.rs
+++ b/src/frontend/operator.rs
@@ -141,7 +141,7 @@
     let stream = known.stream.map(streaming::Table::check).transpose();
     let stream = stream.map_err(|errors| FileError::Stream { file: file.into(), errors })?;
     let fleet = match (known.fleet, known.rollout) {
-        (None, Some(_)) => Err(vec![fleet::ConfigError::Alone]),
+        (None, Some(_)) => Err(vec![fleet::ConfigError::RolloutWithoutFleet]),
         (fleet, rollout) => fleet.map(|fleet| fleet.check(rollout)).transpose(),
     };
     let fleet = fleet.map_err(|errors| FileError::Fleet { file: file.into(), errors })?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -144,7 +144,7 @@
     let predecessor = handover::process_beside(&path, std::process::id());
     let note = leave_note(&path, clock);
     if let Some(fleet) = fleet {
-        fleet.steer(frontend.core_mut());
+        fleet.attach_core(frontend.core_mut());
         if fleet.shares_policy() {
             frontend.enable_policy_gate();
         }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -199,7 +199,7 @@
         fleet.dir.join("policy-0.toml").display()
     );
     let (well, log) = Program::operator(&text).wait();
-    assert!(!well && log.contains("rollout: it needs the table [fleet]"), "{log}");
+    assert!(!well && log.contains("rollout: the table [fleet] is required"), "{log}");
     // Without the platform's front nobody would ask it.
     let others: String = (0..3)
         .map(|at| {
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -116,7 +116,7 @@
     std::fs::write(&fleet.files[2], &damaged).unwrap();
     let (ended_well, log) = Program::operator(&fleet.table(2)).wait();
     assert!(!ended_well);
-    assert!(log.contains("the file is corrupt at byte 18, before its last frame"), "{log}");
+    assert!(log.contains("corrupt frame at byte 18 (not an incomplete last write)"), "{log}");
 }
 
 #[test]
