--- a/src/consensus/tests/agreement.rs
+++ b/src/consensus/tests/agreement.rs
@@ -43,10 +43,10 @@
     net.run(100);
     net.split(&[&[1, 2], &[3, 4, 5]]);
     net.run(40);
-    let (few, many) = (net.newest_epoch_of(1), net.newest_epoch_of(3));
+    let (minority_epoch, majority_epoch) = (net.newest_epoch_of(1), net.newest_epoch_of(3));
     net.run(60);
-    assert_eq!(net.newest_epoch_of(1), few, "the minority must not decide");
-    assert!(net.newest_epoch_of(3) > many, "the majority must go on deciding");
+    assert_eq!(net.newest_epoch_of(1), minority_epoch, "the minority must not decide");
+    assert!(net.newest_epoch_of(3) > majority_epoch, "the majority must go on deciding");
     let term = net.replicas[&1].term().max(net.replicas[&2].term());
     net.split(&[&[1, 2], &[3, 4], &[5]]);
     net.run(40);
--- a/src/consensus/vote_file.rs
+++ b/src/consensus/vote_file.rs
@@ -14,7 +14,7 @@
 //!    0  length       4  of the body
 //!    4  checksum     4  CRC-32C of the length's four bytes
 //!    8  checksum     4  CRC-32C of the body
-//!   12  body            `Vec<Change>` by postcard
+//!   12  body            `Vec<Change>` encoded with `postcard`
 //! ```
 //!
 //! The length has its own checksum, so that a corrupt length in the middle of the file is not mistaken for an
--- a/src/frontend/fleet/config.rs
+++ b/src/frontend/fleet/config.rs
@@ -28,7 +28,7 @@
     UnknownZone {
         /// The member.
         member: String,
-        /// Its zone.
+        /// The member's zone.
         zone: String,
     },
     /// The number of voters is not supported.
--- a/src/frontend/fleet/fleet_loop.rs
+++ b/src/frontend/fleet/fleet_loop.rs
@@ -242,8 +242,8 @@
                 tracing::info!(cluster = self.config.cluster, name, %address, "joined the fleet");
                 Membership::Open(Box::new(node))
             }
-            // The files were readable at startup but are not now. A member without its votes must stay out of
-            // the fleet.
+            // For example, the vote file has become unreadable since startup. A member without its votes must
+            // stay out of the fleet.
             Err(error) => {
                 tracing::error!(%error, "cannot open the fleet member; it stays out of the fleet until a restart");
                 Membership::Abandoned
