--- a/src/routing/ejection.rs
+++ b/src/routing/ejection.rs
@@ -93,7 +93,7 @@
         let queue_excess = self.queue_excess(now, endpoint, &self.jobs[&job]);
         let typical_excess = &mut self.estimates.typical_excess;
         *typical_excess += RUNNING_MEAN_WEIGHT * (queue_excess - *typical_excess);
-        let pending = self.jobs.get_mut(&job).expect("the caller has seen it");
+        let pending = self.jobs.get_mut(&job).expect("the caller checked that the job is pending");
         pending.search.consider(endpoint, queue_excess);
         pending.is_waiting && self.is_acceptable(queue_excess) && self.may_send(now, job, endpoint)
     }
--- a/src/routing/endpoint_list.rs
+++ b/src/routing/endpoint_list.rs
@@ -109,8 +109,8 @@
     /// the same time, and keep the time to the next call bounded.
     fn schedule_subscription(&mut self, now: Micros) {
         let bound = Settings::NOTIFICATION_BOUND;
-        let few = SMALL_FLEET_CALLS_PER_BOUND[self.list_failures.min(2) as usize];
-        let period = bound / if self.settings.is_large_fleet() { 1 } else { few };
+        let small_fleet_calls = SMALL_FLEET_CALLS_PER_BOUND[self.list_failures.min(2) as usize];
+        let period = bound / if self.settings.is_large_fleet() { 1 } else { small_fleet_calls };
         let offset = (golden_ratio_point(f64::from(self.settings.number)) * bound as f64) as Micros;
         let slot = now + period - (now + bound - offset) % period;
         self.timers.set(slot, Timer::Subscribe);
--- a/src/routing/list_freshness.rs
+++ b/src/routing/list_freshness.rs
@@ -15,7 +15,7 @@
 //! | an answer, also an empty one | now + bound + grace |
 //! | a long poll that discovery has had time to refuse | the end of its wait + 2 s + grace |
 //! | such a poll ends with a failure | now + bound + grace: it would have delivered a change until then |
-//! | discovery cannot be reached (see `Reachability`) | the last such call + bound + grace |
+//! | discovery cannot be reached (see `Reachability`) | the start of the last such call + bound + grace |
 //! | a truncated answer | now + grace: the changes in it count as announced |
 //! | the address of discovery changes (SIGHUP) | now + 4 s + grace at most |
 //! | a call fails otherwise (overload, older version, not made) | unchanged |
@@ -63,7 +63,9 @@
 
 impl CallFailure {
     /// Returns whether the call may be retried at once instead of in this dispatcher's next time slot,
-    /// because it used none of discovery's processing time. `lasted` is how long the call was open.
+    /// because a retry takes no processing time that discovery needs for other dispatchers. A refused
+    /// connection, or one that breaks only after some time, may mean that discovery is down or overloaded.
+    /// `lasted` is how long the call was in flight.
     pub fn is_cheap(self, lasted: Micros) -> bool {
         match self {
             CallFailure::Broken => lasted < QUICK_FAILURE,
--- a/src/routing/overflow.rs
+++ b/src/routing/overflow.rs
@@ -107,7 +107,7 @@
             }
             search.consider(endpoint, queue_excess);
         };
-        let pending = self.jobs.get_mut(&id).expect("a job that was not sent waits");
+        let pending = self.jobs.get_mut(&id).expect("a job that was not sent is pending");
         pending.search = search;
         pending.search_count += 1;
         let search_count = pending.search_count;
@@ -212,7 +212,7 @@
         let had_free_slot = self.queue_excess(now, endpoint, &self.jobs[&id]) <= 0.0;
         let expected_wait = self.own_wait(now, endpoint).first_free_slot;
         let expected_work = self.expected_work(&self.jobs[&id].job);
-        let pending = self.jobs.get_mut(&id).expect("a job that is sent was waiting");
+        let pending = self.jobs.get_mut(&id).expect("a job that is sent is pending");
         pending.is_waiting = false;
         pending.reported_hold_reason = None;
         self.held_jobs.remove(pending.held_key, id);
--- a/tests/blind.rs
+++ b/tests/blind.rs
@@ -1,11 +1,12 @@
-//! Fleets whose workers report nothing of their load: own starts and ends are the only evidence.
+//! Tests of fleets whose endpoints report no load: starts and ends of own attempts are the only evidence of
+//! it.
 
 mod common;
 
 use common::*;
 use micabeam::routing::*;
 
-fn blind() -> Settings {
+fn settings_without_load_reports() -> Settings {
     let mut settings = Settings { reports_start: true, reports_load: false, ..probing() };
     settings.capabilities.cancel_frees_slot = false;
     settings
@@ -15,24 +16,25 @@
     (1..=count).map(|id| member(id, 1.0)).collect()
 }
 
-/// Seen on the second deployment: every step asked a probe, which is capped there, and one that was refused took a
-/// worker its turns.
+/// On the second deployment, every step of a search sent a probe. Probes are limited there, and a refused
+/// probe ejected the endpoint.
 #[test]
-fn workers_that_report_nothing_are_not_probed() {
-    let mut world = World::new(blind(), &fleet(4));
+fn endpoints_without_load_reports_are_not_probed() {
+    let mut world = World::new(settings_without_load_reports(), &fleet(4));
     for _ in 0..40 {
         world.now += 20 * MS;
         let (job, actions) = world.job(0);
         assert_eq!(asked(&actions), None);
-        let worker = sent(&actions).expect("it goes out at once");
-        world.ended(job, 0, worker, Outcome::Served);
+        let endpoint_id = sent(&actions).expect("a job is sent immediately");
+        world.ended(job, 0, endpoint_id, Outcome::Served);
     }
 }
 
-/// Seen on the second deployment: a safe job that waits was called off and sent on, and both copies ran.
+/// On the second deployment, an idempotent job that was queued was cancelled and sent to another endpoint,
+/// and both copies ran.
 #[test]
-fn a_job_that_waits_is_not_called_off_where_that_frees_nothing() {
-    let mut world = World::new(blind(), &fleet(3));
+fn a_queued_attempt_is_not_cancelled_if_that_frees_no_slot() {
+    let mut world = World::new(settings_without_load_reports(), &fleet(3));
     let (job, actions) = world.job(0);
     let first = sent(&actions).unwrap();
     let actions = world.wait(250 * MS);
@@ -44,9 +46,9 @@
     assert_eq!(answer(&world.ended(job, 0, first, Outcome::Served)), None);
 }
 
-/// A worker that serves its queue in order, and turns away what it has no place for.
+/// A simulated endpoint that serves its queue in order and rejects jobs when the queue is full.
 #[derive(Default)]
-struct Node {
+struct SimulatedEndpoint {
     speed: f64,
     dead: bool,
     running: Vec<(Micros, usize, JobId, usize)>,
@@ -54,231 +56,239 @@
 }
 
 const SLOTS: usize = 2;
-const PLACES: usize = 8;
+const QUEUE_LIMIT: usize = 8;
 
-/// What became of the jobs of a run.
+/// Totals of the jobs in one run.
 #[derive(Debug, Default, Clone, Copy)]
-struct Sums {
+struct Totals {
     jobs: f64,
     sent: f64,
-    /// Served in time: wanted within 250 ms and twice the job's own work.
+    /// Jobs served in time: within 250 ms plus twice the job's own work.
     in_time: f64,
-    full: f64,
-    refused: f64,
+    rejected_as_full: f64,
+    unserved: f64,
 }
 
-/// A fleet of blind dispatchers, of which the first gets half of the jobs, and their workers.
-struct Fleet {
+/// Dispatchers without load reports, of which the first gets at least half of the jobs, and their endpoints.
+struct Simulation {
     worlds: Vec<World>,
-    nodes: Vec<Node>,
+    endpoints: Vec<SimulatedEndpoint>,
     rng: fastrand::Rng,
-    /// Work, and by when it is wanted, of each job by dispatcher and id.
+    /// The work of each job and the time by which it is due, by dispatcher and job id.
     jobs: std::collections::BTreeMap<(usize, JobId), (f64, Micros)>,
-    sums: Sums,
-    /// What the hint says, for so much work.
+    totals: Totals,
+    /// Returns the work hint that a client sends for a job with this much work.
     hint: fn(&mut fastrand::Rng, f64) -> f64,
     next: u64,
 }
 
-impl Fleet {
-    fn new(dispatchers: u32, workers: u64, hint: fn(&mut fastrand::Rng, f64) -> f64) -> Fleet {
-        let mut settings = Settings { dispatchers, ..blind() };
+impl Simulation {
+    fn new(dispatchers: u32, endpoint_count: u64, hint: fn(&mut fastrand::Rng, f64) -> f64) -> Simulation {
+        let mut settings = Settings { dispatchers, ..settings_without_load_reports() };
         settings.classes.iter_mut().for_each(|c| c.stretch = 2.0);
         let worlds = (0..dispatchers)
-            .map(|number| World::new(Settings { number, ..settings.clone() }, &fleet(workers)))
+            .map(|number| World::new(Settings { number, ..settings.clone() }, &fleet(endpoint_count)))
             .collect();
         let speeds = [1.0, 0.8, 1.1, 0.7];
-        let nodes = (0..workers as usize).map(|n| Node { speed: speeds[n % 4], ..Node::default() }).collect();
+        let endpoints = (0..endpoint_count as usize)
+            .map(|n| SimulatedEndpoint { speed: speeds[n % 4], ..SimulatedEndpoint::default() })
+            .collect();
         let (rng, jobs) = (fastrand::Rng::with_seed(7), std::collections::BTreeMap::default());
-        Fleet { worlds, nodes, rng, jobs, sums: Sums::default(), hint, next: 0 }
+        Simulation { worlds, endpoints, rng, jobs, totals: Totals::default(), hint, next: 0 }
     }
 
-    /// Plays so many seconds at a load, as a part of what the workers can do, and tells what became of them.
-    fn play(&mut self, seconds: u64, load: f64) -> Sums {
-        self.sums = Sums::default();
-        let capacity: f64 = self.nodes.iter().map(|n| n.speed * SLOTS as f64).sum();
+    /// Runs for so many seconds at a load, given as a fraction of the endpoints' capacity, and returns the
+    /// totals.
+    fn run(&mut self, seconds: u64, load: f64) -> Totals {
+        self.totals = Totals::default();
+        let capacity: f64 = self.endpoints.iter().map(|n| n.speed * SLOTS as f64).sum();
         for _ in 0..seconds * 500 {
-            for at in 0..self.worlds.len() {
-                self.worlds[at].now += 2 * MS;
-                let actions = self.worlds[at].handle(Event::Wake);
-                self.follow(at, actions);
+            for dispatcher in 0..self.worlds.len() {
+                self.worlds[dispatcher].now += 2 * MS;
+                let actions = self.worlds[dispatcher].handle(Event::Wake);
+                self.apply_actions(dispatcher, actions);
             }
             let now = self.worlds[0].now;
-            for n in 0..self.nodes.len() {
-                self.turn(n, now);
+            for n in 0..self.endpoints.len() {
+                self.advance_endpoint(n, now);
             }
-            // Jobs of 400 ms on the mean.
+            // Jobs have 400 ms of work on average.
             if self.rng.f64() < load * capacity / 0.4 * 0.002 {
                 self.arrive(now);
             }
         }
-        self.sums
+        self.totals
     }
 
     fn arrive(&mut self, now: Micros) {
-        let at = if self.rng.bool() { 0 } else { self.rng.usize(0..self.worlds.len()) };
+        let dispatcher = if self.rng.bool() { 0 } else { self.rng.usize(0..self.worlds.len()) };
         let work = self.rng.f64().mul_add(0.7, 0.05) * 1e6;
         let hint = (self.hint)(&mut self.rng, work).max(1.0);
         let class = if self.rng.bool() { 0 } else { 2 };
         self.next += 1;
         let id = JobId(self.next);
-        self.sums.jobs += 1.0;
-        self.jobs.insert((at, id), (work, now + 250 * MS + (2.0 * work) as Micros));
+        self.totals.jobs += 1.0;
+        self.jobs.insert((dispatcher, id), (work, now + 250 * MS + (2.0 * work) as Micros));
         let job = Job { id, class, deadline: now + 5 * SECOND, slots: 1.0, work: Some(hint as Micros) };
-        let actions = self.worlds[at].handle(Event::Job(job));
-        self.follow(at, actions);
+        let actions = self.worlds[dispatcher].handle(Event::Job(job));
+        self.apply_actions(dispatcher, actions);
     }
 
-    /// Ends what is done at a worker, and starts what then fits.
-    fn turn(&mut self, n: usize, now: Micros) {
-        while let Some(over) = self.nodes[n].running.iter().position(|r| r.0 <= now) {
-            let (_, at, job, attempt) = self.nodes[n].running.swap_remove(over);
-            self.ended(at, job, attempt, n, Outcome::Served);
+    /// Ends the jobs that are done at an endpoint, and starts queued jobs in the freed slots.
+    fn advance_endpoint(&mut self, n: usize, now: Micros) {
+        while let Some(over) = self.endpoints[n].running.iter().position(|r| r.0 <= now) {
+            let (_, dispatcher, job, attempt) = self.endpoints[n].running.swap_remove(over);
+            self.ended(dispatcher, job, attempt, n, Outcome::Served);
         }
-        while self.nodes[n].running.len() < SLOTS
-            && let Some((at, job, attempt, work)) = self.nodes[n].queue.pop_front()
+        while self.endpoints[n].running.len() < SLOTS
+            && let Some((dispatcher, job, attempt, work)) = self.endpoints[n].queue.pop_front()
         {
-            let end = now + (work / self.nodes[n].speed) as Micros;
-            self.nodes[n].running.push((end, at, job, attempt));
-            let actions = self.worlds[at].handle(Event::Started { job, attempt });
-            self.follow(at, actions);
+            let end = now + (work / self.endpoints[n].speed) as Micros;
+            self.endpoints[n].running.push((end, dispatcher, job, attempt));
+            let actions = self.worlds[dispatcher].handle(Event::Started { job, attempt });
+            self.apply_actions(dispatcher, actions);
         }
     }
 
-    fn ended(&mut self, at: usize, job: JobId, attempt: usize, n: usize, outcome: Outcome) {
-        let now = self.worlds[at].now;
-        self.sums.full += f64::from(u8::from(outcome == Outcome::Full));
+    fn ended(&mut self, dispatcher: usize, job: JobId, attempt: usize, n: usize, outcome: Outcome) {
+        let now = self.worlds[dispatcher].now;
+        self.totals.rejected_as_full += f64::from(u8::from(outcome == Outcome::Full));
         if outcome == Outcome::Served
-            && let Some((_, wanted)) = self.jobs.remove(&(at, job))
+            && let Some((_, due_at)) = self.jobs.remove(&(dispatcher, job))
         {
-            self.sums.in_time += f64::from(u8::from(now <= wanted));
+            self.totals.in_time += f64::from(u8::from(now <= due_at));
         }
-        let actions = self.worlds[at].ended(job, attempt, EndpointId(n as u64 + 1), outcome);
-        self.follow(at, actions);
+        let actions = self.worlds[dispatcher].ended(job, attempt, EndpointId(n as u64 + 1), outcome);
+        self.apply_actions(dispatcher, actions);
     }
 
-    fn follow(&mut self, at: usize, actions: Vec<Action>) {
+    fn apply_actions(&mut self, dispatcher: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { job, endpoint: worker } => {
-                    self.sums.sent += 1.0;
-                    let (n, attempt) = (worker.0 as usize - 1, self.worlds[at].attempts(job));
-                    if self.nodes[n].dead {
-                        self.ended(at, job, attempt, n, Outcome::Unreachable);
-                    } else if self.nodes[n].queue.len() >= PLACES {
-                        self.ended(at, job, attempt, n, Outcome::Full);
+                Action::Send { job, endpoint: endpoint_id } => {
+                    self.totals.sent += 1.0;
+                    let (n, attempt) = (endpoint_id.0 as usize - 1, self.worlds[dispatcher].attempts(job));
+                    if self.endpoints[n].dead {
+                        self.ended(dispatcher, job, attempt, n, Outcome::Unreachable);
+                    } else if self.endpoints[n].queue.len() >= QUEUE_LIMIT {
+                        self.ended(dispatcher, job, attempt, n, Outcome::Full);
                     } else {
-                        let work = self.jobs[&(at, job)].0;
-                        self.nodes[n].queue.push_back((at, job, attempt, work));
+                        let work = self.jobs[&(dispatcher, job)].0;
+                        self.endpoints[n].queue.push_back((dispatcher, job, attempt, work));
                     }
                 }
                 Action::Reject { job, .. } | Action::Fail { job } => {
-                    self.jobs.remove(&(at, job));
-                    self.sums.refused += 1.0;
+                    self.jobs.remove(&(dispatcher, job));
+                    self.totals.unserved += 1.0;
                 }
-                Action::Probe { .. } => panic!("a probe tells nothing here"),
+                Action::Probe { .. } => panic!("endpoints without load reports must not be probed"),
                 _ => {}
             }
         }
     }
 }
 
-fn truly(_: &mut fastrand::Rng, work: f64) -> f64 {
+fn accurate_hint(_: &mut fastrand::Rng, work: f64) -> f64 {
     work
 }
 
-/// Seen on the second deployment: 34 and 44 % of attempts were turned away by full queues while others stood idle.
+/// On the second deployment, full queues rejected 34 and 44 % of attempts while other endpoints were idle.
 #[test]
-fn queues_do_not_fill_where_only_own_starts_and_ends_tell_of_them() {
-    let sums = Fleet::new(4, 8, truly).play(30, 1.3);
-    assert!(sums.full < 0.02 * sums.sent, "turned away: {sums:?}");
-    // The workers can do 0.77 of it, and a wait of half a second is late.
-    assert!(sums.in_time > 0.33 * sums.jobs, "served in time: {sums:?}");
-    let sums = Fleet::new(4, 8, truly).play(30, 0.5);
-    assert!(sums.in_time > 0.93 * sums.jobs, "served in time: {sums:?}");
+fn queues_do_not_fill_up_without_load_reports() {
+    let totals = Simulation::new(4, 8, accurate_hint).run(30, 1.3);
+    assert!(totals.rejected_as_full < 0.02 * totals.sent, "rejected as full: {totals:?}");
+    // The endpoints can serve 0.77 of the jobs, and a wait of half a second makes a job late.
+    assert!(totals.in_time > 0.33 * totals.jobs, "served in time: {totals:?}");
+    let totals = Simulation::new(4, 8, accurate_hint).run(30, 0.5);
+    assert!(totals.in_time > 0.93 * totals.jobs, "served in time: {totals:?}");
 }
 
-/// Hints are the clients' own words: in another unit, or wrong for each job by itself.
+/// Clients choose the work hints, which may be in another unit or wrong for individual jobs.
 #[test]
-fn hints_that_lie_by_ten_times_do_not_turn_the_fleet_down() {
-    let lies: [fn(&mut fastrand::Rng, f64) -> f64; 3] = [
+fn work_hints_wrong_by_a_factor_of_ten_do_not_cause_rejections() {
+    let wrong_hints: [fn(&mut fastrand::Rng, f64) -> f64; 3] = [
         |_, work| work * 10.0,
         |_, work| work / 10.0,
         |rng, work| if rng.bool() { work * 10.0 } else { work / 10.0 },
     ];
-    for (at, lie) in lies.into_iter().enumerate() {
-        let sums = Fleet::new(4, 8, lie).play(30, 0.7);
-        assert!(sums.refused < 0.03 * sums.jobs, "lie {at}: {sums:?}");
-        assert!(sums.in_time > 0.9 * sums.jobs, "lie {at}: {sums:?}");
+    for (case, wrong_hint) in wrong_hints.into_iter().enumerate() {
+        let totals = Simulation::new(4, 8, wrong_hint).run(30, 0.7);
+        assert!(totals.unserved < 0.03 * totals.jobs, "hint {case}: {totals:?}");
+        assert!(totals.in_time > 0.9 * totals.jobs, "hint {case}: {totals:?}");
     }
 }
 
-/// Seen in a trial: waits learned in a jam kept all jobs back, so that no start was told and they stayed for good.
+/// In a trial, waits that had been measured under congestion held all jobs back. No start was reported any
+/// more, so the measured waits never changed.
 #[test]
-fn a_jam_that_is_over_is_forgotten_though_nothing_was_sent_meanwhile() {
-    let mut world = World::new(blind(), &fleet(1));
+fn measured_waits_decay_while_nothing_is_sent() {
+    let mut world = World::new(settings_without_load_reports(), &fleet(1));
     for _ in 0..60 {
         let (job, actions) = world.job(2);
-        let Some(worker) = sent(&actions) else { break };
+        let Some(endpoint_id) = sent(&actions) else { break };
         world.wait(3 * SECOND);
         world.handle(Event::Started { job, attempt: 0 });
         world.wait(400 * MS);
-        world.ended(job, 0, worker, Outcome::Served);
+        world.ended(job, 0, endpoint_id, Outcome::Served);
     }
     world.wait(30 * SECOND);
-    assert_eq!(sent(&world.job(2).1), Some(EndpointId(1)), "nobody has been seen waiting for half a minute");
+    assert_eq!(sent(&world.job(2).1), Some(EndpointId(1)), "no wait was measured for 30 seconds");
 }
 
-/// The list is pushed seconds late: until then a dead worker shows by its refusals alone.
+/// The list is pushed seconds late. Until then, only refused connections show that an endpoint is dead.
 #[test]
-fn a_worker_that_died_costs_little_until_the_late_list_tells() {
-    let mut fleet = Fleet::new(4, 8, truly);
-    fleet.play(10, 0.5);
-    let before = fleet.sums;
+fn a_dead_endpoint_costs_few_attempts_until_a_late_list_removes_it() {
+    let mut fleet = Simulation::new(4, 8, accurate_hint);
+    fleet.run(10, 0.5);
+    let before = fleet.totals;
     let (running, queued) = {
-        let node = &mut fleet.nodes[2];
-        node.dead = true;
-        (std::mem::take(&mut node.running), std::mem::take(&mut node.queue))
+        let endpoint = &mut fleet.endpoints[2];
+        endpoint.dead = true;
+        (std::mem::take(&mut endpoint.running), std::mem::take(&mut endpoint.queue))
     };
-    for (at, job, attempt) in
+    for (dispatcher, job, attempt) in
         running.into_iter().map(|r| (r.1, r.2, r.3)).chain(queued.into_iter().map(|q| (q.0, q.1, q.2)))
     {
-        fleet.ended(at, job, attempt, 2, Outcome::Reset);
+        fleet.ended(dispatcher, job, attempt, 2, Outcome::Reset);
     }
-    let sums = fleet.play(6, 0.5);
-    assert!(before.jobs > 0.0 && sums.sent - sums.jobs < 0.2 * sums.jobs, "sent in vain: {sums:?}");
-    assert!(sums.in_time > 0.85 * sums.jobs, "{sums:?}");
+    let totals = fleet.run(6, 0.5);
+    assert!(
+        before.jobs > 0.0 && totals.sent - totals.jobs < 0.2 * totals.jobs,
+        "failed attempts: {totals:?}"
+    );
+    assert!(totals.in_time > 0.85 * totals.jobs, "{totals:?}");
 }
 
-/// At an upgrade: a worker that fails rests on in the new process, and what cannot be true of its classes is refused.
+/// Guards an upgrade: an ejected endpoint stays ejected in the new process, and state that does not fit the
+/// classes of the new process is rejected.
 #[test]
-fn what_a_dispatcher_has_learned_goes_on_in_the_next_one() {
-    let mut old = World::new(blind(), &fleet(2));
+fn learned_state_is_restored_in_the_next_process() {
+    let mut old = World::new(settings_without_load_reports(), &fleet(2));
     for _ in 0..12 {
         old.now += 10 * MS;
         let (job, actions) = old.job(2);
-        if let Some(worker) = sent(&actions) {
-            let outcome = if worker == EndpointId(1) { Outcome::Error } else { Outcome::Served };
-            old.ended(job, 0, worker, outcome);
+        if let Some(endpoint_id) = sent(&actions) {
+            let outcome = if endpoint_id == EndpointId(1) { Outcome::Error } else { Outcome::Served };
+            old.ended(job, 0, endpoint_id, outcome);
         }
     }
     assert!(old.dispatcher.is_unavailable(old.now, EndpointId(1)));
     let learned = old.dispatcher.warm_state();
-    let mut new = World::new(blind(), &fleet(2));
+    let mut new = World::new(settings_without_load_reports(), &fleet(2));
     assert!(!new.dispatcher.is_unavailable(old.now, EndpointId(1)));
     assert!(new.dispatcher.restore(old.now, learned.clone()));
     assert!(
         new.dispatcher.is_unavailable(old.now, EndpointId(1))
             && !new.dispatcher.is_unavailable(old.now, EndpointId(2))
     );
-    // One that has started anew is not the one that failed.
-    let born = Endpoint { started_at: old.now, ..member(1, 1.0) };
-    let mut renewed = World::new(blind(), &[born, member(2, 1.0)]);
+    // An endpoint that has restarted since does not inherit the failures.
+    let restarted = Endpoint { started_at: old.now, ..member(1, 1.0) };
+    let mut renewed = World::new(settings_without_load_reports(), &[restarted, member(2, 1.0)]);
     assert!(renewed.dispatcher.restore(old.now, learned.clone()));
     assert!(!renewed.dispatcher.is_unavailable(old.now, EndpointId(1)));
-    let mut fewer = blind();
+    let mut fewer = settings_without_load_reports();
     fewer.classes.pop();
     let mut other = World::new(fewer, &fleet(2));
-    assert!(!other.dispatcher.restore(old.now, learned), "of other classes");
+    assert!(!other.dispatcher.restore(old.now, learned), "the classes differ");
     assert!(!other.dispatcher.is_unavailable(old.now, EndpointId(1)));
 }
--- a/tests/restored_state.rs
+++ b/tests/restored_state.rs
@@ -1,5 +1,5 @@
-//! What a process takes over from the one before it may be damaged and still pass its checksum. Whatever figures stand in it, the
-//! router goes on: it refuses them, or works with them.
+//! State handed over by the previous process may be damaged and still pass its checksum. Whatever values it
+//! contains, the router must reject them or keep working with them.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use micabeam::routing::*;
 use proptest::prelude::*;
 
-/// Figures that no dispatcher can have learned, and some that it can.
-const FIGURES: [f64; 10] =
+/// Values that no dispatcher can have learned, and some that it can.
+const VALUES: [f64; 10] =
     [f64::MAX, 1e300, 1e20, 1e15, f64::INFINITY, f64::NAN, -1.0, 0.0, 1.0, f64::MIN_POSITIVE];
 
-/// A dispatcher that has learned something of three endpoints.
+/// Returns a dispatcher that has learned state about three endpoints.
 fn learned_world() -> World {
     let mut world = World::new(probing(), &[member(1, 1.0), member(2, 1.0), member(3, 2.0)]);
     for _ in 0..6 {
@@ -26,8 +26,8 @@
     world
 }
 
-/// Has a restored dispatcher take jobs, with failures and probes without an answer between them.
-fn use_it(mut world: World) {
+/// Lets a restored dispatcher route jobs, with failures and unanswered probes in between.
+fn run_jobs(mut world: World) {
     for round in 0..20 {
         let (job, actions) = world.job(round % 3);
         for id in 1..=3 {
@@ -49,19 +49,19 @@
 
 proptest! {
     #[test]
-    fn damaged_figures_are_refused_or_do_no_harm(
-        damages in prop::collection::vec((0.0..1.0_f64, 0..FIGURES.len() + 1), 1..4)
+    fn damaged_state_is_rejected_or_harmless(
+        changes in prop::collection::vec((0.0..1.0_f64, 0..VALUES.len() + 1), 1..4)
     ) {
         let mut bytes = postcard::to_stdvec(&learned_world().dispatcher.warm_state()).unwrap();
-        for (place, figure) in damages {
-            let at = (place * (bytes.len() - 8) as f64) as usize;
-            let figure = FIGURES.get(figure).map_or([0xff; 8], |figure| figure.to_le_bytes());
-            bytes[at..at + 8].copy_from_slice(&figure);
+        for (position, value) in changes {
+            let at = (position * (bytes.len() - 8) as f64) as usize;
+            let value = VALUES.get(value).map_or([0xff; 8], |value| value.to_le_bytes());
+            bytes[at..at + 8].copy_from_slice(&value);
         }
         let Ok(state) = postcard::from_bytes::<WarmState>(&bytes) else { return Ok(()) };
         let mut world = learned_world();
         let now = world.now;
         world.dispatcher.restore(now, state);
-        use_it(world);
+        run_jobs(world);
     }
 }
