--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -1,28 +1,29 @@
-//! What a frontend is to do for its core.
+//! Commands from the core to its frontend.
 
 use super::job::FinalAnswer;
 use crate::routing::{EndpointId, JobId};
 
-/// What a frontend is to do. It carries out all commands, in their order.
+/// An operation that the frontend must carry out. Commands are carried out in the order in which they are
+/// returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send an attempt to an endpoint.
     Send {
         /// The job.
         job: JobId,
-        /// Number of the attempt within the job, from 0.
+        /// Index of the attempt within the job, from 0.
         attempt: usize,
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Cancel an attempt; it has ended as far as the core goes.
+    /// Cancel an attempt. The core already treats it as ended.
     Cancel {
         /// The job.
         job: JobId,
-        /// Number of the attempt.
+        /// Index of the attempt within the job.
         attempt: usize,
     },
-    /// Give a job its one final answer.
+    /// Send a job's only final answer to its client.
     Answer {
         /// The job.
         job: JobId,
@@ -34,6 +35,6 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Start a watch of the endpoint list.
+    /// Subscribe to the endpoint list.
     Subscribe,
 }
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -1,13 +1,14 @@
-//! Counts of what was taken in, sent and answered. Their names are what operators read.
+//! Counters of jobs, attempts and list updates. Operators read them by these names.
 
 use std::fmt;
 
-/// Counts since the start. `taken` is the sum of the answers, `left` and what is still open.
+/// Counts since the start. `taken` is the sum of all answers, of `left` and of the jobs that are still open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Jobs taken in.
+    /// Requests received.
     pub taken: u64,
-    /// Jobs rejected before the router saw them: too many, or the program is stopping.
+    /// Jobs rejected before the router saw them: the job limit was reached, the deadline had passed, no zone
+    /// had capacity, or the program was stopping.
     pub turned_away: u64,
     /// Jobs answered with an endpoint's result.
     pub served: u64,
@@ -15,7 +16,7 @@
     pub denied: u64,
     /// Jobs answered as failed.
     pub failed: u64,
-    /// Jobs whose client left before an answer.
+    /// Jobs whose client disconnected before an answer.
     pub left: u64,
     /// Attempts sent.
     pub sent: u64,
@@ -23,21 +24,21 @@
     pub cancelled: u64,
     /// Attempts that ended without having run.
     pub never_ran: u64,
-    /// Attempts that ended otherwise than served and may have run.
+    /// Attempts that were not served and may have run.
     pub may_have_run: u64,
-    /// News of attempts that were over already.
+    /// Reports on attempts that had already ended.
     pub stray: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Lists and changes of lists read.
+    /// Lists and list updates read.
     pub lists: u64,
     /// Calls to discovery that failed.
     pub list_failures: u64,
-    /// Lines of lists that the endpoint table had no room for.
+    /// Entries of lists dropped because the endpoint table was full.
     pub lines_dropped: u64,
     /// Attempts sent while the list was not confirmed.
     pub sent_unconfirmed: u64,
-    /// Jobs that came while no attempt could be made, as the list was too old.
+    /// Jobs that arrived while the list was too old to send attempts.
     pub withheld: u64,
 }
 
--- a/src/core/endpoint_table.rs
+++ b/src/core/endpoint_table.rs
@@ -1,63 +1,63 @@
-//! The endpoint table: the endpoints that the list has named, under the names that the wire gives them. It alone makes
-//! their ids and knows their addresses; the router knows an endpoint by its id.
+//! The endpoint table: the endpoints that the endpoint list has named. It assigns the endpoints' ids and
+//! holds their names and addresses; the router knows an endpoint only by its id.
 
 use rustc_hash::FxHashMap;
 
-/// Most endpoints that are remembered. A line beyond it is counted and told in the log.
+/// Largest number of endpoints that the table holds. Further entries of the list are counted and logged.
 pub use crate::routing::MAX_ENDPOINTS;
 use crate::routing::{Endpoint, EndpointId, EndpointStatus};
 
-/// An endpoint as a frontend reads it from the list.
+/// An entry of the endpoint list as a frontend reads it.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// Its name, the same after a restart.
+    /// Name of the endpoint, stable across its restarts.
     pub name: String,
-    /// Where its frontend finds it; the core only keeps it.
+    /// Address of the endpoint. The core stores it for the frontend and does not interpret it.
     pub address: String,
-    /// What the router is told of it; its id is filled in by the table.
+    /// The endpoint as passed to the router; the table fills in the id.
     pub endpoint: Endpoint,
 }
 
-/// How much of the list some lines are.
+/// Whether entries are the complete list or an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All of it: an endpoint that they do not name is gone.
+    /// The complete list: an endpoint that is not in it is gone.
     Complete,
-    /// What has changed since the last one.
+    /// The entries that have changed since the last list or update.
     Changes,
 }
 
-/// The endpoint table.
+/// Endpoints by id and by name.
 #[derive(Default)]
 pub struct EndpointTable {
     ids: FxHashMap<String, EndpointId>,
     endpoints: FxHashMap<EndpointId, ListedEndpoint>,
-    /// Lines that there was no room for, since the start.
-    dropped_lines: u64,
+    /// Number of entries dropped since the start because the table was full.
+    dropped_entries: u64,
 }
 
 impl EndpointTable {
-    /// Takes lines of the list in, and gives them as the router reads them.
-    pub fn apply(&mut self, lines: Vec<ListedEndpoint>, scope: ListScope) -> Vec<Endpoint> {
+    /// Applies entries of the list and returns them as endpoints for the router.
+    pub fn apply(&mut self, entries: Vec<ListedEndpoint>, scope: ListScope) -> Vec<Endpoint> {
         if scope == ListScope::Complete {
             for known in self.endpoints.values_mut() {
                 known.endpoint.status = EndpointStatus::Gone;
             }
         }
-        let mut applied = Vec::with_capacity(lines.len());
-        for mut line in lines {
-            let Some(id) = self.id_or_insert(&line.name) else {
-                self.dropped_lines += 1;
+        let mut applied = Vec::with_capacity(entries.len());
+        for mut entry in entries {
+            let Some(id) = self.id_or_insert(&entry.name) else {
+                self.dropped_entries += 1;
                 continue;
             };
-            line.endpoint.id = id;
-            applied.push(line.endpoint);
-            self.endpoints.insert(id, line);
+            entry.endpoint.id = id;
+            applied.push(entry.endpoint);
+            self.endpoints.insert(id, entry);
         }
         applied
     }
 
-    /// The id of a name, a new one where it is not known; none where there is no room for another endpoint.
+    /// Returns the id of a name and assigns one if the name is new. Returns `None` if the table is full.
     fn id_or_insert(&mut self, name: &str) -> Option<EndpointId> {
         if let Some(id) = self.id(name) {
             return Some(id);
@@ -73,7 +73,7 @@
         Some(id)
     }
 
-    /// Makes room by forgetting an endpoint that is gone. False where there is none.
+    /// Removes one endpoint that is gone, to make room. Returns false if there is none.
     fn remove_one_gone(&mut self) -> bool {
         let gone = self.endpoints.iter().find(|(_, known)| known.endpoint.status == EndpointStatus::Gone);
         let Some((&id, _)) = gone else { return false };
@@ -83,22 +83,22 @@
         true
     }
 
-    /// Lines that there was no room for, since the start.
-    pub fn dropped_lines(&self) -> u64 {
-        self.dropped_lines
+    /// Returns the number of entries dropped since the start because the table was full.
+    pub fn dropped_entries(&self) -> u64 {
+        self.dropped_entries
     }
 
-    /// An endpoint by its id.
+    /// Returns an endpoint by its id.
     pub fn get(&self, id: EndpointId) -> Option<&ListedEndpoint> {
         self.endpoints.get(&id)
     }
 
-    /// An endpoint's id by its name.
+    /// Returns the id of an endpoint by its name.
     pub fn id(&self, name: &str) -> Option<EndpointId> {
         self.ids.get(name).copied()
     }
 
-    /// All endpoints that are not gone, in the order of their names.
+    /// Returns all endpoints that are not gone, sorted by name.
     pub fn listed(&self) -> Vec<&ListedEndpoint> {
         let is_present = |known: &&ListedEndpoint| known.endpoint.status != EndpointStatus::Gone;
         let mut listed: Vec<&ListedEndpoint> = self.endpoints.values().filter(is_present).collect();
@@ -107,8 +107,8 @@
     }
 }
 
-/// The FNV-1a hash of a name: every dispatcher makes the same id of it, so that the fixed order of endpoints is the same at
-/// all of them.
+/// FNV-1a hash of a name. All dispatchers derive the same id from a name, so that the fixed order of
+/// endpoints is the same at all of them.
 fn fnv1a(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,54 +1,54 @@
-//! What a frontend hands in, what its client gets in the end, and what the core keeps of a job in between.
+//! Requests from frontends, final answers to clients, and the state of open jobs.
 
 use super::partition::PartitionId;
 use crate::routing::EndpointId;
 
-/// A request as a frontend hands it in.
+/// A request submitted by a frontend.
 #[derive(Clone, Copy, Debug)]
 pub struct JobRequest {
-    /// Its class, by index in the settings.
+    /// Class of the job, by index in the settings.
     pub class: usize,
-    /// When its client gives up, in milliseconds of the core's clock.
+    /// Time at which its client gives up, in milliseconds of the core's clock.
     pub deadline_ms: f64,
-    /// Slots that it takes at its endpoint.
+    /// Number of slots that the job occupies at its endpoint.
     pub slots: f64,
-    /// Work that the client expects it to be, in milliseconds on a core of speed 1; none where it is not told.
+    /// Work that the client expects, in milliseconds on a core of speed 1; `None` if it gives no estimate.
     pub work_ms: Option<f64>,
-    /// The partition of the endpoints that it may be sent to; 0 for all of them.
+    /// Partition that the job is restricted to; 0 for all endpoints.
     pub partition: PartitionId,
 }
 
-/// The one final answer to a job.
+/// The only final answer to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// It was served, with the endpoint's result.
+    /// The job was served; contains the endpoint's result.
     Served(Vec<u8>),
-    /// It was rejected: trying again does no harm.
+    /// The job was rejected; retrying it is safe.
     Rejected {
-        /// Advice when to come back, in milliseconds; 0 for no advice.
+        /// Suggested delay before a retry, in milliseconds; 0 for no suggestion.
         retry_after_ms: f64,
     },
-    /// It failed; nothing is promised.
+    /// The job failed; it may or may not have run.
     Failed,
 }
 
-/// One attempt of a job at an endpoint.
+/// An attempt of a job at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Where it was sent.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// Whether it has not ended yet.
+    /// Whether the attempt has not ended yet.
     pub is_open: bool,
-    /// When it was sent; where a body is relayed as it comes, when the last of it was.
+    /// Time at which the attempt was sent; for a streamed body, the time at which the body was complete.
     pub(super) sent_at_ms: f64,
-    /// When its response began, where that is relayed as it comes.
+    /// Start of its response, if the response is streamed.
     pub(super) response_started_at_ms: Option<f64>,
-    /// Whether its request is complete at the endpoint, and counted so.
+    /// Whether its request was written completely and counted.
     pub(super) request_sent: bool,
 }
 
 impl Attempt {
-    /// An attempt that is sent at `now_ms`.
+    /// Returns an attempt that is sent at `now_ms`.
     pub(super) fn new(endpoint: EndpointId, now_ms: f64) -> Attempt {
         Attempt {
             endpoint,
@@ -59,41 +59,41 @@
         }
     }
 
-    /// How long the endpoint took, by `now_ms`. A long response ends at the pace of its client, so that only the time to its
-    /// beginning is the endpoint's.
+    /// Returns the response time of the endpoint at `now_ms`. For a streamed response this is the time to its
+    /// start: the rest depends on how fast the client reads.
     pub(super) fn latency_ms(&self, now_ms: f64) -> f64 {
         self.response_started_at_ms.unwrap_or(now_ms) - self.sent_at_ms
     }
 }
 
-/// How far a job has come.
+/// Progress of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum JobPhase {
-    /// It is owed a final answer.
+    /// The job has no final answer yet.
     Open,
-    /// Its response has begun to be relayed: as that attempt ends, so does the job.
+    /// Its response is being streamed: the job ends when that attempt ends.
     Streaming,
-    /// It has had its final answer, or its client has left.
+    /// The job has its final answer, or its client has disconnected.
     Finished,
 }
 
-/// A job from the time it is taken until its one final answer.
+/// A job from its submission until its final answer.
 #[derive(Debug)]
 pub struct ActiveJob {
-    /// What was asked.
+    /// The request.
     pub request: JobRequest,
-    /// Its attempts; the router counts them in the same order.
+    /// Its attempts, in the order in which the router numbers them.
     pub attempts: Vec<Attempt>,
     pub(super) phase: JobPhase,
 }
 
 impl ActiveJob {
-    /// A job that has just been admitted.
+    /// Returns a job that has just been admitted.
     pub(super) fn new(request: JobRequest) -> ActiveJob {
         ActiveJob { request, attempts: Vec::new(), phase: JobPhase::Open }
     }
 
-    /// An attempt that has not ended.
+    /// Returns an attempt if it has not ended.
     pub(super) fn open_attempt(&mut self, attempt: usize) -> Option<&mut Attempt> {
         self.attempts.get_mut(attempt).filter(|attempt| attempt.is_open)
     }
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -1,21 +1,22 @@
-//! The table of open jobs. It alone adds, finishes and removes them; the stages change a job through it.
+//! The table of open jobs. Only this module adds, finishes and removes jobs; the stages change them through
+//! it.
 
 use rustc_hash::FxHashMap;
 
 use super::job::{ActiveJob, JobPhase, JobRequest};
 use crate::routing::JobId;
 
-/// All jobs of one core that are not closed.
+/// All jobs of one core that have not been removed.
 #[derive(Default)]
 pub(super) struct Jobs {
     jobs: FxHashMap<JobId, ActiveJob>,
     last_id: JobId,
-    /// Jobs that are finished, and not removed yet: the router still has to cancel their other attempts.
+    /// Jobs that are finished but not yet removed: the router still has to cancel their other attempts.
     finished: Vec<JobId>,
 }
 
 impl Jobs {
-    /// An id that is never used again.
+    /// Returns a new id; ids are never reused.
     pub(super) fn next_id(&mut self) -> JobId {
         self.last_id.0 += 1;
         self.last_id
@@ -26,22 +27,23 @@
         self.jobs.insert(id, ActiveJob::new(request));
     }
 
-    /// A job that is not closed.
+    /// Returns a job that has not been removed.
     pub(super) fn get(&self, id: JobId) -> Option<&ActiveJob> {
         self.jobs.get(&id)
     }
 
-    /// The same, to be changed.
+    /// Mutable form of `get`.
     pub(super) fn get_mut(&mut self, id: JobId) -> Option<&mut ActiveJob> {
         self.jobs.get_mut(&id)
     }
 
-    /// A job that is still owed its final answer.
+    /// Returns a job that has no final answer yet.
     pub(super) fn unfinished_mut(&mut self, id: JobId) -> Option<&mut ActiveJob> {
         self.jobs.get_mut(&id).filter(|job| job.phase != JobPhase::Finished)
     }
 
-    /// Finishes a job: nothing is owed for it any more. Gives its request the first time, and nothing after that.
+    /// Marks a job as finished, so that it gets no further answer. Returns its request on the first call and
+    /// `None` on later calls.
     pub(super) fn finish(&mut self, id: JobId) -> Option<JobRequest> {
         let job = self.unfinished_mut(id)?;
         job.phase = JobPhase::Finished;
@@ -50,7 +52,7 @@
         Some(request)
     }
 
-    /// Removes the jobs that are finished, and names the request of each to `closed`.
+    /// Removes the finished jobs and calls `closed` with the request of each.
     pub(super) fn close_finished(&mut self, mut closed: impl FnMut(&JobRequest)) {
         for id in self.finished.drain(..) {
             if let Some(job) = self.jobs.remove(&id) {
@@ -59,12 +61,12 @@
         }
     }
 
-    /// All jobs that are not closed.
+    /// Iterates over all jobs that have not been removed.
     pub(super) fn iter(&self) -> impl Iterator<Item = &ActiveJob> {
         self.jobs.values()
     }
 
-    /// How many jobs are not closed.
+    /// Returns the number of jobs that have not been removed.
     pub(super) fn len(&self) -> usize {
         self.jobs.len()
     }
--- a/src/core/list_status.rs
+++ b/src/core/list_status.rs
@@ -1,5 +1,5 @@
-//! What a core does with the freshness of its list: it tells the routers whether attempts may be made, and logs and counts
-//! each change. The decision itself is `ListFreshness`'s.
+//! Applies list freshness: tells the routers whether attempts are allowed, and logs and counts each change.
+//! [`ListFreshness`](crate::routing::ListFreshness) makes the decision.
 
 use tracing::info;
 
@@ -8,19 +8,19 @@
 use super::partition::ALL_ENDPOINTS;
 use crate::routing::{CallFailure, Event, ListState, Micros};
 
-/// The state of a core's list, as operators see it.
+/// State of a core's endpoint list, for operators.
 #[derive(Clone, Copy, Debug)]
 pub struct ListStatus {
-    /// Confirmed, or why not.
+    /// Whether the list is fixed, confirmed or unconfirmed, and why it is unconfirmed.
     pub state: ListState,
-    /// How long ago that began, in milliseconds: the last answer, or the loss of it.
+    /// Time in milliseconds since the last confirmation, or since the list became unconfirmed.
     pub age_ms: f64,
-    /// Whether attempts are made by it.
+    /// Whether the list is fresh enough to send attempts.
     pub allows_attempts: bool,
 }
 
 impl Core {
-    /// The state of the list.
+    /// Returns the state of the endpoint list.
     pub fn list_status(&self) -> ListStatus {
         let now = micros(self.clock.now());
         let state = self.list_freshness.state();
@@ -33,7 +33,7 @@
         ListStatus { state, age_ms: millis(now.saturating_sub(began)), allows_attempts }
     }
 
-    /// Discovery has answered.
+    /// Marks the list as confirmed by an answer of discovery.
     pub(super) fn confirm_list(&mut self) {
         let now = micros(self.clock.now());
         let before = self.list_freshness.state();
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Counts and logs a call that failed. Gives how long it was out.
+    /// Counts and logs a failed call to discovery. Returns how long the call was open.
     pub(super) fn record_list_failure(&mut self, failure: CallFailure) -> Micros {
         self.statistics.counters.list_failures += 1;
         let now = micros(self.clock.now());
@@ -56,7 +56,7 @@
         lasted
     }
 
-    /// Tells the routers whether attempts may be made by the list, where that has changed.
+    /// Tells the routers whether attempts are allowed by the list's freshness, if that has changed.
     pub(super) fn refresh_attempts_allowed(&mut self) {
         let now = micros(self.clock.now());
         if self.list_freshness.expire(now) {
@@ -67,19 +67,19 @@
             return;
         }
         self.attempts_allowed = allowed;
-        info!(allowed, open_jobs = self.jobs.len(), "attempts by the list");
+        info!(allowed, open_jobs = self.jobs.len(), "new attempts allowed by list freshness");
         self.hand_to_router(ALL_ENDPOINTS, Event::AttemptsAllowed(allowed));
         for partition in self.routers.partition_ids() {
             self.hand_to_router(partition, Event::AttemptsAllowed(allowed));
         }
     }
 
-    /// Counts a job that comes while no attempt may be made.
+    /// Counts a new job as withheld if attempts are not allowed.
     pub(super) fn count_withheld_job(&mut self) {
         self.statistics.counters.withheld += u64::from(!self.attempts_allowed);
     }
 
-    /// Counts an attempt that is made by a list that is not confirmed.
+    /// Counts an attempt that is sent while the list is unconfirmed.
     pub(super) fn count_unconfirmed_attempt(&mut self) {
         let is_unconfirmed = matches!(self.list_freshness.state(), ListState::Unconfirmed { .. });
         self.statistics.counters.sent_unconfirmed += u64::from(is_unconfirmed);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,13 +1,15 @@
-//! The core of one frontend: its jobs, its endpoint table, its routers and what it counts. It knows no socket and no wire.
+//! The core of one frontend: open jobs, the endpoint table, the routers and the counters. Sans-I/O: the
+//! frontend feeds it events and carries out its commands.
 //!
-//! A frontend calls the core with plain events (`submit`, `on_…`, `tick`) and then carries out all commands that
-//! `next_command` gives, in their order. It must tell the end of each attempt that it was told to send, once; and it calls
-//! `tick` when `next_deadline` has come.
+//! A frontend reports events to the core (`submit`, `on_…`, `tick`) and then carries out all commands that
+//! `next_command` returns, in order. It must report the end of each attempt that it was told to send exactly
+//! once, and must call `tick` when `next_deadline` is reached.
 //!
-//! Who owns what: `jobs::Jobs` the jobs and their attempts, [`EndpointTable`] the endpoints' names and addresses,
-//! `routers::Routers` the routers with their wake-ups and the partitions, `statistics::Statistics` the counters. An event
-//! goes one way: `accept`, `admit` or `complete` takes it in, `route` hands it to a router, `send` and `answer` turn the
-//! router's actions into commands, and jobs that are finished are closed (`Core::drive`).
+//! Ownership: `jobs::Jobs` holds the jobs and their attempts, [`EndpointTable`] the endpoints' names and
+//! addresses, `routers::Routers` the routers, their wake-ups and the partitions, `statistics::Statistics` the
+//! counters. Each event passes through the stages in one direction: `accept`, `admit` or `complete` records
+//! it, `route` hands it to a router, `send` and `answer` turn the router's actions into commands, and
+//! finished jobs are removed (`Core::process_event`).
 
 mod clock;
 mod command;
@@ -52,33 +54,35 @@
 use statistics::Statistics;
 use traffic_split::TrafficSplit;
 
-/// Settings that cannot be taken over while the program runs: names are numbers in all that is open.
+/// Error for settings that cannot be applied without a restart: open jobs refer to classes, kinds and zones
+/// by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("other `grades`, `kinds` or `zones` take a restart")]
+#[error("changes to `grades`, `kinds` or `zones` need a restart")]
 pub struct IncompatibleSettings;
 
-/// The core of one frontend.
+/// Decision logic and state of one frontend.
 pub struct Core {
     clock: Clock,
     site: Site,
     jobs: Jobs,
     endpoints: EndpointTable,
     routers: Routers,
-    /// Whether the list may be acted on.
+    /// Tracks whether the endpoint list is recent enough to send attempts.
     list_freshness: ListFreshness,
-    /// What the routers were told last of that.
+    /// The value last sent to the routers with `Event::AttemptsAllowed`.
     attempts_allowed: bool,
     limits: AdmissionLimits,
-    /// What each zone may get, where a fleet decides on that.
+    /// Share of the traffic for each zone; present only where a fleet decides on it.
     traffic_split: Option<Box<TrafficSplit>>,
     statistics: Statistics,
     commands: VecDeque<Command>,
-    /// Room for a router's actions, empty between two events.
+    /// Reusable buffer for router actions; empty between events.
     actions: Vec<Action>,
 }
 
 impl Core {
-    /// A core with an empty endpoint table that holds `max_jobs` open jobs at most. All its randomness comes from `seed`.
+    /// Returns a core with an empty endpoint table that holds at most `max_jobs` open jobs. `seed` determines
+    /// all its randomness.
     pub fn new(site: Site, seed: u64, clock: Clock, max_jobs: usize) -> Core {
         let class_names = site.client_classes.iter().map(|class| class.name.clone()).collect();
         Core {
@@ -97,10 +101,10 @@
         }
     }
 
-    /// Checks whether settings that were read again can be taken over.
+    /// Checks whether reloaded settings can be applied to the running core.
     ///
     /// # Errors
-    /// Where they name other classes, kinds or zones than those that the program was started with.
+    /// Returns [`IncompatibleSettings`] if they name other classes, kinds or zones than the settings in use.
     pub fn check_compatible(&self, site: &Site) -> Result<(), IncompatibleSettings> {
         let kinds = |site: &Site| site.settings.classes.iter().map(|class| class.kind).collect::<Vec<_>>();
         let names =
@@ -110,7 +114,7 @@
         if same_classes && same_places { Ok(()) } else { Err(IncompatibleSettings) }
     }
 
-    /// Takes over compatible settings and another bound on open jobs; what is open goes on under them.
+    /// Applies compatible settings and a new limit on open jobs; open jobs continue under them.
     pub fn reconfigure(&mut self, site: Site, max_jobs: usize) {
         self.routers.reconfigure(&site.settings);
         self.list_freshness.reconfigure(&site.settings);
@@ -118,35 +122,37 @@
         self.limits.max_jobs = max_jobs;
     }
 
-    /// Takes a request in, and gives its id.
+    /// Submits a request and returns its job id.
     ///
     /// # Errors
-    /// Where it is not admitted, with its final answer: no command follows for it.
+    /// Returns the final answer if the request is not admitted; no command follows for it.
     pub fn submit(&mut self, request: JobRequest) -> Result<JobId, FinalAnswer> {
         let id = accept::accept(&mut self.jobs, &mut self.statistics.counters);
         let class = request.class;
         let traffic_split = self.traffic_split.as_deref_mut();
         let admitted = admit::admit(&self.limits, traffic_split, self.jobs.len(), self.clock.now(), request);
         let request = admitted.map_err(|refusal| {
-            self.statistics.count_not_admitted(class);
-            let retry_after_ms = if refusal.is_worth_a_retry() { self.site.max_retry_after_ms } else { 0.0 };
+            self.statistics.count_rejected_on_admission(class);
+            let retry_after_ms = if refusal.is_retryable() { self.site.max_retry_after_ms } else { 0.0 };
             FinalAnswer::Rejected { retry_after_ms }
         })?;
         self.jobs.insert(id, request);
         self.routers.job_opened(request.partition);
         self.count_withheld_job();
-        self.drive(request.partition, route::job_event(id, &request));
+        self.process_event(request.partition, route::job_event(id, &request));
         Ok(id)
     }
 
-    /// A job's client has left: it gets no answer, and its open attempts are cancelled.
+    /// Records that a job's client has disconnected: the job gets no answer, and its open attempts are
+    /// cancelled.
     pub fn on_client_left(&mut self, job: JobId) {
         if let Some(request) = complete::client_left(&mut self.jobs, &mut self.statistics.counters, job) {
-            self.drive(request.partition, Event::ClientLeft(job));
+            self.process_event(request.partition, Event::ClientLeft(job));
         }
     }
 
-    /// An attempt has ended; `result` is what it served. False if it was over already: then nothing changes.
+    /// Records the end of an attempt; `result` is the response body if it was served. Returns false, and
+    /// changes nothing, if the attempt had already ended.
     pub fn on_attempt_ended(
         &mut self,
         job: JobId,
@@ -160,60 +166,63 @@
             return false;
         };
         if let Some(split) = &mut self.traffic_split
-            && let Some(line) = self.endpoints.get(ended.endpoint)
+            && let Some(entry) = self.endpoints.get(ended.endpoint)
         {
-            split.record_attempt(line.endpoint.zone, outcome, millis(ended.latency));
+            split.record_attempt(entry.endpoint.zone, outcome, millis(ended.latency));
         }
         let finished = outcome == Outcome::Served || ended.was_streaming;
         if outcome == Outcome::Served {
             self.answer(job, FinalAnswer::Served(result));
         } else {
             complete::count_unserved(&mut self.statistics.counters, &ended, outcome);
-            // Bytes of its response are out: nothing else can follow.
+            // Part of the response has been sent to the client, so no other attempt can answer the job.
             if ended.was_streaming {
                 self.answer(job, FinalAnswer::Failed);
             }
         }
         let (endpoint, latency) = (ended.endpoint, ended.latency);
         let end = AttemptEnd { job, attempt, endpoint, outcome, latency, finished, report };
-        self.drive(self.partition_of(job), Event::Ended(end));
+        self.process_event(self.partition_of(job), Event::Ended(end));
         true
     }
 
-    /// An attempt's job was started by its endpoint.
+    /// Records that an endpoint has started the job of an attempt.
     pub fn on_attempt_started(&mut self, job: JobId, attempt: usize) {
         let known = self.jobs.get(job).and_then(|job| job.attempts.get(attempt));
         if known.is_some_and(|attempt| attempt.is_open) {
-            self.drive(self.partition_of(job), Event::Started { job, attempt });
+            self.process_event(self.partition_of(job), Event::Started { job, attempt });
         }
     }
 
-    /// An attempt's request was written to its endpoint to the last byte, where its body was not relayed as it came.
+    /// Records that the whole request of an attempt was written to its endpoint. For requests whose body was
+    /// not streamed; see [`Core::on_body_relayed`].
     pub fn on_request_sent(&mut self, job: JobId, attempt: usize) {
         complete::request_sent(&mut self.jobs, &mut self.statistics, job, attempt);
     }
 
-    /// All of an attempt's request, relayed as it came, is at its endpoint.
+    /// Records that a streamed request of an attempt was written to its endpoint completely.
     pub fn on_body_relayed(&mut self, job: JobId, attempt: usize) {
         complete::request_sent(&mut self.jobs, &mut self.statistics, job, attempt);
         complete::body_relayed(&mut self.jobs, self.clock.now(), job, attempt);
     }
 
-    /// The response of an attempt has begun, and is relayed as it comes: from now on the job has no deadline, and ends as
-    /// the attempt does. False if the attempt is over already, and its response must not be passed on.
+    /// Records that the response of an attempt has started and is streamed to the client: from now on the job
+    /// has no deadline and ends when the attempt ends. Returns false if the attempt has already ended; its
+    /// response must then not be forwarded.
     pub fn on_response_started(&mut self, job: JobId, attempt: usize) -> bool {
         match complete::response_started(&mut self.jobs, self.clock.now(), job, attempt) {
             ResponseStart::Stale => false,
             ResponseStart::Repeated => true,
             ResponseStart::First => {
-                self.drive(self.partition_of(job), Event::Streaming(job));
+                self.process_event(self.partition_of(job), Event::Streaming(job));
                 true
             }
         }
     }
 
-    /// Whether an attempt may be written now that its connection is up. What has happened since it was decided is looked at
-    /// again: if it may not, it never ran, and the frontend ends it so.
+    /// Whether an attempt may still be written once its connection is established. Checks again what may have
+    /// changed since the router chose the endpoint. If it returns false, the attempt never ran, and the
+    /// frontend ends it accordingly.
     pub fn attempt_is_valid(&self, job: JobId, attempt: usize) -> bool {
         let Some(open) = self.jobs.get(job).filter(|job| job.phase != job::JobPhase::Finished) else {
             return false;
@@ -224,93 +233,94 @@
         is_open && router.attempt_is_valid(micros(self.clock.now()), job, attempt)
     }
 
-    /// Whether a job whose connection breaks under its attempt may not simply be tried again.
+    /// Whether retrying a job after its connection was reset under an attempt could do harm.
     pub fn is_harmed_by_reset(&self, job: JobId) -> bool {
         self.routers.router(self.partition_of(job)).is_harmed_by_reset(job)
     }
 
-    /// Lets routers know that the time has come for which they asked.
+    /// Wakes the routers whose requested wake-up time has been reached.
     pub fn tick(&mut self) {
         self.refresh_attempts_allowed();
         if self.routers.all_is_due(micros(self.clock.now())) {
-            self.drive(ALL_ENDPOINTS, Event::Wake);
+            self.process_event(ALL_ENDPOINTS, Event::Wake);
         }
         for partition in self.routers.due_partitions(micros(self.clock.now())) {
-            self.drive(partition, Event::Wake);
+            self.process_event(partition, Event::Wake);
         }
     }
 
-    /// When `tick` is to be called next, in milliseconds of the clock.
+    /// Returns when `tick` must be called next, in milliseconds of the clock.
     pub fn next_deadline(&self) -> Option<f64> {
         let freshness_change = self.list_freshness.next_change(micros(self.clock.now()));
         self.routers.next_wake().into_iter().chain(freshness_change).min().map(millis)
     }
 
-    /// The next command for the frontend.
+    /// Returns the next command for the frontend.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// What is taken in from one time on is to be over by another, in milliseconds of the clock.
-    pub fn limit_late_deadlines(&mut self, from_ms: f64, until_ms: f64) {
+    /// Limits the deadline of requests submitted at or after `from_ms` to `until_ms`, both in milliseconds of
+    /// the clock.
+    pub fn set_shutdown_deadline(&mut self, from_ms: f64, until_ms: f64) {
         self.limits.shutdown_deadline = Some(ShutdownDeadline { from_ms, until_ms });
     }
 
-    /// From now on new requests are rejected.
+    /// Rejects all further requests.
     pub fn reject_new_jobs(&mut self) {
         self.limits.is_stopping = true;
     }
 
-    /// What the router of all endpoints has learned.
+    /// Returns the learned state of the router for all endpoints.
     pub fn warm_state(&self) -> WarmState {
         self.routers.router(ALL_ENDPOINTS).warm_state()
     }
 
-    /// How many jobs have had no final answer.
+    /// Returns the number of jobs without a final answer.
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// A job that is open.
+    /// Returns an open job.
     pub fn job(&self, id: JobId) -> Option<&ActiveJob> {
         self.jobs.get(id)
     }
 
-    /// The endpoint table.
+    /// Returns the endpoint table.
     pub fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
-    /// The settings.
+    /// Returns the settings in use.
     pub fn site(&self) -> &Site {
         &self.site
     }
 
-    /// The clock.
+    /// Returns the clock.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// The counters.
+    /// Returns the counters.
     pub fn counters(&self) -> &Counters {
         &self.statistics.counters
     }
 
-    /// The operators' counters.
+    /// Returns the counters behind the metrics.
     pub fn telemetry(&self) -> &Telemetry {
         &self.statistics.telemetry
     }
 
-    /// How often jobs began to wait here, by reason.
+    /// Returns how often jobs began to wait in the dispatcher, by reason.
     pub fn holds(&self) -> HoldCounts {
         self.statistics.holds
     }
 
-    /// The operators' gauges as they are now: open jobs, listed endpoints, and those that get no jobs.
+    /// Returns the current gauges: open jobs, listed endpoints, and listed endpoints that get no jobs.
     pub fn gauges(&self) -> Gauges {
         let (now, listed) = (micros(self.clock.now()), self.endpoints.listed());
         let router = self.routers.router(ALL_ENDPOINTS);
-        let unavailable = listed.iter().filter(|line| router.is_unavailable(now, line.endpoint.id)).count();
+        let unavailable = listed.iter().filter(|entry| router.is_unavailable(now, entry.endpoint.id)).count();
         Gauges {
             pending: self.jobs.len() as u64,
             members: listed.len() as u64,
@@ -318,7 +328,7 @@
         }
     }
 
-    /// The partition that a job is kept to.
+    /// Returns the partition that a job is restricted to.
     fn partition_of(&self, job: JobId) -> PartitionId {
         self.jobs.get(job).map_or(ALL_ENDPOINTS, |job| job.request.partition)
     }
@@ -327,9 +337,9 @@
         answer::answer(&mut self.jobs, &mut self.statistics, &mut self.commands, job, final_answer);
     }
 
-    /// Hands one event to the router of a partition, turns its actions into commands, and closes the jobs that are
-    /// finished. Every event that concerns a router comes through here, once.
-    fn drive(&mut self, partition: PartitionId, event: Event<'_>) {
+    /// Checks whether attempts are still allowed, then hands an event to the router of a partition, turns its
+    /// actions into commands, and removes the jobs that are finished.
+    fn process_event(&mut self, partition: PartitionId, event: Event<'_>) {
         self.refresh_attempts_allowed();
         self.hand_to_router(partition, event);
     }
@@ -339,7 +349,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         route::route(&mut self.routers, partition, now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(&action);
+            self.apply_action(&action);
         }
         self.actions = actions;
         let mut has_unused_partition = false;
@@ -351,7 +361,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn apply_action(&mut self, action: &Action) {
         let (counters, commands) = (&mut self.statistics.counters, &mut self.commands);
         match *action {
             Action::Send { job, endpoint } => {
@@ -369,7 +379,7 @@
             Action::Probe { endpoint } => send::probe(counters, commands, endpoint),
             Action::Hold { reason, .. } => self.statistics.holds.count(reason),
             Action::Subscribe => send::subscribe(commands),
-            // The routers have taken it.
+            // `Routers::handle` has already recorded the wake-up.
             Action::WakeAt(_) => {}
         }
     }
--- a/src/core/routers.rs
+++ b/src/core/routers.rs
@@ -1,12 +1,12 @@
-//! The routers of one core: one for all endpoints, and one for each partition of them. It owns their wake-ups, and which
-//! partitions there are. A job belongs to one router for its whole life.
+//! The routers of one core: one for all endpoints and one for each partition, with their wake-ups. A job
+//! stays with one router for its whole life.
 
 use rustc_hash::FxHashMap;
 
 use super::partition::{ALL_ENDPOINTS, EndpointSelector, PartitionId};
 use crate::routing::{Action, Event, Micros, Router, Settings, WarmState};
 
-/// A router, and when it wants to be woken.
+/// A router and the time at which it wants to be woken.
 struct ScheduledRouter {
     router: Router,
     wake_at: Option<Micros>,
@@ -17,10 +17,12 @@
         ScheduledRouter { router: Router::new(settings, seed), wake_at: None }
     }
 
-    /// Hands the router an event and adds what it decides to `actions`, but for its wake-ups, which are kept here.
+    /// Hands an event to the router and adds the router's actions to `actions`, except for wake-ups, which
+    /// are kept here.
     ///
-    /// Any event wakes the router, which then asks anew for what is left. Guards against jobs that never end: a time that
-    /// has passed, kept until the next tick, would hide the later one asked for meanwhile.
+    /// Any event wakes the router, which then requests a new wake-up for what is still pending, so a wake-up
+    /// that is due is cleared first. If it were kept until the next tick, it would hide the later one that
+    /// the router requests meanwhile, and jobs that depend on that one would never end.
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         self.wake_at = self.wake_at.filter(|&at| at > now);
         self.router.handle(now, event, actions);
@@ -33,27 +35,28 @@
     }
 }
 
-/// A partition: its endpoints, its router, and the jobs that are kept to it.
+/// A partition: its selector, its router and the number of jobs restricted to it.
 struct Partition {
     selector: EndpointSelector,
     scheduled: ScheduledRouter,
-    /// Whether new jobs may be kept to it.
-    is_wanted: bool,
+    /// Whether new jobs may be assigned to the partition.
+    accepts_jobs: bool,
     open_jobs: usize,
 }
 
 impl Partition {
     fn is_unused(&self) -> bool {
-        !self.is_wanted && self.open_jobs == 0
+        !self.accepts_jobs && self.open_jobs == 0
     }
 }
 
-/// Settings of a partition's router: the list is asked for by the router of all endpoints alone.
+/// Returns the settings for the router of a partition: only the router for all endpoints subscribes to the
+/// list.
 fn partition_settings(settings: Settings) -> Settings {
     Settings { must_subscribe: false, ..settings }
 }
 
-/// All routers of a core.
+/// All routers of a core, by partition.
 pub(super) struct Routers {
     all: ScheduledRouter,
     partitions: FxHashMap<PartitionId, Partition>,
@@ -62,7 +65,7 @@
 }
 
 impl Routers {
-    /// A router for all endpoints, and no partition.
+    /// Returns a router for all endpoints, without any partition.
     pub(super) fn new(settings: Settings, seed: u64) -> Routers {
         Routers {
             all: ScheduledRouter::new(settings, seed),
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Takes over settings that were read again.
+    /// Applies reloaded settings to all routers.
     pub(super) fn reconfigure(&mut self, settings: &Settings) {
         self.all.router.reconfigure(settings.clone());
         for partition in self.partitions.values_mut() {
@@ -80,7 +83,8 @@
         }
     }
 
-    /// Hands an event to the router of a partition, or to that of all endpoints where there is no such partition.
+    /// Hands an event to the router of a partition, or to the router for all endpoints if the partition does
+    /// not exist.
     pub(super) fn handle(
         &mut self,
         partition: PartitionId,
@@ -95,107 +99,108 @@
         scheduled.handle(now, event, actions);
     }
 
-    /// The router of a partition, or of all endpoints where there is no such partition.
+    /// Returns the router of a partition, or the router for all endpoints if the partition does not exist.
     pub(super) fn router(&self, partition: PartitionId) -> &Router {
         self.partitions.get(&partition).map_or(&self.all.router, |partition| &partition.scheduled.router)
     }
 
-    /// When the first of them wants to be woken.
+    /// Returns the earliest time at which a router wants to be woken.
     pub(super) fn next_wake(&self) -> Option<Micros> {
         let partitions = self.partitions.values().filter_map(|partition| partition.scheduled.wake_at);
         partitions.chain(self.all.wake_at).min()
     }
 
-    /// Whether the router of all endpoints is to be woken by now.
+    /// Whether the router for all endpoints is due to be woken.
     pub(super) fn all_is_due(&self, now: Micros) -> bool {
         self.all.wake_at.is_some_and(|at| at <= now)
     }
 
-    /// The partitions whose routers are to be woken by now.
+    /// Returns the partitions whose routers are due to be woken.
     pub(super) fn due_partitions(&self, now: Micros) -> Vec<PartitionId> {
         let is_due = |partition: &Partition| partition.scheduled.wake_at.is_some_and(|at| at <= now);
         self.partitions.iter().filter(|(_, partition)| is_due(partition)).map(|(id, _)| *id).collect()
     }
 
-    /// The partitions that there are.
+    /// Returns the ids of all partitions.
     pub(super) fn partition_ids(&self) -> Vec<PartitionId> {
         self.partitions.keys().copied().collect()
     }
 
-    /// How many partitions there are.
+    /// Returns the number of partitions.
     pub(super) fn partition_count(&self) -> usize {
         self.partitions.len()
     }
 
-    /// Which endpoints a partition has.
+    /// Returns the selector of a partition.
     pub(super) fn selector(&self, id: PartitionId) -> Option<&EndpointSelector> {
         self.partitions.get(&id).map(|partition| &partition.selector)
     }
 
-    /// Lets no new job be kept to any partition until `want` names it.
-    pub(super) fn unwant_all(&mut self) {
+    /// Stops all partitions from accepting new jobs, until `reuse` is called for them.
+    pub(super) fn retire_all(&mut self) {
         for partition in self.partitions.values_mut() {
-            partition.is_wanted = false;
+            partition.accepts_jobs = false;
         }
     }
 
-    /// The partition of these endpoints, where there is one; from now on new jobs may be kept to it.
-    pub(super) fn want(&mut self, selector: &EndpointSelector) -> Option<PartitionId> {
+    /// Returns the partition with this selector, if it exists, and lets it accept new jobs.
+    pub(super) fn reuse(&mut self, selector: &EndpointSelector) -> Option<PartitionId> {
         let known = self.partitions.iter_mut().find(|(_, partition)| partition.selector == *selector);
         let (id, partition) = known?;
-        partition.is_wanted = true;
+        partition.accepts_jobs = true;
         Some(*id)
     }
 
-    /// Adds a partition, whose router knows no endpoint yet.
+    /// Adds a partition. Its router does not know any endpoint yet.
     pub(super) fn add(&mut self, selector: &EndpointSelector, settings: &Settings) -> PartitionId {
         self.last_id += 1;
         let id = self.last_id;
         let settings = partition_settings(settings.clone());
         let scheduled = ScheduledRouter::new(settings, self.seed ^ u64::from(id) << 32);
-        let partition = Partition { selector: selector.clone(), scheduled, is_wanted: true, open_jobs: 0 };
+        let partition = Partition { selector: selector.clone(), scheduled, accepts_jobs: true, open_jobs: 0 };
         self.partitions.insert(id, partition);
         id
     }
 
-    /// What the routers of all partitions have learned.
+    /// Returns the learned state of the routers of all partitions.
     pub(super) fn partition_states(&self) -> Vec<WarmState> {
         self.partitions.values().map(|partition| partition.scheduled.router.warm_state()).collect()
     }
 
-    /// Has a partition's router take over what the router of all endpoints has learned, and then what others have. Guards
-    /// against a cold endpoint that gets new slow-start tokens with each change of policy: of those that have sent to the
-    /// same endpoints the fewest count.
+    /// Initializes the router of a partition with the learned state of the router for all endpoints and then
+    /// with `others`. Restoring keeps the lowest count of slow-start tokens for an endpoint, so that a cold
+    /// endpoint does not get new tokens with each change of policy.
     pub(super) fn inherit(&mut self, id: PartitionId, now: Micros, others: Vec<WarmState>) {
-        let whole = self.all.router.warm_state();
+        let all_endpoints_state = self.all.router.warm_state();
         let Some(partition) = self.partitions.get_mut(&id) else { return };
-        for state in [whole].into_iter().chain(others) {
+        for state in [all_endpoints_state].into_iter().chain(others) {
             partition.scheduled.router.restore(now, state);
         }
     }
 
-    /// Has the router of all endpoints take over what another process has learned. False where that cannot be true here.
+    /// Restores the state that another process has learned into the router for all endpoints. Returns false
+    /// if the state is implausible here.
     pub(super) fn restore(&mut self, now: Micros, state: WarmState) -> bool {
         self.all.router.restore(now, state)
     }
 
-    /// A job is kept to a partition from now on.
+    /// Counts a new job of a partition.
     pub(super) fn job_opened(&mut self, id: PartitionId) {
         if let Some(partition) = self.partitions.get_mut(&id) {
             partition.open_jobs += 1;
         }
     }
 
-    /// A job that was kept to a partition is closed. True where that was the last job of a partition that no rule leads to
-    /// any more.
+    /// Counts the end of a job of a partition. Returns true if that was the last job of a partition that no
+    /// rule refers to any more.
     pub(super) fn job_closed(&mut self, id: PartitionId) -> bool {
         let Some(partition) = self.partitions.get_mut(&id) else { return false };
         partition.open_jobs -= 1;
         partition.is_unused()
     }
 
-    /// Drops partitions that no rule leads to and that have no job left. What they have learned, and the tokens that they
-    /// have spent, go on in the router of all endpoints.
+    /// Removes partitions that no rule refers to and that have no open jobs. What they have learned, and the
+    /// slow-start tokens that they have spent, are merged into the router for all endpoints.
     pub(super) fn drop_unused(&mut self, now: Micros) {
         for (_, partition) in self.partitions.extract_if(|_, partition| partition.is_unused()) {
             self.all.router.restore(now, partition.scheduled.router.warm_state());
--- a/src/core/stages/accept.rs
+++ b/src/core/stages/accept.rs
@@ -1,10 +1,10 @@
-//! Accept: from here on the request is owed one final answer.
+//! Accept: counts a request and assigns its id. From here on each request gets exactly one final answer.
 
 use crate::core::counters::Counters;
 use crate::core::jobs::Jobs;
 use crate::routing::JobId;
 
-/// Counts a request and gives it an id that is never used again.
+/// Counts a request and returns a new id; ids are never reused.
 pub(in crate::core) fn accept(jobs: &mut Jobs, counters: &mut Counters) -> JobId {
     counters.taken += 1;
     jobs.next_id()
--- a/src/core/stages/answer.rs
+++ b/src/core/stages/answer.rs
@@ -1,4 +1,4 @@
-//! Answer: a job's one final answer.
+//! Answer: gives a job its only final answer.
 
 use std::collections::VecDeque;
 
@@ -8,7 +8,7 @@
 use crate::core::statistics::Statistics;
 use crate::routing::JobId;
 
-/// Gives a job its final answer. Only the first counts.
+/// Records a job's final answer and queues the command for it. Has no effect if the job already has one.
 pub(in crate::core) fn answer(
     jobs: &mut Jobs,
     statistics: &mut Statistics,
--- a/src/core/stages/complete.rs
+++ b/src/core/stages/complete.rs
@@ -1,5 +1,5 @@
-//! Complete: what becomes of an attempt. News of an attempt that is over is counted and changes nothing, so that what is
-//! repeated or comes late cannot answer a job twice.
+//! Complete: records the progress and the end of attempts. Repeated or late reports on an attempt that has
+//! ended are counted and change nothing, so they cannot answer a job twice.
 
 use crate::core::clock::micros;
 use crate::core::counters::Counters;
@@ -8,16 +8,16 @@
 use crate::core::statistics::Statistics;
 use crate::routing::{EndpointId, JobId, Micros, Outcome};
 
-/// An attempt that has ended just now.
+/// Details of an attempt that has just ended.
 pub(in crate::core) struct EndedAttempt {
     pub(in crate::core) endpoint: EndpointId,
-    /// How long its endpoint took.
+    /// Response time of the endpoint.
     pub(in crate::core) latency: Micros,
-    /// Whether its response had begun to be relayed, so that nothing else can follow.
+    /// Whether its response had started streaming to the client, so that no other answer is possible.
     pub(in crate::core) was_streaming: bool,
 }
 
-/// Ends an attempt; none where it was over already.
+/// Ends an attempt. Returns `None` if it had already ended.
 pub(in crate::core) fn end_attempt(
     jobs: &mut Jobs,
     counters: &mut Counters,
@@ -36,7 +36,7 @@
     Some(EndedAttempt { endpoint: open.endpoint, latency, was_streaming })
 }
 
-/// Counts an attempt that ended otherwise than served.
+/// Counts an attempt that ended with an outcome other than served.
 pub(in crate::core) fn count_unserved(counters: &mut Counters, ended: &EndedAttempt, outcome: Outcome) {
     if outcome.never_ran() && !ended.was_streaming {
         counters.never_ran += 1;
@@ -45,16 +45,18 @@
     }
 }
 
-/// All of an attempt's request is at its endpoint: counted once, however often a frontend tells it.
+/// Records that the whole request of an attempt was written to its endpoint. Counted once, even if the
+/// frontend reports it again.
 pub(in crate::core) fn request_sent(jobs: &mut Jobs, statistics: &mut Statistics, id: JobId, attempt: usize) {
     let attempt = jobs.get_mut(id).and_then(|job| job.attempts.get_mut(attempt));
     if let Some(attempt) = attempt.filter(|attempt| !attempt.request_sent) {
         attempt.request_sent = true;
-        statistics.telemetry.written();
+        statistics.telemetry.record_request_sent();
     }
 }
 
-/// The last of a request that was relayed as it came is at its endpoint, which is waited for from now on.
+/// Records that a streamed request was written completely. The endpoint's response time is measured from now
+/// on.
 pub(in crate::core) fn body_relayed(jobs: &mut Jobs, now_ms: f64, id: JobId, attempt: usize) {
     let open = jobs.get_mut(id).and_then(|job| job.open_attempt(attempt));
     if let Some(open) = open.filter(|open| open.response_started_at_ms.is_none()) {
@@ -62,18 +64,18 @@
     }
 }
 
-/// How the start of an attempt's response was taken.
+/// Result of reporting the start of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum ResponseStart {
-    /// The attempt is over, and its response must not be passed on.
+    /// The attempt has ended; its response must not be forwarded.
     Stale,
-    /// It is the first news of it: from now on the job has no deadline.
+    /// First report: from now on the job has no deadline.
     First,
-    /// It was known.
+    /// The start of the response was already recorded.
     Repeated,
 }
 
-/// The response of an attempt has begun, and is relayed as it comes.
+/// Records that the response of an attempt has started and is streamed to the client.
 pub(in crate::core) fn response_started(
     jobs: &mut Jobs,
     now_ms: f64,
@@ -89,7 +91,7 @@
     }
 }
 
-/// The client has left: nothing is owed for its job any more. None where nothing was.
+/// Finishes the job of a client that has disconnected. Returns `None` if the job was already finished.
 pub(in crate::core) fn client_left(
     jobs: &mut Jobs,
     counters: &mut Counters,
--- a/src/core/stages/mod.rs
+++ b/src/core/stages/mod.rs
@@ -1,5 +1,5 @@
-//! The stages that a job passes, in this order. Each changes only the parts of the core that it is handed; `Core` calls
-//! them one after the other, and no stage calls back into it.
+//! Stages of job processing, in order. Each stage changes only the parts of the core that are passed to it.
+//! `Core` calls the stages one after the other; no stage calls back into `Core`.
 
 pub(super) mod accept;
 
--- a/src/core/stages/route.rs
+++ b/src/core/stages/route.rs
@@ -1,4 +1,4 @@
-//! Route: the router decides. All its events pass here, and all its actions leave here.
+//! Route: passes events to the routers. All events for a router and all its actions pass through this stage.
 
 use crate::core::clock::micros;
 use crate::core::job::JobRequest;
@@ -6,7 +6,8 @@
 use crate::core::routers::Routers;
 use crate::routing::{Action, Event, Job, JobId, Micros};
 
-/// Hands one event to the router of a partition and gives its actions, but for wake-ups, which the routers keep.
+/// Hands one event to the router of a partition and collects its actions, except for wake-ups, which
+/// [`Routers`] keeps.
 pub(in crate::core) fn route(
     routers: &mut Routers,
     partition: PartitionId,
@@ -17,7 +18,7 @@
     routers.handle(partition, now, event, actions);
 }
 
-/// A job as the router is told of it.
+/// Returns the event that announces a job to the router.
 pub(in crate::core) fn job_event(id: JobId, request: &JobRequest) -> Event<'static> {
     Event::Job(Job {
         id,
--- a/src/core/stages/send.rs
+++ b/src/core/stages/send.rs
@@ -1,4 +1,5 @@
-//! Send: a decision becomes an attempt, and a command for the frontend.
+//! Send: turns the router's send, cancel, probe and subscribe actions into commands for the frontend, and
+//! records attempts.
 
 use std::collections::VecDeque;
 
@@ -8,7 +9,7 @@
 use crate::core::jobs::Jobs;
 use crate::routing::{EndpointId, JobId};
 
-/// Records an attempt and has it sent.
+/// Records an attempt and queues the command that sends it.
 pub(in crate::core) fn start_attempt(
     jobs: &mut Jobs,
     counters: &mut Counters,
@@ -24,7 +25,7 @@
     commands.push_back(Command::Send { job: id, attempt, endpoint });
 }
 
-/// Cancels an attempt, which has ended as far as the core goes.
+/// Cancels an attempt. The core treats it as ended from now on.
 pub(in crate::core) fn cancel_attempt(
     jobs: &mut Jobs,
     counters: &mut Counters,
@@ -38,7 +39,7 @@
     commands.push_back(Command::Cancel { job: id, attempt });
 }
 
-/// Has an endpoint probed.
+/// Queues a probe of an endpoint.
 pub(in crate::core) fn probe(
     counters: &mut Counters,
     commands: &mut VecDeque<Command>,
@@ -48,7 +49,7 @@
     commands.push_back(Command::Probe { endpoint });
 }
 
-/// Has the list watched.
+/// Queues a subscription to the endpoint list.
 pub(in crate::core) fn subscribe(commands: &mut VecDeque<Command>) {
     commands.push_back(Command::Subscribe);
 }
--- a/src/core/statistics.rs
+++ b/src/core/statistics.rs
@@ -1,11 +1,12 @@
-//! What a core counts: the plain counters, and the operators' figures. Stages count through it, so that the two agree.
+//! Counters and metrics of a core. Stages record answers through this module, so that the counters and the
+//! metrics agree.
 
 use super::counters::Counters;
 use super::hold_counts::HoldCounts;
 use super::job::FinalAnswer;
 use crate::telemetry::{Disposition, Telemetry};
 
-/// The counters and figures of one core.
+/// Counters, hold counts and metrics of one core.
 pub(super) struct Statistics {
     pub(super) counters: Counters,
     pub(super) holds: HoldCounts,
@@ -13,7 +14,7 @@
 }
 
 impl Statistics {
-    /// All at 0, for classes of these names.
+    /// Returns statistics with all counts at 0 for classes with these names.
     pub(super) fn new(class_names: Vec<String>) -> Statistics {
         Statistics {
             counters: Counters::default(),
@@ -22,13 +23,13 @@
         }
     }
 
-    /// A job of a class was rejected before the router saw it.
-    pub(super) fn count_not_admitted(&mut self, class: usize) {
+    /// Counts a job of a class that was rejected before the router saw it.
+    pub(super) fn count_rejected_on_admission(&mut self, class: usize) {
         self.counters.turned_away += 1;
-        self.telemetry.answered(class, Disposition::Rejected);
+        self.telemetry.record_answer(class, Disposition::Rejected);
     }
 
-    /// A job of a class has its final answer.
+    /// Counts the final answer to a job of a class.
     pub(super) fn count_answer(&mut self, class: usize, answer: &FinalAnswer) {
         let (counter, disposition) = match answer {
             FinalAnswer::Served(_) => (&mut self.counters.served, Disposition::Completed),
@@ -36,6 +37,6 @@
             FinalAnswer::Failed => (&mut self.counters.failed, Disposition::Failed),
         };
         *counter += 1;
-        self.telemetry.answered(class, disposition);
+        self.telemetry.record_answer(class, disposition);
     }
 }
--- a/src/core/traffic_split.rs
+++ b/src/core/traffic_split.rs
@@ -1,25 +1,26 @@
-//! The traffic split: what each zone may get reaches the router through the sizes on its list, and what zones did is
-//! recorded for whoever decides on them. Where no fleet is set up a core has none.
+//! The traffic split between zones. A zone's share scales the endpoint sizes that the router sees, and
+//! traffic events are recorded for the fleet, which decides on the shares. A core without a fleet has no
+//! traffic split.
 
 use crate::routing::{Endpoint, EndpointStatus, Outcome};
 use crate::zones::{AdmissionShare, AttemptResult, FULL_SHARE};
 
-/// Most events that are recorded between two calls of `drain_events`: what a dispatcher can do within its interval of
-/// 50 ms, many times over.
+/// Largest number of events recorded between two calls of `drain_events`: many times what a dispatcher can
+/// handle in its interval of 50 ms.
 const MAX_RECORDED_EVENTS: usize = 1 << 16;
 
-/// What has happened since the last call.
+/// An event recorded for the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrafficEvent {
-    /// A request came.
+    /// A request has arrived.
     Arrived(Admission),
     /// An attempt has ended.
     AttemptEnded {
-        /// The zone of its endpoint, by the site's order.
+        /// Zone of its endpoint, by index in the settings.
         zone: u16,
-        /// How it ended, as far as the zone goes.
+        /// What the outcome says about the zone.
         result: AttemptResult,
-        /// How long its endpoint took, in milliseconds.
+        /// Response time of the endpoint, in milliseconds.
         latency_ms: f64,
     },
 }
@@ -27,25 +28,25 @@
 /// Whether a request was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It was.
+    /// The request was admitted.
     Admitted,
-    /// It was rejected, since no zone has room for it.
+    /// The request was rejected because no zone has capacity for it.
     Rejected,
 }
 
-/// The traffic split of one core.
+/// Zone shares, admission share and recorded events of one core.
 #[derive(Debug)]
 pub(super) struct TrafficSplit {
-    /// What each zone of the site may get, in thousandths.
+    /// Share of traffic for each zone, in thousandths.
     zone_shares: Vec<u16>,
-    /// The share of requests that is admitted, in thousandths.
+    /// Share of requests that is admitted, in thousandths.
     admitted_share: u16,
     admission: AdmissionShare,
     events: Vec<TrafficEvent>,
 }
 
 impl TrafficSplit {
-    /// One that lets all zones have all.
+    /// Returns a split that gives all zones their full share.
     pub(super) fn new(zones: usize) -> TrafficSplit {
         TrafficSplit {
             zone_shares: vec![FULL_SHARE; zones],
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Takes other shares over. True where those of the zones have changed, and routers are to be told.
+    /// Sets new shares. Returns true if those of the zones have changed, so that the routers must be
+    /// notified.
     pub(super) fn set(&mut self, zone_shares: Vec<u16>, admitted_share: u16) -> bool {
         self.admitted_share = admitted_share;
         let has_changed = self.zone_shares != zone_shares;
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Whether the next request is admitted.
+    /// Decides whether the next request is admitted, and records its arrival.
     pub(super) fn admits_next(&mut self) -> bool {
         let admits = self.admitted_share >= FULL_SHARE || self.admission.admits(self.admitted_share);
         let admission = if admits { Admission::Admitted } else { Admission::Rejected };
@@ -77,19 +79,20 @@
         admits
     }
 
-    /// Records the end of an attempt, where its outcome says something of its zone.
+    /// Records the end of an attempt if its outcome says something about the zone.
     pub(super) fn record_attempt(&mut self, zone: u16, outcome: Outcome, latency_ms: f64) {
         if let Some(result) = zone_result(outcome) {
             self.record(TrafficEvent::AttemptEnded { zone, result, latency_ms });
         }
     }
 
-    /// Names what was recorded since the last call.
+    /// Passes each event recorded since the last call to `consume`.
     pub(super) fn drain_events(&mut self, consume: impl FnMut(TrafficEvent)) {
         self.events.drain(..).for_each(consume);
     }
 
-    /// Endpoints as the router is to see them: a zone's share scales their size, and none is a drain.
+    /// Scales the sizes of endpoints by their zone's share. With a share of 0, ready endpoints count as
+    /// draining.
     pub(super) fn scale(&self, endpoints: &mut [Endpoint]) {
         for endpoint in endpoints {
             match self.zone_shares.get(usize::from(endpoint.zone)).copied().unwrap_or(FULL_SHARE) {
@@ -101,7 +104,7 @@
     }
 }
 
-/// What an attempt's outcome says of its zone; none where it says nothing.
+/// Maps the outcome of an attempt to a result for its zone; `None` if it says nothing about the zone.
 fn zone_result(outcome: Outcome) -> Option<AttemptResult> {
     match outcome {
         Outcome::Served | Outcome::Error | Outcome::Full | Outcome::Unfit => Some(AttemptResult::Answered),
--- a/src/frontend/fleet/figures.rs
+++ b/src/frontend/fleet/figures.rs
@@ -2,7 +2,7 @@
 
 use super::open_node::DatagramDrops;
 use crate::control_plane::ControlPlane;
-use crate::telemetry::{escape, row};
+use crate::telemetry::{escape, write_metric};
 use crate::zones::{AgreementStatus, FULL_SHARE};
 
 /// Figures on their way into a text.
@@ -13,15 +13,15 @@
 
 impl Figures {
     fn gauge(&mut self, name: &str, help: &str, value: f64) {
-        row(&mut self.text, name, "gauge", help, &[(String::new(), value)]);
+        write_metric(&mut self.text, name, "gauge", help, &[(String::new(), value)]);
     }
 
     fn labelled_gauge(&mut self, name: &str, help: &str, values: &[(String, f64)]) {
-        row(&mut self.text, name, "gauge", help, values);
+        write_metric(&mut self.text, name, "gauge", help, values);
     }
 
     fn counter(&mut self, name: &str, help: &str, value: u64) {
-        row(&mut self.text, name, "counter", help, &[(String::new(), value as f64)]);
+        write_metric(&mut self.text, name, "counter", help, &[(String::new(), value as f64)]);
     }
 }
 
--- a/src/frontend/gateway.rs
+++ b/src/frontend/gateway.rs
@@ -13,7 +13,7 @@
 use super::streaming::{self, StreamingFrontend};
 use super::{Sockets, handover};
 use crate::core::{Clock, Core, HoldCounts, IncompatibleSettings};
-use crate::lifecycle::{Cause, Lifecycle, Phase};
+use crate::lifecycle::{Event, Lifecycle, Phase};
 use crate::net::{ConnId, Handler};
 use crate::telemetry::{self, Gauges};
 
@@ -160,7 +160,7 @@
     }
 
     fn set_evacuating(&mut self, on: bool) -> String {
-        let cause = if on { Cause::Evacuate } else { Cause::Activate };
+        let cause = if on { Event::Evacuate } else { Event::Activate };
         self.lifecycle.apply(self.clock.now(), cause);
         if let Some(http) = &mut self.http {
             http.evacuate(&mut self.net, on);
@@ -179,7 +179,7 @@
         let counts: Vec<_> = cores.iter().map(|core| core.telemetry()).collect();
         let lists = self.http.as_ref().map(|http| http.list_figures().to_string());
         telemetry::render(&counts, gauges)
-            + &holds.figure()
+            + &holds.render()
             + &lists.unwrap_or_default()
             + &self.fleet.as_ref().map(Fleet::figures).unwrap_or_default()
     }
@@ -188,7 +188,7 @@
     pub fn stop(&mut self) {
         let has_successor =
             !self.lifecycle.is_stopping() && self.note.as_ref().is_some_and(OwnNote::has_successor);
-        self.lifecycle.apply(self.clock.now(), Cause::Terminate { successor: has_successor });
+        self.lifecycle.apply(self.clock.now(), Event::Terminate { successor: has_successor });
         if let Some(http) = &mut self.http {
             http.stop(&mut self.net, has_successor);
         }
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -181,24 +181,24 @@
     ) {
         for action in actions {
             match action {
-                ForwardingAction::Open(pid) => self.open_link(net, pid),
+                ForwardingAction::OpenLink(pid) => self.open_link(net, pid),
                 ForwardingAction::Forward(pid, body, asked) => {
                     let now_ms = self.core.clock().now();
                     let Some(links) = &mut self.links else { return };
                     links.write_callback(net, now_ms, pid, &body, &asked);
                 }
-                ForwardingAction::Taken(from) => {
+                ForwardingAction::ReplyAccepted(from) => {
                     if let Some(links) = &mut self.links {
                         links.forwarded += 1;
                     }
                     self.respond_to_callback(net, from, 204);
                 }
-                ForwardingAction::Unknown(from) => {
+                ForwardingAction::ReplyUnknown(from) => {
                     let was_forwarded =
                         self.clients.get_mut(from).is_some_and(|client| client.is_upgrade_link);
                     self.respond_to_callback(net, from, if was_forwarded { 410 } else { 204 });
                 }
-                ForwardingAction::Repeat(from) => self.respond_to_callback(net, from, 503),
+                ForwardingAction::ReplyRetry(from) => self.respond_to_callback(net, from, 503),
             }
         }
     }
@@ -263,9 +263,9 @@
             }
             Some(LinkRequest::Callback) => {
                 let response = match message.status {
-                    200 | 204 => PeerResponse::Taken,
+                    200 | 204 => PeerResponse::Accepted,
                     410 => PeerResponse::Unknown,
-                    _ => PeerResponse::Repeat,
+                    _ => PeerResponse::Retry,
                 };
                 let action = links.forwarder.on_response(pid, response);
                 self.carry_out_forwarding(net, action);
--- a/src/frontend/shutdown.rs
+++ b/src/frontend/shutdown.rs
@@ -37,7 +37,7 @@
     /// A stop that begins now where a kill comes no sooner than `until_kill_ms` after the signal.
     pub fn within(core: &mut Core, until_kill_ms: f64) -> Shutdown {
         let now_ms = core.clock().now();
-        core.limit_late_deadlines(now_ms + KILL_GRACE_MS - MARGIN_MS, now_ms + until_kill_ms);
+        core.set_shutdown_deadline(now_ms + KILL_GRACE_MS - MARGIN_MS, now_ms + until_kill_ms);
         let last_call_ms = now_ms + MAX_SERVING_MS.min(until_kill_ms / 2.0);
         Shutdown { last_call_ms, idle_since_ms: None }
     }
--- a/src/lifecycle/callback_forwarding.rs
+++ b/src/lifecycle/callback_forwarding.rs
@@ -1,77 +1,79 @@
-//! Which process of an upgrade a callback is passed on to. The kernel deals connections out over all processes that listen
-//! at one address, so that a callback may reach one that does not know its job. It is acknowledged only once the process that
-//! has the job has taken it, or nobody beside this one knows it.
+//! Decides to which process of an upgrade a callback is forwarded. The kernel distributes connections over
+//! all processes that listen at one address, so a callback may reach a process that does not know its job. It
+//! is acknowledged only once the process that owns the job has accepted it, or once no process beside this
+//! one knows the job.
 //!
-//! Owns the processes beside this one, and the callbacks that wait for their responses. It leaves sockets, files and clocks
-//! to the frontend, which tells what it sees and carries out every action. The caller must tell the end of every link that it
-//! opened.
+//! Holds the other processes and the callbacks that wait for their responses. Sans-I/O: the frontend owns
+//! sockets, files and clocks, reports events and carries out every action. It must report the end of every
+//! link that it opened.
 //!
 //! | link | event | becomes |
 //! | --- | --- | --- |
 //! | none | a live process is seen | opening |
 //! | opening | it reached the process | up: waiting callbacks are forwarded |
 //! | opening | it reached this process itself | opening again, `MAX_LINK_TRIES` times at most |
-//! | opening, up | it ended and the process lives | lost: waiting callbacks are to be repeated by their senders |
-//! | lost | a callback comes | opening |
+//! | opening, up | it ended and the process lives | lost: senders of waiting callbacks must retry |
+//! | lost | a callback arrives | opening |
 //! | any | it ended and the process is gone | none: waiting callbacks go to the next process |
 
 use std::collections::VecDeque;
 
-/// Processes beside this one that are remembered: one that it replaces, and one that replaces it.
+/// Largest number of other processes that are tracked: one that this process replaces, and one that replaces
+/// it.
 const MAX_PEERS: usize = 2;
-/// Callbacks that wait for one process at most. What comes beyond is to be repeated by its sender.
+/// Largest number of callbacks that wait for one process. Senders of further callbacks must retry.
 const MAX_WAITING_CALLBACKS: usize = 256;
-/// How often a link is opened before it counts as lost: each try may reach this process itself, as the kernel deals them
-/// out, or the third one.
+/// Number of attempts to open a link before it counts as lost. The kernel distributes the connections, so an
+/// attempt may reach this process itself or a third one.
 const MAX_LINK_TRIES: u32 = 24;
 
-/// A callback that this process does not know, and who has been asked.
+/// A callback whose job this process does not know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingCallback {
-    /// The connection that it came by.
+    /// Connection that the callback arrived on.
     pub from: u64,
-    /// Its body.
+    /// Body of the callback.
     pub body: Vec<u8>,
-    /// Processes that do not know its job.
+    /// Ids of processes that do not know its job.
     pub asked: Vec<u32>,
 }
 
-/// What is to be done.
+/// An operation that the frontend must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardingAction {
-    /// Open a link to a process, by its id: it may turn out to be another's.
-    Open(u32),
-    /// Forward a callback (its body, and who has been asked) to a process over its link. Responses come in the order of the
-    /// callbacks.
+    /// Open a link to a process, given by its id. The connection may reach another process.
+    OpenLink(u32),
+    /// Forward a callback to a process over its link: process id, body and ids of the processes already
+    /// asked. Responses arrive in the order of the callbacks.
     Forward(u32, Vec<u8>, Vec<u32>),
-    /// Answer the sender: the process that has its job has taken the callback.
-    Taken(u64),
-    /// Answer the sender: nobody knows its job.
-    Unknown(u64),
-    /// Answer the sender: it is to repeat the callback.
-    Repeat(u64),
+    /// Answer the sender on this connection: the process that owns the job has accepted the callback.
+    ReplyAccepted(u64),
+    /// Answer the sender on this connection: no process knows the job.
+    ReplyUnknown(u64),
+    /// Answer the sender on this connection: it must retry the callback.
+    ReplyRetry(u64),
 }
 
-/// What a process says of a callback that was forwarded to it.
+/// Response of a process to a forwarded callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerResponse {
-    /// It has taken it.
-    Taken,
-    /// It does not know its job.
+    /// The process has accepted the callback.
+    Accepted,
+    /// The process does not know its job.
     Unknown,
-    /// It is to be repeated.
-    Repeat,
+    /// The sender must retry the callback.
+    Retry,
 }
 
-/// A process beside this one.
+/// Another process that listens at the same address.
 #[derive(Debug)]
 struct Peer {
     pid: u32,
     link: LinkState,
     tries: u32,
-    /// Callbacks that were forwarded, or wait for the link, in order.
+    /// Callbacks that were forwarded or wait for the link, in order.
     waiting: VecDeque<PendingCallback>,
-    /// Responses still to come on callbacks that are not waited for any more.
+    /// Number of outstanding responses to callbacks that no longer wait.
     stale_responses: usize,
 }
 
@@ -79,11 +81,11 @@
 enum LinkState {
     Opening,
     Up,
-    /// It could not be reached.
+    /// The process could not be reached, or the link has ended.
     Lost,
 }
 
-/// The machine.
+/// State machine that forwards callbacks between the processes of an upgrade.
 #[derive(Debug)]
 pub struct CallbackForwarder {
     own_pid: u32,
@@ -91,23 +93,23 @@
 }
 
 impl CallbackForwarder {
-    /// A process with nobody beside it.
+    /// Returns a forwarder that knows no other process.
     pub fn new(own_pid: u32) -> CallbackForwarder {
         CallbackForwarder { own_pid, peers: Vec::new() }
     }
 
-    /// This process.
+    /// Returns the id of this process.
     pub fn own_pid(&self) -> u32 {
         self.own_pid
     }
 
-    /// Whether no link is being opened: until then a process should not say that it is ready, since the one beside it may
-    /// stop listening once it does.
+    /// Whether no link is being opened. A process should not report readiness before that, since its
+    /// predecessor may then stop listening.
     pub fn is_settled(&self) -> bool {
         self.peers.iter().all(|peer| peer.link != LinkState::Opening)
     }
 
-    /// The processes beside this one.
+    /// Returns the ids of the other processes.
     pub fn peers(&self) -> impl Iterator<Item = u32> + '_ {
         self.peers.iter().map(|peer| peer.pid)
     }
@@ -116,17 +118,18 @@
         self.peers.iter_mut().find(|peer| peer.pid == pid)
     }
 
-    /// A live process is beside this one. Opens a link to it, once.
+    /// Records that a live process listens at the same address. Opens a link to it on the first report.
     pub fn on_peer_seen(&mut self, pid: u32) -> Option<ForwardingAction> {
         if pid == self.own_pid || self.peers().any(|peer| peer == pid) || self.peers.len() >= MAX_PEERS {
             return None;
         }
         let waiting = VecDeque::new();
         self.peers.push(Peer { pid, link: LinkState::Opening, tries: 1, waiting, stale_responses: 0 });
-        Some(ForwardingAction::Open(pid))
+        Some(ForwardingAction::OpenLink(pid))
     }
 
-    /// A link reached the process `reached`; it was opened for `pid`. Callbacks that wait are forwarded.
+    /// Records that the link opened for `pid` reached the process `reached`. Waiting callbacks are forwarded
+    /// if it is the intended process.
     pub fn on_link_reached(&mut self, pid: u32, reached: u32) -> Vec<ForwardingAction> {
         let Some(peer) = self.peer_mut(pid) else { return Vec::new() };
         if reached == pid {
@@ -138,38 +141,42 @@
         }
         if peer.tries < MAX_LINK_TRIES {
             peer.tries += 1;
-            return vec![ForwardingAction::Open(pid)];
+            return vec![ForwardingAction::OpenLink(pid)];
         }
         self.on_link_lost(pid, true)
     }
 
-    /// A process does not respond on a link that stands, as one that is frozen: its callbacks are to be repeated. Its
-    /// responses may come yet.
+    /// Records that a process does not respond on an open link, for example because it is suspended. Senders
+    /// of its callbacks must retry; its responses may still arrive.
     pub fn on_peer_silent(&mut self, pid: u32) -> Vec<ForwardingAction> {
         let Some(peer) = self.peer_mut(pid) else { return Vec::new() };
         peer.stale_responses += peer.waiting.len();
-        peer.waiting.drain(..).map(|callback| ForwardingAction::Repeat(callback.from)).collect()
+        peer.waiting.drain(..).map(|callback| ForwardingAction::ReplyRetry(callback.from)).collect()
     }
 
-    /// A link has ended. A process that has gone knows nothing any more; callbacks to one that lives are to be repeated, and
-    /// the next one opens a link anew.
+    /// Records the end of a link. If the process is gone, its callbacks go to the next process. If it still
+    /// runs, their senders must retry, and the next callback opens a new link.
     pub fn on_link_lost(&mut self, pid: u32, is_alive: bool) -> Vec<ForwardingAction> {
         let Some(at) = self.peers.iter().position(|peer| peer.pid == pid) else { return Vec::new() };
         if is_alive {
             let peer = &mut self.peers[at];
             (peer.link, peer.stale_responses) = (LinkState::Lost, 0);
-            return peer.waiting.drain(..).map(|callback| ForwardingAction::Repeat(callback.from)).collect();
+            return peer
+                .waiting
+                .drain(..)
+                .map(|callback| ForwardingAction::ReplyRetry(callback.from))
+                .collect();
         }
         let gone = self.peers.remove(at);
         gone.waiting.into_iter().flat_map(|callback| self.forward(callback)).collect()
     }
 
-    /// A callback whose job this process does not know.
+    /// Forwards a callback whose job this process does not know.
     pub fn forward(&mut self, mut callback: PendingCallback) -> Option<ForwardingAction> {
         let next = self.peers.iter_mut().find(|peer| !callback.asked.contains(&peer.pid));
-        let Some(peer) = next else { return Some(ForwardingAction::Unknown(callback.from)) };
+        let Some(peer) = next else { return Some(ForwardingAction::ReplyUnknown(callback.from)) };
         if peer.waiting.len() + peer.stale_responses >= MAX_WAITING_CALLBACKS {
-            return Some(ForwardingAction::Repeat(callback.from));
+            return Some(ForwardingAction::ReplyRetry(callback.from));
         }
         if !callback.asked.contains(&self.own_pid) {
             callback.asked.push(self.own_pid);
@@ -181,12 +188,12 @@
             LinkState::Opening => None,
             LinkState::Lost => {
                 (peer.link, peer.tries) = (LinkState::Opening, 1);
-                Some(ForwardingAction::Open(peer.pid))
+                Some(ForwardingAction::OpenLink(peer.pid))
             }
         }
     }
 
-    /// The response of a process to the oldest callback forwarded to it.
+    /// Records the response of a process to the oldest callback forwarded to it.
     pub fn on_response(&mut self, pid: u32, response: PeerResponse) -> Option<ForwardingAction> {
         let peer = self.peer_mut(pid)?;
         if peer.stale_responses > 0 {
@@ -195,12 +202,12 @@
         }
         let mut callback = peer.waiting.pop_front()?;
         match response {
-            PeerResponse::Taken => Some(ForwardingAction::Taken(callback.from)),
+            PeerResponse::Accepted => Some(ForwardingAction::ReplyAccepted(callback.from)),
             PeerResponse::Unknown => {
                 callback.asked.push(pid);
                 self.forward(callback)
             }
-            PeerResponse::Repeat => Some(ForwardingAction::Repeat(callback.from)),
+            PeerResponse::Retry => Some(ForwardingAction::ReplyRetry(callback.from)),
         }
     }
 }
--- a/src/lifecycle/list_handover.rs
+++ b/src/lifecycle/list_handover.rs
@@ -1,5 +1,5 @@
-//! What a process says of the list that it leaves to the one that replaces it: for how long the list may be used yet. It goes
-//! beside the warm state, which has the list itself, as one line of text.
+//! How long the endpoint list that a process leaves to its successor remains usable. Stored as one line of
+//! text beside the warm state, which contains the list itself.
 //!
 //! ```text
 //! micabeam-list 1 pid=4711 usable_ms=1700 watched=yes
@@ -7,17 +7,17 @@
 
 use std::fmt;
 
-/// First words of the line, with its version.
+/// Start of the line, including the format version.
 const MAGIC: &str = "micabeam-list 1";
 
-/// What a process says of its list.
+/// Statement of a process about the list that it leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListHandover {
-    /// The process.
+    /// Id of the process that leaves the list.
     pub pid: u32,
-    /// For how long the list may be used from when it was left, in milliseconds.
+    /// Time for which the list may be used, counted from when it was left, in milliseconds.
     pub usable_ms: u64,
-    /// Whether the process goes on to watch the list: changes may be told to it from then on.
+    /// Whether the process keeps watching the list and may report updates afterwards.
     pub is_watched: bool,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl ListHandover {
-    /// Reads the line; none where it is torn or not of this form.
+    /// Parses the line; returns `None` if it is truncated or in another format.
     pub fn parse(text: &str) -> Option<ListHandover> {
         let line = text.strip_suffix('\n').filter(|line| !line.contains('\n'))?;
         let rest = line.strip_prefix(MAGIC)?.strip_prefix(' ')?;
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,54 +1,56 @@
-//! The life of the process as operators see it: a pure state machine driven by console calls, signals and the clock, which
-//! `GET /up` and `readyz` read. Beside it, what two processes of an upgrade owe each other: callbacks that reached the wrong
-//! one (`callback_forwarding`), and what the old one leaves to the new one (`warm_state`, `list_handover`). No I/O.
+//! Lifecycle of the process: a pure state machine driven by console calls, signals and the clock, and read by
+//! `GET /up` and `readyz`. The submodules hold what two processes of an upgrade exchange: callbacks that
+//! reached the wrong process (`callback_forwarding`), and the state that the old process leaves to the new
+//! one (`warm_state`, `list_handover`). No I/O.
 //!
 //! | phase | event | next phase |
 //! | --- | --- | --- |
 //! | serving | evacuate | evacuating |
 //! | evacuating | activate | serving |
 //! | serving, evacuating | terminate, a successor listens | handing over |
-//! | serving, evacuating | terminate, nobody does | draining |
+//! | serving, evacuating | terminate, no successor listens | draining |
 //! | draining, handing over | finished | stopped |
 //!
-//! Every other event changes nothing.
+//! All other events are ignored.
 
 pub mod callback_forwarding;
 pub mod list_handover;
 pub mod warm_state;
 
-/// Where the process is in its life.
+/// Phase of the process's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Takes clients.
+    /// Accepts clients.
     Serving,
-    /// Sent clients away on an operator's call: says no, closes connections once they are idle, finishes what it has.
-    /// `activate` takes it back.
+    /// Turns clients away at an operator's request: readiness checks fail, connections are closed once idle,
+    /// and open jobs are finished. `activate` returns to serving.
     Evacuating,
-    /// Stops at a signal with nobody beside it: goes on serving for a while, then finishes what it has.
+    /// Stops after a signal with no successor: keeps serving for a grace period, then finishes open jobs.
     Draining,
-    /// Stops at a signal while a successor listens at the same address: takes nothing new, finishes what it has.
+    /// Stops after a signal while a successor listens at the same address: accepts nothing new and finishes
+    /// open jobs.
     HandingOver,
-    /// All that was taken is over.
+    /// All accepted work is finished.
     Stopped,
 }
 
-/// What drives it.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum Event {
     /// The console's `evacuate`.
     Evacuate,
     /// The console's `activate`.
     Activate,
     /// SIGTERM or SIGINT.
     Terminate {
-        /// Whether a successor is known to listen beside this process.
+        /// Whether a successor is known to listen at the same address.
         successor: bool,
     },
-    /// Everything that was taken is over.
+    /// All accepted work is finished.
     Finished,
 }
 
-/// The machine.
+/// State machine for the phases of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
     phase: Phase,
@@ -56,40 +58,40 @@
 }
 
 impl Lifecycle {
-    /// A process that serves from `now_ms`, in milliseconds of the clock.
+    /// Returns the lifecycle of a process that serves from `now_ms` on, in milliseconds of the clock.
     pub fn new(now_ms: f64) -> Lifecycle {
         Lifecycle { phase: Phase::Serving, since_ms: now_ms }
     }
 
-    /// Where it is.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Since when it has been there, in milliseconds of the clock.
+    /// Returns when the current phase began, in milliseconds of the clock.
     pub fn since_ms(&self) -> f64 {
         self.since_ms
     }
 
-    /// Whether it tells clients and operators that it takes clients.
+    /// Whether the process reports to clients and operators that it accepts clients.
     pub fn is_serving(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether it is to end: a stop that began cannot be cancelled.
+    /// Whether the process is stopping. A stop cannot be cancelled.
     pub fn is_stopping(&self) -> bool {
         matches!(self.phase, Phase::Draining | Phase::HandingOver | Phase::Stopped)
     }
 
-    /// Takes one cause at `now_ms`; gives whether the phase changed. One that changes nothing is no error: a second
-    /// `evacuate` or `activate` finds the process where the first left it.
-    pub fn apply(&mut self, now_ms: f64, cause: Cause) -> bool {
-        let next = match (self.phase, cause) {
-            (Phase::Serving, Cause::Evacuate) => Phase::Evacuating,
-            (Phase::Evacuating, Cause::Activate) => Phase::Serving,
-            (Phase::Serving | Phase::Evacuating, Cause::Terminate { successor: true }) => Phase::HandingOver,
-            (Phase::Serving | Phase::Evacuating, Cause::Terminate { successor: false }) => Phase::Draining,
-            (Phase::Draining | Phase::HandingOver, Cause::Finished) => Phase::Stopped,
+    /// Applies an event at `now_ms` and returns whether the phase changed. An event without effect is not an
+    /// error: a second `evacuate` or `activate` leaves the process in the same phase.
+    pub fn apply(&mut self, now_ms: f64, event: Event) -> bool {
+        let next = match (self.phase, event) {
+            (Phase::Serving, Event::Evacuate) => Phase::Evacuating,
+            (Phase::Evacuating, Event::Activate) => Phase::Serving,
+            (Phase::Serving | Phase::Evacuating, Event::Terminate { successor: true }) => Phase::HandingOver,
+            (Phase::Serving | Phase::Evacuating, Event::Terminate { successor: false }) => Phase::Draining,
+            (Phase::Draining | Phase::HandingOver, Event::Finished) => Phase::Stopped,
             (phase, _) => phase,
         };
         let has_changed = next != self.phase;
--- a/src/lifecycle/warm_state.rs
+++ b/src/lifecycle/warm_state.rs
@@ -1,4 +1,5 @@
-//! What a process leaves to the one that replaces it, as bytes: the list that it holds and what it has learned.
+//! The warm state that a process leaves to its successor, encoded as bytes: the endpoint list and the learned
+//! state.
 //!
 //! ```text
 //! 0   8  magic, "micamem\n"
@@ -8,8 +9,8 @@
 //! 18  …  payload: `WarmStateFile` by postcard
 //! ```
 //!
-//! A file that is torn, too old, of another process or settings, or of a version that this program does not know is
-//! not used: the process starts cold.
+//! A file that is truncated, too old, from another process, written under other settings or of an unknown
+//! version is ignored: the process then starts cold.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -17,77 +18,78 @@
 use crate::routing::WarmState;
 
 const MAGIC: &[u8; 8] = b"micamem\n";
-/// The version that is written, and the only one that is read.
+/// Version of the format that is written, and the only one that is read.
 pub const VERSION: u16 = 1;
-/// Bytes before the payload.
+/// Size of the header before the payload.
 const HEADER_BYTES: usize = 18;
-/// Longest file that is read.
+/// Largest file that is read, in bytes.
 pub const MAX_WARM_STATE_BYTES: usize = 8 << 20;
-/// Oldest state that is used, in milliseconds: what an older list said may be undone.
+/// Largest age of a state that is used, in milliseconds. Entries of an older list may have changed since.
 const MAX_AGE_MS: f64 = 10_000.0;
-/// How far in the future a state may lie, in milliseconds: the clocks of two processes may be a little apart.
+/// How far in the future a state may lie, in milliseconds: the clocks of the two processes may differ
+/// slightly.
 const MAX_CLOCK_LEAD_MS: f64 = 1000.0;
 
-/// An endpoint of the list: what a frontend needs to find it, and what the router is told of it.
+/// An endpoint of the list, with the address for the frontend and the properties for the router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredEndpoint {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it is.
+    /// Address.
     pub address: String,
-    /// Its kind.
+    /// Kind, by index in the settings.
     pub kind: u16,
-    /// Its zone.
+    /// Zone, by index in the settings.
     pub zone: u16,
-    /// Its cell.
+    /// Cell.
     pub cell: u32,
-    /// Its size.
+    /// Size.
     pub size: f64,
-    /// When it last started, in microseconds; 0: long ago.
+    /// Time at which it last started, in microseconds; 0 for long ago.
     pub started_at_us: u64,
-    /// Whether it finishes what it has, and takes nothing new.
+    /// Whether it finishes its jobs and accepts no new ones.
     pub is_draining: bool,
 }
 
-/// What a process leaves.
+/// Contents of a warm-state file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmStateFile {
-    /// The process that left it.
+    /// Id of the process that wrote the state.
     pub pid: u32,
-    /// When it did, in milliseconds since the Unix epoch.
+    /// Time at which it was written, in milliseconds since the Unix epoch.
     pub left_at_ms: f64,
-    /// Names of classes, kinds and zones, by which what was learned is counted.
+    /// Names of classes, kinds and zones. The learned state refers to them by index.
     pub names: Vec<String>,
-    /// The list.
+    /// The endpoint list.
     pub endpoints: Vec<StoredEndpoint>,
-    /// What was learned.
+    /// The learned state of the router.
     pub learned: WarmState,
 }
 
-/// Why bytes are no state that can be used.
+/// Reason why bytes are not a usable warm state.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum WarmStateError {
-    /// Not of this form.
-    #[error("it is no memory of a process")]
-    Foreign,
-    /// Of a version that this program does not read.
-    #[error("it is of version {0}; this program reads {VERSION}")]
+    /// The magic bytes are missing.
+    #[error("not a warm-state file")]
+    UnknownFormat,
+    /// The version of the format is not supported.
+    #[error("unsupported warm-state version {0}; this program reads version {VERSION}")]
     Version(u16),
-    /// Cut or damaged.
-    #[error("it is damaged")]
+    /// The file is truncated or corrupt.
+    #[error("the warm-state file is truncated or corrupt")]
     Damaged,
-    /// Too old, or from the future.
-    #[error("it is {0} ms old")]
+    /// The state is too old, or too far in the future.
+    #[error("the warm state is {0} ms old, which is outside the accepted range")]
     Stale(i64),
-    /// Of a process that is not the one replaced, or under other settings.
-    #[error("it is of another process or of other settings")]
-    Other,
+    /// The state is from a process other than the one replaced, or was written under other settings.
+    #[error("the warm state is from another process or was written under other settings")]
+    ProcessOrSettingsMismatch,
 }
 
 impl WarmStateFile {
-    /// Its bytes.
+    /// Encodes the state as bytes.
     pub fn encode(&self) -> Vec<u8> {
-        // Into a vector nothing can fail to fit.
+        // Serializing these types into a vector cannot fail.
         let payload = postcard::to_stdvec(self).unwrap_or_default();
         let mut bytes = MAGIC.to_vec();
         bytes.extend(VERSION.to_le_bytes());
@@ -97,10 +99,11 @@
         bytes
     }
 
-    /// Reads what the process `pid` has left under the same names, at `now_ms`.
+    /// Decodes the state that the process `pid` has left under the same names, at `now_ms`.
     ///
     /// # Errors
-    /// Where the bytes are of another form, damaged, too old, or of another process or other settings.
+    /// Returns an error if the bytes are in another format, corrupt, too old, or from another process or
+    /// other settings.
     pub fn decode(
         bytes: &[u8],
         pid: u32,
@@ -109,7 +112,7 @@
     ) -> Result<WarmStateFile, WarmStateError> {
         let (head, payload) = bytes.split_at_checked(HEADER_BYTES).ok_or(WarmStateError::Damaged)?;
         if &head[..8] != MAGIC {
-            return Err(WarmStateError::Foreign);
+            return Err(WarmStateError::UnknownFormat);
         }
         let version = u16::from_le_bytes([head[8], head[9]]);
         if version != VERSION {
@@ -123,7 +126,7 @@
             return Err(WarmStateError::Damaged);
         };
         if file.pid != pid || file.names != names {
-            return Err(WarmStateError::Other);
+            return Err(WarmStateError::ProcessOrSettingsMismatch);
         }
         let age_ms = now_ms - file.left_at_ms;
         if !(-MAX_CLOCK_LEAD_MS..=MAX_AGE_MS).contains(&age_ms) {
--- a/src/telemetry/list_figures.rs
+++ b/src/telemetry/list_figures.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::row;
+use super::write_metric;
 
 /// What is read when the figures are asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,7 +27,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut text = String::new();
         let mut plain = |name: &str, kind: &str, help: &str, value: f64| {
-            row(&mut text, name, kind, help, &[(String::new(), value)]);
+            write_metric(&mut text, name, kind, help, &[(String::new(), value)]);
         };
         plain("lb_list_version", "gauge", "Version of the list that is held.", self.version as f64);
         plain(
@@ -56,7 +56,7 @@
         );
         let calls = [("answered", self.answers), ("failed", self.failures)];
         let calls = calls.map(|(outcome, count)| (format!("{{outcome=\"{outcome}\"}}"), count as f64));
-        row(&mut text, "lb_list_calls_total", "counter", "Calls to discovery by outcome.", &calls);
+        write_metric(&mut text, "lb_list_calls_total", "counter", "Calls to discovery by outcome.", &calls);
         f.write_str(&text)
     }
 }
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -71,14 +71,14 @@
     }
 
     /// A session of a lane has had its final answer.
-    pub fn answered(&mut self, lane: usize, result: Disposition) {
+    pub fn record_answer(&mut self, lane: usize, result: Disposition) {
         if let Some(row) = self.downstream.get_mut(lane) {
             row[result as usize] += 1;
         }
     }
 
     /// A dispatch's request was written whole to its backend server.
-    pub fn written(&mut self) {
+    pub fn record_request_sent(&mut self) {
         self.upstream += 1;
     }
 
@@ -131,13 +131,13 @@
         ),
     ];
     for (name, kind, help, value) in rows {
-        row(&mut text, name, kind, help, &[(String::new(), value as f64)]);
+        write_metric(&mut text, name, kind, help, &[(String::new(), value as f64)]);
     }
     text
 }
 
 /// Adds a figure: its help, its kind, and its values by their labels (`{name="value"}`, or nothing).
-pub fn row(text: &mut String, name: &str, kind: &str, help: &str, values: &[(String, f64)]) {
+pub fn write_metric(text: &mut String, name: &str, kind: &str, help: &str, values: &[(String, f64)]) {
     let _ = write!(text, "# HELP {name} {help}\n# TYPE {name} {kind}\n");
     for (labels, value) in values {
         let _ = writeln!(text, "{name}{labels} {value}");
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -93,7 +93,7 @@
 #[test]
 fn what_comes_while_the_program_stops_is_over_before_the_kill() {
     let (mut core, clock) = core(10, &["a"]);
-    core.limit_late_deadlines(START + 300.0, START + 3300.0);
+    core.set_shutdown_deadline(START + 300.0, START + 3300.0);
     let early = core.submit(request(1, 9000.0)).unwrap();
     clock.set(START + 300.0);
     let late = core.submit(request(1, 9000.0)).unwrap();
