--- a/src/bin/micabeam-adapter/frame.rs
+++ b/src/bin/micabeam-adapter/frame.rs
@@ -1,16 +1,16 @@
-//! Frames and their fields: big-endian, unpadded.
+//! Reading and writing of frames and their fields: big-endian, without padding.
 
 use std::io::{ErrorKind, Read};
 
-/// Reads the next frame into `batch` and gives its clock, or nothing where the input ends between frames.
+/// Reads the next frame into `batch` and returns its clock, or `None` if the input ends between frames.
 pub fn read_batch(input: &mut impl Read, batch: &mut Vec<u8>) -> Result<Option<u64>, String> {
     let mut header = [0u8; 12];
-    let mut got = 0;
-    while got < header.len() {
-        match input.read(&mut header[got..]) {
-            Ok(0) if got == 0 => return Ok(None),
-            Ok(0) => return Err(format!("input ends after {got} of {} header bytes", header.len())),
-            Ok(n) => got += n,
+    let mut filled = 0;
+    while filled < header.len() {
+        match input.read(&mut header[filled..]) {
+            Ok(0) if filled == 0 => return Ok(None),
+            Ok(0) => return Err(format!("input ends after {filled} of {} header bytes", header.len())),
+            Ok(n) => filled += n,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(format!("cannot read the header: {e}")),
         }
@@ -19,7 +19,7 @@
     let length = fields.u32()?;
     let now = fields.u64()?;
     batch.clear();
-    // `take` grows the buffer as bytes come in: a false length costs no more than what is really sent.
+    // `take` grows the buffer as bytes arrive, so a wrong length allocates no more than what is sent.
     let read =
         input.take(length.into()).read_to_end(batch).map_err(|e| format!("cannot read the body: {e}"))?;
     if read < length as usize {
@@ -28,7 +28,7 @@
     Ok(Some(now))
 }
 
-/// Takes fields off the front of a record.
+/// Reads the fields of a record in order.
 pub struct Reader<'a> {
     bytes: &'a [u8],
     at: usize,
@@ -56,8 +56,8 @@
         Ok(&self.bytes[self.at - count..self.at])
     }
 
-    /// The fields of a record, behind their u32 size.
-    pub fn counted32(&mut self) -> Result<Reader<'a>, String> {
+    /// Returns a reader for the fields of a record, which follow their size as a u32.
+    pub fn length_prefixed(&mut self) -> Result<Reader<'a>, String> {
         let count = self.u32()? as usize;
         Ok(Reader::new(self.bytes(count)?))
     }
@@ -89,7 +89,7 @@
     }
 }
 
-/// Builds a reply, its size in front.
+/// Builds a reply frame, which starts with its size.
 pub struct Writer(Vec<u8>);
 
 impl Default for Writer {
@@ -103,7 +103,7 @@
         self.0.truncate(4);
     }
 
-    /// Fills in the size and gives the whole frame.
+    /// Fills in the size and returns the whole frame.
     pub fn finish(&mut self) -> &[u8] {
         let size = (self.0.len() - 4) as u32;
         self.0[..4].copy_from_slice(&size.to_be_bytes());
@@ -141,7 +141,7 @@
         self.raw(&value.to_be_bytes())
     }
 
-    /// A worker's address and port.
+    /// Writes a worker's address and port.
     pub fn worker(&mut self, id: u64) -> &mut Writer {
         self.raw(&id.to_be_bytes()[2..])
     }
--- a/src/bin/micabeam-adapter/main.rs
+++ b/src/bin/micabeam-adapter/main.rs
@@ -1,5 +1,5 @@
-//! Hosts dispatchers on the simulator's wire, over standard input and output. It decides nothing: frames and
-//! settings are turned into the library's events, and its actions back into frames.
+//! Runs dispatchers for the simulator over its binary protocol on standard input and output. Makes no
+//! decisions: it turns frames and settings into the library's events, and the resulting actions into frames.
 #![forbid(unsafe_code)]
 
 mod frame;
@@ -15,20 +15,20 @@
 };
 use micabeam::settings::Site;
 
-/// Lists are numbered from 0 to one less than this.
-const LISTS: usize = 16;
+/// Number of lists; they are numbered from 0.
+const LIST_COUNT: usize = 16;
 
-/// One dispatcher and what the adapter needs to read its events.
+/// A dispatcher and the settings that are needed to decode its events.
 struct Instance {
     dispatcher: Router,
     site: Site,
 }
 
-/// All that one process holds: dispatchers, which share nothing, and the lists that events refer to.
+/// State of the process: the dispatchers, which share nothing, and the lists that events refer to.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Instance>,
-    lists: [Option<Vec<Endpoint>>; LISTS],
+    lists: [Option<Vec<Endpoint>>; LIST_COUNT],
     actions: Vec<Action>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Answers batches until the input ends cleanly.
+/// Answers batches until the input ends between frames.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
     let mut host = Host::default();
     let mut batch = Vec::new();
@@ -50,7 +50,7 @@
     let mut number = 0u64;
     while let Some(now) = frame::read_batch(input, &mut batch).map_err(|e| format!("batch {number}: {e}"))? {
         reply.clear();
-        host.batch(now, &batch, &mut reply).map_err(|e| format!("batch {number}: {e}"))?;
+        host.handle_batch(now, &batch, &mut reply).map_err(|e| format!("batch {number}: {e}"))?;
         output
             .write_all(reply.finish())
             .and_then(|()| output.flush())
@@ -61,21 +61,29 @@
 }
 
 impl Host {
-    /// Plays all events of a batch in order and writes what the dispatchers answer.
-    fn batch(&mut self, now: Micros, batch: &[u8], reply: &mut Writer) -> Result<(), String> {
+    /// Handles all events of a batch in order and writes the dispatchers' actions to the reply.
+    fn handle_batch(&mut self, now: Micros, batch: &[u8], reply: &mut Writer) -> Result<(), String> {
         let mut records = Reader::new(batch);
         while !records.is_empty() {
             let at = records.position();
             let code = records.u8()?;
-            let played = records.counted32().and_then(|mut fields| self.event(now, code, &mut fields, reply));
-            played.map_err(|e| format!("record at byte {at} (code {code}): {e}"))?;
+            let handled = records
+                .length_prefixed()
+                .and_then(|mut fields| self.handle_event(now, code, &mut fields, reply));
+            handled.map_err(|e| format!("record at byte {at} (code {code}): {e}"))?;
         }
         Ok(())
     }
 
-    fn event(&mut self, now: Micros, code: u8, r: &mut Reader, reply: &mut Writer) -> Result<(), String> {
+    fn handle_event(
+        &mut self,
+        now: Micros,
+        code: u8,
+        r: &mut Reader,
+        reply: &mut Writer,
+    ) -> Result<(), String> {
         if code == 11 {
-            return self.list(r);
+            return self.store_list(r);
         }
         let id = r.u32()?;
         match code {
@@ -87,40 +95,40 @@
             _ => {}
         }
         let Some(instance) = self.instances.get_mut(&id) else {
-            return Ok(()); // not running: nothing can be owed for it
+            return Ok(()); // the dispatcher is not running, so it has no open job
         };
         let event = match code {
-            2 => list_event(r, &self.lists)?,
-            3 => Event::Job(job(r)?),
+            2 => read_list_event(r, &self.lists)?,
+            3 => Event::Job(read_job(r)?),
             4 => Event::Streaming(JobId(r.u64()?)),
-            5 => Event::Ended(attempt_end(r, &instance.site)?),
+            5 => Event::Ended(read_attempt_end(r, &instance.site)?),
             6 => Event::ClientLeft(JobId(r.u64()?)),
             7 => Event::Wake,
             8 => Event::Probed {
-                endpoint: worker(r)?,
+                endpoint: read_worker(r)?,
                 answered: r.u16()? == 0,
                 latency: r.u32()?.into(),
-                report: report(r, &instance.site)?,
+                report: read_report(r, &instance.site)?,
             },
             12 => {
                 let job = JobId(r.u64()?);
                 let attempt = usize::from(r.u16()?);
-                let _worker = worker(r)?;
+                let _worker = read_worker(r)?;
                 match r.u8()? {
                     1 => Event::Started { job, attempt },
-                    _ => return Ok(()), // how far a job has got decides nothing
+                    _ => return Ok(()), // other progress notes do not influence decisions
                 }
             }
-            _ => return Ok(()), // 9, a peer's message, which this design has no use for, and later additions
+            _ => return Ok(()), // 9, a message of a peer, which is not used, and codes of later versions
         };
         instance.dispatcher.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            write(reply, id, now, &action);
+            write_action(reply, id, now, &action);
         }
         Ok(())
     }
 
-    /// Starts a dispatcher; one of the same number is replaced.
+    /// Starts a dispatcher and replaces one with the same number.
     fn start(&mut self, id: u32, r: &mut Reader) -> Result<(), String> {
         let seed = r.u64()?;
         let length = r.u32()? as usize;
@@ -130,22 +138,27 @@
         Ok(())
     }
 
-    fn list(&mut self, r: &mut Reader) -> Result<(), String> {
+    fn store_list(&mut self, r: &mut Reader) -> Result<(), String> {
         let number = usize::from(r.u16()?);
         let count = r.u32()?;
-        // Lines are read one by one, so that a count past the record cannot make room for more than it holds.
-        let mut members = Vec::new();
+        // Entries are read one by one, so that a count beyond the record does not allocate more than the
+        // record contains.
+        let mut endpoints = Vec::new();
         for line in 0..count {
-            members.push(member(r).map_err(|e| format!("line {line} of {count}: {e}"))?);
+            endpoints.push(read_endpoint(r).map_err(|e| format!("line {line} of {count}: {e}"))?);
         }
         let slot = self.lists.get_mut(number).ok_or_else(|| format!("list number {number} is past 15"))?;
-        *slot = Some(members);
+        *slot = Some(endpoints);
         Ok(())
     }
 }
 
-/// A dispatcher's view of the list of endpoints: which of the lists sent before, and how it is to be taken.
-fn list_event<'a>(r: &mut Reader, lists: &'a [Option<Vec<Endpoint>>; LISTS]) -> Result<Event<'a>, String> {
+/// Reads a list view: which of the lists sent before a dispatcher sees, and whether it is an update, a
+/// complete list, a cached list or a failure.
+fn read_list_event<'a>(
+    r: &mut Reader,
+    lists: &'a [Option<Vec<Endpoint>>; LIST_COUNT],
+) -> Result<Event<'a>, String> {
     let kind = r.u8()?;
     let _revision = r.u64()?;
     let number = usize::from(r.u16()?);
@@ -162,30 +175,30 @@
     }
 }
 
-/// The end of an attempt.
-fn attempt_end(r: &mut Reader, site: &Site) -> Result<AttemptEnd, String> {
+/// Reads the end of an attempt.
+fn read_attempt_end(r: &mut Reader, site: &Site) -> Result<AttemptEnd, String> {
     let job = JobId(r.u64()?);
     let attempt = usize::from(r.u16()?);
-    let endpoint = worker(r)?;
-    let outcome = outcome(r.u16()?);
+    let endpoint = read_worker(r)?;
+    let outcome = outcome_from_code(r.u16()?);
     let latency = r.u32()?.into();
     let finished = r.u8()? != 0;
     let _remark = r.u32()?;
-    let report = report(r, site)?;
+    let report = read_report(r, site)?;
     Ok(AttemptEnd { job, attempt, endpoint, outcome, latency, finished, report })
 }
 
-fn worker(r: &mut Reader) -> Result<EndpointId, String> {
+fn read_worker(r: &mut Reader) -> Result<EndpointId, String> {
     Ok(EndpointId(u64::from(r.u32()?) << 16 | u64::from(r.u16()?)))
 }
 
-fn member(r: &mut Reader) -> Result<Endpoint, String> {
+fn read_endpoint(r: &mut Reader) -> Result<Endpoint, String> {
     Ok(Endpoint {
         kind: r.u8()?.into(),
         started_at: r.u64()?,
         cell: r.u16()?.into(),
         size: r.f32()?,
-        id: worker(r)?,
+        id: read_worker(r)?,
         zone: r.u8()?.into(),
         status: match r.u8()? {
             0 => EndpointStatus::Ready,
@@ -195,15 +208,15 @@
     })
 }
 
-fn job(r: &mut Reader) -> Result<Job, String> {
+fn read_job(r: &mut Reader) -> Result<Job, String> {
     let (id, class) = (JobId(r.u64()?), r.u16()?.into());
-    let (_tenant, _key, due, hint) = (r.u32()?, r.u64()?, r.u64()?, r.u32()?);
-    let (slots, _memory, bits) = (r.f32()?, r.f32()?, r.u8()?);
-    let work = (bits & 1 != 0 && hint > 0).then_some(hint.into());
-    Ok(Job { id, class, deadline: due, slots, work })
+    let (_tenant, _key, deadline_us, hint) = (r.u32()?, r.u64()?, r.u64()?, r.u32()?);
+    let (slots, _memory, flags) = (r.f32()?, r.f32()?, r.u8()?);
+    let work = (flags & 1 != 0 && hint > 0).then_some(hint.into());
+    Ok(Job { id, class, deadline: deadline_us, slots, work })
 }
 
-fn outcome(code: u16) -> Outcome {
+fn outcome_from_code(code: u16) -> Outcome {
     match code {
         0 => Outcome::Served,
         255 => Outcome::Error,
@@ -217,33 +230,33 @@
     }
 }
 
-fn report(r: &mut Reader, site: &Site) -> Result<LoadReport, String> {
+fn read_report(r: &mut Reader, site: &Site) -> Result<LoadReport, String> {
     let count = usize::from(r.u8()?);
     let values: Vec<f64> = (0..count).map(|_| r.f32()).collect::<Result<_, _>>()?;
     Ok(site.report(values))
 }
 
-/// A span as the wire holds it: what is longer than it can say is cut.
-fn span(micros: Micros) -> u32 {
+/// Converts a duration to the width of the protocol. A longer one is cut to the maximum.
+fn to_u32(micros: Micros) -> u32 {
     micros.try_into().unwrap_or(u32::MAX)
 }
 
-fn write(reply: &mut Writer, instance: u32, now: Micros, action: &Action) {
+fn write_action(reply: &mut Writer, instance: u32, now: Micros, action: &Action) {
     match action {
-        Action::WakeAt(at) => reply.record(1, |w| w.u32(instance).u32(span(at.saturating_sub(now))).u32(0)),
+        Action::WakeAt(at) => reply.record(1, |w| w.u32(instance).u32(to_u32(at.saturating_sub(now))).u32(0)),
         Action::Subscribe => reply.record(2, |w| w.u32(instance).u8(1)),
         Action::Reject { job, retry_after } => {
-            reply.record(5, |w| w.u32(instance).u64(job.0).u32(span(*retry_after)));
+            reply.record(5, |w| w.u32(instance).u64(job.0).u32(to_u32(*retry_after)));
         }
         Action::Cancel { job, attempt } => {
             reply.record(7, |w| w.u32(instance).u64(job.0).u16(*attempt as u16));
         }
-        // No time-out of its own: the attempt may take until the client quits.
+        // A timeout of 0: the attempt has none of its own and may last until the client gives up.
         Action::Send { job, endpoint: worker } => {
             reply.record(8, |w| w.u32(instance).u64(job.0).worker(worker.0).u32(0));
         }
         Action::Fail { job } => reply.record(10, |w| w.u32(instance).u64(job.0)),
-        // The simulator has no word for it.
+        // The simulator's protocol has no such action.
         Action::Hold { .. } => {}
         Action::Probe { endpoint: worker } => reply.record(11, |w| w.u32(instance).worker(worker.0)),
     }
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,39 +1,40 @@
-//! Reading of JSON: tinyjson behind a bound on nesting, and short ways to its fields.
+//! JSON parsing with tinyjson under a limit on nesting, and helpers to read fields.
 
 use thiserror::Error;
 pub use tinyjson::JsonValue;
 
-/// Deepest nesting that is read. The parser recurses: a peer could exhaust the stack with brackets alone.
+/// Largest nesting depth that is accepted. The parser recurses, so without a limit a peer could exhaust the
+/// stack with brackets alone.
 const MAX_DEPTH: usize = 32;
 
-/// Why a text is no JSON.
+/// Reason why a text is not accepted as JSON.
 #[derive(Debug, Error)]
 pub enum JsonError {
-    /// It is no text.
+    /// The bytes are not UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
-    /// It is nested deeper than is read.
-    #[error("nested deeper than {MAX_DEPTH}")]
+    /// The text is nested too deeply.
+    #[error("nested deeper than {MAX_DEPTH} levels")]
     TooDeep,
-    /// The parser refuses it.
+    /// The text is not valid JSON.
     #[error(transparent)]
     Syntax(#[from] tinyjson::JsonParseError),
 }
 
-/// Parses a text.
+/// Parses a JSON text.
 ///
 /// # Errors
-/// Where it is no JSON, or nested deeper than 32.
+/// Returns an error if the text is not valid JSON, or nested deeper than 32 levels.
 pub fn parse(text: &[u8]) -> Result<JsonValue, JsonError> {
     let text = std::str::from_utf8(text).map_err(|_| JsonError::NotUtf8)?;
-    // Counted first, since the parser recurses.
+    // Checked before parsing, since the parser recurses.
     if is_too_deep(text) {
         return Err(JsonError::TooDeep);
     }
     Ok(text.parse()?)
 }
 
-/// Whether brackets outside of strings are nested deeper than is read.
+/// Whether brackets outside of strings are nested deeper than `MAX_DEPTH`.
 fn is_too_deep(text: &str) -> bool {
     let mut depth = 0_usize;
     let (mut in_string, mut is_escaped) = (false, false);
@@ -53,7 +54,7 @@
     false
 }
 
-/// A field of an object; none where it is absent or null, or where this is no object.
+/// Returns a field of an object; `None` if it is absent or null, or if the value is not an object.
 pub fn field<'a>(value: &'a JsonValue, name: &str) -> Option<&'a JsonValue> {
     let object: &std::collections::HashMap<String, JsonValue> = value.get()?;
     object.get(name).filter(|value| !value.is_null())
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-/// Writes a line to standard error, for what is to be seen also where no subscriber of `tracing` is set up, as before the
-/// settings are read. Does not fail where standard error is closed, unlike `eprintln!`.
+/// Writes a line to standard error. For messages that must be visible even if no `tracing` subscriber is set
+/// up, for example before the settings are read. Unlike `eprintln!`, it does not panic if standard error is
+/// closed.
 pub fn say(line: impl std::fmt::Display) {
     use std::io::Write;
     let _ = writeln!(std::io::stderr(), "micabeam: {line}");
--- a/src/lifecycle/callback_forwarding.rs
+++ b/src/lifecycle/callback_forwarding.rs
@@ -23,8 +23,8 @@
 const MAX_PEERS: usize = 2;
 /// Largest number of callbacks that wait for one process. Senders of further callbacks must retry.
 const MAX_WAITING_CALLBACKS: usize = 256;
-/// Number of attempts to open a link before it counts as lost. The kernel distributes the connections, so an
-/// attempt may reach this process itself or a third one.
+/// Number of tries to open a link before it counts as lost. The kernel distributes the connections, so a try
+/// may reach this process itself or a third one.
 const MAX_LINK_TRIES: u32 = 24;
 
 /// A callback whose job this process does not know.
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: reads its configuration, opens its sockets and runs the loop.
+//! The dispatcher program: reads its configuration, opens its sockets and runs the event loop.
 #![forbid(unsafe_code)]
 
 use std::io::Write;
@@ -22,8 +22,8 @@
 use micabeam::net::Net;
 use micabeam::say;
 
-/// Longest time between two rounds of the loop, in milliseconds.
-const MAX_ROUND_MS: f64 = 1000.0;
+/// Longest time that the event loop waits for events, in milliseconds.
+const MAX_POLL_MS: f64 = 1000.0;
 
 /// What `--help` says of the program.
 const ABOUT: &str = "Routes jobs to backend servers. The environment names the platform's configuration (LB_CONFIG, \
@@ -52,7 +52,7 @@
 }
 
 fn run(arguments: Arguments) -> Result<(), String> {
-    // A second subscriber cannot be there: the first one set stays.
+    // This fails only if a subscriber has already been set, which then stays in use.
     let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
     let mut events: EventLoop<'static, Gateway> = EventLoop::try_new().map_err(|e| e.to_string())?;
     watch_signals(&events.handle())?;
@@ -61,9 +61,9 @@
     let mut gateway = open_gateway(files, events.handle())?;
     gateway.tick();
     while !gateway.is_stopped() {
-        let wait_ms = (gateway.next_deadline() - gateway.clock.now()).clamp(0.0, MAX_ROUND_MS);
+        let wait_ms = (gateway.next_deadline() - gateway.clock.now()).clamp(0.0, MAX_POLL_MS);
         let wait = Duration::from_secs_f64(wait_ms / 1e3);
-        events.dispatch(Some(wait), &mut gateway).map_err(|e| format!("the loop: {e}"))?;
+        events.dispatch(Some(wait), &mut gateway).map_err(|e| format!("event loop failed: {e}"))?;
         gateway.tick();
     }
     log_counters(&gateway);
@@ -72,7 +72,7 @@
 
 fn watch_signals(handle: &LoopHandle<'static, Gateway>) -> Result<(), String> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1])
-        .map_err(|e| format!("signals: {e}"))?;
+        .map_err(|e| format!("cannot set up signal handling: {e}"))?;
     let inserted = handle.insert_source(signals, |event, (), gateway: &mut Gateway| match event.signal() {
         Signal::SIGUSR1 => log_counters(gateway),
         Signal::SIGHUP => reload(gateway),
@@ -94,12 +94,13 @@
     }
 }
 
-/// Writes the counters to the log.
+/// Writes the counters to standard error.
 fn log_counters(gateway: &Gateway) {
     let _ = write!(std::io::stderr(), "{}", gateway.counters());
 }
 
-/// Reads the files and opens what they set up, the platform's frontend last: its address is what clients wait for.
+/// Reads the configuration files and opens the frontends and the console. The platform's HTTP frontend comes
+/// after the other frontends, because clients wait for its address.
 fn open_gateway(files: Files, handle: LoopHandle<'static, Gateway>) -> Result<Gateway, String> {
     let clock = Clock::system();
     let mut net = Net::new(handle.clone());
@@ -114,7 +115,7 @@
     let lifecycle = Lifecycle::new(clock.now());
     let mut note = None;
     let http = http.map(|(mut frontend, address)| {
-        note = join(&mut frontend, &mut net, address, fleet.as_mut(), &clock);
+        note = join_fleet_and_predecessor(&mut frontend, &mut net, address, fleet.as_mut(), &clock);
         frontend
     });
     Ok(Gateway { net, http, gearman, streaming, fleet, console, lifecycle, note, clock, files })
@@ -122,18 +123,20 @@
 
 fn check_configs(configs: &Configs) -> Result<(), String> {
     if configs.http.is_none() && configs.gearman.is_none() && configs.streaming.is_none() {
-        return Err("LB_CONFIG names no configuration, and --operator or --gearman no operator's file".into());
+        return Err("no configuration: set LB_CONFIG, or pass --operator or --gearman".into());
     }
     let shares_policy = configs.fleet.as_ref().is_some_and(|fleet| fleet.rollout.is_some());
     if shares_policy && configs.http.is_none() {
-        return Err("rollout: only the platform's front asks a policy, and LB_CONFIG names none".into());
+        return Err(
+            "rollout: only the HTTP frontend applies a policy, and LB_CONFIG does not configure one".into()
+        );
     }
     Ok(())
 }
 
-/// Joins the platform's frontend to its fleet and to a process that listens at its address already. Gives the note that a
-/// successor reads.
-fn join(
+/// Connects the HTTP frontend to its fleet and to a process that already listens at its address. Returns this
+/// process's hand-over note.
+fn join_fleet_and_predecessor(
     frontend: &mut HttpFrontend,
     net: &mut Sockets,
     address: SocketAddr,
@@ -153,7 +156,7 @@
     note
 }
 
-/// Leaves the note that tells a process at the same address that this one takes over from it.
+/// Writes the hand-over note that tells a process at the same address that this one takes over from it.
 fn leave_note(path: &Path, clock: &Clock) -> Option<OwnNote> {
     let listening_since_ms = clock.now() as u64;
     let note = handover::HandoverNote { pid: std::process::id(), listening_since_ms };
@@ -166,16 +169,16 @@
     }
 }
 
-/// Listens at an address and prints it; an address that is `shared` may be another process's as well.
+/// Listens at an address and prints it. If `shared`, other processes may listen at the same address.
 fn listen(
     net: &mut Sockets,
     address: SocketAddr,
     shared: bool,
-    what: &str,
+    service: &str,
 ) -> Result<(usize, SocketAddr), String> {
     let (listener, local) =
         net.listen(address, shared).map_err(|e| format!("cannot listen at {address}: {e}"))?;
-    let _ = writeln!(std::io::stdout(), "micabeam: {what} at {local}");
+    let _ = writeln!(std::io::stdout(), "micabeam: {service} at {local}");
     Ok((listener, local))
 }
 
@@ -186,7 +189,7 @@
     Ok(Console::new(listener))
 }
 
-/// The frontends' side of the fleet, and the log that its decisions are told by.
+/// Opens the frontends' side of the fleet.
 fn open_fleet(
     config: fleet::Config,
     handle: LoopHandle<'static, Gateway>,
@@ -201,7 +204,8 @@
     clock: &Clock,
 ) -> Result<StreamingFrontend, String> {
     let (listener, _) = listen(net, config.table.listen, false, "streams")?;
-    // Dispatchers of one installation draw differently.
+    // The dispatcher's number is part of the seed so that the dispatchers of one installation draw different
+    // random numbers.
     let seed = clock.now() as u64 ^ u64::from(config.table.number) << 48;
     Ok(StreamingFrontend::new(config, seed, clock.clone(), listener))
 }
@@ -212,7 +216,8 @@
     clock: &Clock,
 ) -> Result<GearmanFrontend, String> {
     let (listener, _) = listen(net, config.listen, false, "gearman")?;
-    // Alone in its list, it need not differ from others in what it draws.
+    // The Gearman frontend counts as the only dispatcher of its workers, so its seed need not differ from
+    // that of others.
     GearmanFrontend::new(config, clock.now() as u64, clock.clone(), listener).map_err(|e| e.to_string())
 }
 
@@ -221,17 +226,17 @@
     net: &mut Sockets,
     clock: &Clock,
 ) -> Result<(HttpFrontend, SocketAddr), String> {
-    let discovery = address("LB_DISCOVERY", "discovery", config.discovery)?;
-    let wanted = address("LB_LISTEN", "listen", config.listen)?;
-    // A process that upgrades this one listens beside it at the same address until this one has gone.
-    let (listener, local) = listen(net, wanted, true, "listening")?;
+    let discovery = resolve_address("LB_DISCOVERY", "discovery", config.discovery)?;
+    let requested = resolve_address("LB_LISTEN", "listen", config.listen)?;
+    // The address is shared: during an upgrade, the new process listens beside this one until this one exits.
+    let (listener, local) = listen(net, requested, true, "listening")?;
     Ok((HttpFrontend::new(config, clock.clone(), listener, discovery), local))
 }
 
-/// An address: of the environment, or of the configuration.
-fn address(variable: &str, name: &str, configured: Option<SocketAddr>) -> Result<SocketAddr, String> {
+/// Returns the address from the environment variable or, if that is not set, from the configuration.
+fn resolve_address(variable: &str, name: &str, configured: Option<SocketAddr>) -> Result<SocketAddr, String> {
     match std::env::var(variable) {
-        Ok(text) => text.parse().map_err(|_| format!("{variable} is no address: {text}")),
-        Err(_) => configured.ok_or_else(|| format!("the configuration has no address `{name}`")),
+        Ok(text) => text.parse().map_err(|_| format!("{variable} is not a socket address: {text}")),
+        Err(_) => configured.ok_or_else(|| format!("the configuration has no `{name}` address")),
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,6 @@
-//! The settings as the wires state them, and the router's settings made of them. The adapter and the dispatcher both read
-//! them here, so that both decide alike. Field names are the wires'; times there are microseconds.
+//! Parses the settings as configuration files state them and derives the router's settings. The adapter and
+//! the dispatcher share this module, so that both decide alike. Field names are those of the configuration
+//! format, whose times are in microseconds.
 
 use thiserror::Error;
 
@@ -8,53 +9,54 @@
     Capabilities, Class, DeduplicationScope, Idempotency, LoadReport, Micros, ServiceRules, Settings,
 };
 
-/// Longest wait of a client's class that names none, in microseconds.
+/// Default for the longest time that clients of a class wait, in microseconds.
 const DEFAULT_HARD_LIMIT_US: f64 = 5e6;
-/// Time in which a drain is to be followed, in microseconds, where the settings give none.
+/// Default time after which nothing new may be sent to an endpoint that is known to drain, in microseconds.
 const DEFAULT_DRAIN_GRACE_US: f64 = 2e6;
-/// Time within which what a cold endpoint is sent is counted, in microseconds, where the settings give none.
+/// Default length of the window over which the load on a cold endpoint is counted, in microseconds.
 const DEFAULT_OVERLOAD_WINDOW_US: f64 = 3e6;
-/// Idle time after which an endpoint closes a connection, where the settings name none, in microseconds.
+/// Default idle time after which an endpoint closes a connection, in microseconds.
 const DEFAULT_CONNECTION_IDLE_US: f64 = 15e6;
-/// Time within which a connection must come up, where the settings name none, in microseconds.
+/// Default timeout for establishing a connection, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT_US: f64 = 250e3;
-/// Most by which a latency objective can grow with a job's own work.
+/// Upper limit on `stretch`: the multiple of a job's own work by which its latency objective grows.
 const MAX_STRETCH: f64 = 100.0;
-/// Numbers of kinds that can be told apart.
-const KINDS: std::ops::Range<f64> = 0.0..65535.0;
+/// Valid numbers of endpoint kinds.
+const KIND_NUMBERS: std::ops::Range<f64> = 0.0..65535.0;
 const MICROS_PER_MILLI: f64 = 1e3;
 
-/// Why settings do not read.
+/// Reason why settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// They are no JSON.
+    /// The text is not valid JSON.
     #[error("settings: {0}")]
     Json(#[from] JsonError),
-    /// A field is missing, or is no number.
-    #[error("settings: missing field `{0}`, a number")]
+    /// A required field is missing or is not a number.
+    #[error("settings: missing field `{0}` (expected a number)")]
     MissingNumber(&'static str),
-    /// There is no class.
-    #[error("settings: missing field `grades`, a list that is not empty")]
+    /// The settings define no class.
+    #[error("settings: missing field `grades` (expected a non-empty list)")]
     NoClasses,
-    /// It is not known whether a class may be repeated.
+    /// The `semantics` of a class have an unknown value.
     #[error("settings: grade {class}: unknown semantics \"{found}\"")]
     Semantics {
-        /// The class, by index.
+        /// Index of the class.
         class: usize,
-        /// What the settings say.
+        /// Value in the settings.
         found: String,
     },
-    /// It is not known which endpoints drop a class's repeats.
+    /// The `keyScope` of a class has an unknown value. It states which endpoints drop repeated jobs of the
+    /// class.
     #[error("settings: grade {class}: unknown keyScope \"{found}\"")]
     KeyScope {
-        /// The class, by index.
+        /// Index of the class.
         class: usize,
-        /// What the settings say.
+        /// Value in the settings.
         found: String,
     },
 }
 
-/// What a value of a load report says.
+/// Meaning of a value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReportField {
     FreeSlots,
@@ -74,21 +76,21 @@
     }
 }
 
-/// A class as clients know it.
+/// Properties of a class that frontends need.
 #[derive(Clone, Debug)]
 pub struct ClientClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// How long a client waits for one of its jobs at most, in milliseconds.
+    /// Longest time that a client waits for one of its jobs, in milliseconds.
     pub max_wait_ms: f64,
 }
 
-/// All that the settings say: the router's part, and what the sockets need beside it.
+/// The settings of an installation: those of the router, and those that frontends need.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// What the router is told.
+    /// Settings of the router.
     pub settings: Settings,
-    /// The classes, in the router's order.
+    /// Classes, in the router's order.
     pub client_classes: Vec<ClientClass>,
     /// Names of kinds of endpoints, in the router's order.
     pub kinds: Vec<String>,
@@ -98,18 +100,19 @@
     pub tenants: Vec<String>,
     /// Idle time after which an endpoint closes a connection, in milliseconds.
     pub connection_idle_ms: f64,
-    /// Time within which a connection must come up, in milliseconds.
+    /// Timeout for establishing a connection, in milliseconds.
     pub connect_timeout_ms: f64,
-    /// Longest advice when to come back, in milliseconds; 0 where none may be given.
+    /// Longest suggested delay before a retry, in milliseconds; 0 if none may be suggested.
     pub max_retry_after_ms: f64,
-    /// Whether two attempts of a request may be open together.
+    /// Whether a job may have two open attempts at the same time.
     pub allows_copies: bool,
-    /// What the values of a load report say, by name and in their order.
+    /// Names and meanings of the values in a load report, in order.
     report_fields: Vec<(String, ReportField)>,
 }
 
 impl Site {
-    /// Settings that no wire has stated: one kind of endpoint, one zone, no load reports.
+    /// Returns settings that are not read from a configuration: one kind of endpoint, one zone, no load
+    /// reports.
     pub fn plain(settings: Settings, client_classes: Vec<ClientClass>) -> Site {
         Site {
             settings,
@@ -125,27 +128,31 @@
         }
     }
 
-    /// Reads the settings from their text.
+    /// Parses the settings from JSON text.
     ///
     /// # Errors
-    /// Where they are no JSON, or a field that is needed is missing or has no known value.
+    /// Returns an error if the text is not valid JSON, or if a required field is missing or has an unknown
+    /// value.
     pub fn parse(bytes: &[u8]) -> Result<Site, SettingsError> {
         Site::read(&json::parse(bytes)?)
     }
 
-    /// Reads the settings.
+    /// Reads the settings from parsed JSON.
     ///
     /// # Errors
-    /// Where a field that is needed is missing or has no known value.
+    /// Returns an error if a required field is missing or has an unknown value.
     pub fn read(value: &JsonValue) -> Result<Site, SettingsError> {
         let (classes, client_classes) = read_classes(value)?;
         let report_fields = read_report_fields(value);
-        // Whether a queue can be seen is all that a report is read for.
+        // Load counts as reported if reports are on and contain at least one value that the router uses.
         let is_reported = text(section(value, "report"), "how") != Some("off");
-        let reports_load = is_reported && report_fields.iter().any(|(_, says)| *says != ReportField::Other);
+        let reports_load =
+            is_reported && report_fields.iter().any(|(_, meaning)| *meaning != ReportField::Other);
         let caps = section(value, "caps");
-        let may_advise = field(caps, "retryAfter").and_then(|advises| advises.get::<bool>()) != Some(&false);
-        let max_retry_after_us = if may_advise { number(caps, "maxRetryAfter").unwrap_or(0.0) } else { 0.0 };
+        let may_send_retry_after =
+            field(caps, "retryAfter").and_then(|allowed| allowed.get::<bool>()) != Some(&false);
+        let max_retry_after_us =
+            if may_send_retry_after { number(caps, "maxRetryAfter").unwrap_or(0.0) } else { 0.0 };
         let tenants = json::list(value, "tenants").iter();
         Ok(Site {
             settings: read_router_settings(value, classes, reports_load)?,
@@ -161,28 +168,28 @@
         })
     }
 
-    /// A load report from values in the order of the fields; further ones are passed over.
+    /// Returns a load report from values in the order of the report fields; additional values are ignored.
     pub fn report(&self, values: impl IntoIterator<Item = f64>) -> LoadReport {
         let mut report = LoadReport::default();
-        for ((_, says), value) in self.report_fields.iter().zip(values) {
-            says.set(&mut report, value);
+        for ((_, meaning), value) in self.report_fields.iter().zip(values) {
+            meaning.set(&mut report, value);
         }
         report
     }
 
-    /// A load report from names and values; unknown names are passed over.
+    /// Returns a load report from pairs of name and value; unknown names are ignored.
     pub fn named_report<'a>(&self, pairs: impl IntoIterator<Item = (&'a str, f64)>) -> LoadReport {
         let mut report = LoadReport::default();
         for (name, value) in pairs {
-            if let Some((_, says)) = self.report_fields.iter().find(|(known, _)| known == name) {
-                says.set(&mut report, value);
+            if let Some((_, meaning)) = self.report_fields.iter().find(|(known, _)| known == name) {
+                meaning.set(&mut report, value);
             }
         }
         report
     }
 }
 
-/// A part of the settings; one that is absent has no fields.
+/// Returns a section of the settings; an absent section has no fields.
 fn section<'a>(value: &'a JsonValue, name: &str) -> &'a JsonValue {
     const ABSENT: &JsonValue = &JsonValue::Null;
     field(value, name).unwrap_or(ABSENT)
@@ -192,20 +199,21 @@
     number(value, name).ok_or(SettingsError::MissingNumber(name))
 }
 
-/// A time that is given in microseconds, in milliseconds.
+/// Reads a time in microseconds and returns it in milliseconds.
 fn millis(value: &JsonValue, name: &str, default_us: f64) -> f64 {
     number(value, name).unwrap_or(default_us) / MICROS_PER_MILLI
 }
 
-/// The classes, as the router and as clients know them.
+/// Reads the classes, in the form for the router and in the form for frontends.
 fn read_classes(value: &JsonValue) -> Result<(Vec<Class>, Vec<ClientClass>), SettingsError> {
     let info = section(value, "familyInfo");
     let (kinds, stretches) = (json::list(info, "classKind"), json::list(info, "classStretch"));
     let (mut classes, mut client_classes) = (Vec::new(), Vec::new());
-    for (at, grade) in json::list(value, "grades").iter().enumerate() {
-        let kind = kinds.get(at).and_then(|kind| kind.get::<f64>()).filter(|kind| KINDS.contains(kind));
-        let stretch = stretches.get(at).and_then(|stretch| stretch.get::<f64>()).copied();
-        classes.push(read_class(at, grade, kind.map(|&kind| kind as u16), stretch)?);
+    for (index, grade) in json::list(value, "grades").iter().enumerate() {
+        let kind =
+            kinds.get(index).and_then(|kind| kind.get::<f64>()).filter(|kind| KIND_NUMBERS.contains(kind));
+        let stretch = stretches.get(index).and_then(|stretch| stretch.get::<f64>()).copied();
+        classes.push(read_class(index, grade, kind.map(|&kind| kind as u16), stretch)?);
         let name = text(grade, "name").unwrap_or("").to_string();
         client_classes
             .push(ClientClass { name, max_wait_ms: millis(grade, "hardLimit", DEFAULT_HARD_LIMIT_US) });
@@ -214,12 +222,12 @@
 }
 
 fn read_class(
-    at: usize,
+    index: usize,
     grade: &JsonValue,
     kind: Option<u16>,
     stretch: Option<f64>,
 ) -> Result<Class, SettingsError> {
-    let idempotency = read_idempotency(at, grade)?;
+    let idempotency = read_idempotency(index, grade)?;
     let stretch = number(grade, "aimStretch").or(stretch).unwrap_or(0.0);
     Ok(Class {
         idempotency,
@@ -249,10 +257,11 @@
     }
 }
 
-/// What the values of a load report say. The field `x0` says what another setting tells.
+/// Reads the names and meanings of the values in a load report. The meaning of the field `x0` is stated by
+/// the setting `reportX0`.
 fn read_report_fields(value: &JsonValue) -> Vec<(String, ReportField)> {
     let x0 = text(section(value, "familyInfo"), "reportX0").unwrap_or("");
-    let says = |name: &str| match if name == "x0" { x0 } else { name } {
+    let meaning_of = |name: &str| match if name == "x0" { x0 } else { name } {
         "free slots" => ReportField::FreeSlots,
         "inflight" => ReportField::Held,
         "queue" => ReportField::Queue,
@@ -261,8 +270,8 @@
     let names = texts(section(value, "report"), "fields").into_iter();
     names
         .map(|name| {
-            let says = says(&name);
-            (name, says)
+            let meaning = meaning_of(&name);
+            (name, meaning)
         })
         .collect()
 }
--- a/src/telemetry/list_figures.rs
+++ b/src/telemetry/list_figures.rs
@@ -1,54 +1,60 @@
-//! Figures of the endpoint list: which version is held, whether it is confirmed, and what followed where it was not.
+//! Metrics of the endpoint list: its version, whether it is confirmed, and the effects of using it
+//! unconfirmed.
 
 use std::fmt;
 
 use super::write_metric;
 
-/// What is read when the figures are asked for.
+/// Values of the list metrics, read when the metrics are requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ListFigures {
-    /// The version that is held.
+    /// Version of the list in use.
     pub version: u64,
-    /// Seconds since the list was last confirmed, or since it is not.
+    /// Seconds since the list was last confirmed, or since it became unconfirmed.
     pub age_seconds: f64,
-    /// Whether it is confirmed.
+    /// Whether the list is confirmed.
     pub is_confirmed: bool,
-    /// Calls that were answered.
+    /// Calls to discovery that were answered.
     pub answers: u64,
-    /// Calls that failed.
+    /// Calls to discovery that failed.
     pub failures: u64,
-    /// Attempts sent while it was not confirmed.
+    /// Attempts sent while the list was unconfirmed.
     pub sent_unconfirmed: u64,
-    /// Jobs that came while no attempt could be made.
+    /// Jobs that arrived while the list was too old to send attempts.
     pub withheld: u64,
 }
 
 impl fmt::Display for ListFigures {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut text = String::new();
-        let mut plain = |name: &str, kind: &str, help: &str, value: f64| {
+        let mut write_unlabelled = |name: &str, kind: &str, help: &str, value: f64| {
             write_metric(&mut text, name, kind, help, &[(String::new(), value)]);
         };
-        plain("lb_list_version", "gauge", "Version of the list that is held.", self.version as f64);
-        plain(
+        write_unlabelled(
+            "lb_list_version",
+            "gauge",
+            "Version of the list that is held.",
+            self.version as f64,
+        );
+        write_unlabelled(
             "lb_list_confirmed",
             "gauge",
             "1: discovery has confirmed the list, and is watched.",
             f64::from(u8::from(self.is_confirmed)),
         );
-        plain(
+        write_unlabelled(
             "lb_list_age_seconds",
             "gauge",
             "Time since the list was confirmed, or since it is not.",
             self.age_seconds,
         );
-        plain(
+        write_unlabelled(
             "lb_list_unconfirmed_attempts_total",
             "counter",
             "Attempts by a list that was not confirmed.",
             self.sent_unconfirmed as f64,
         );
-        plain(
+        write_unlabelled(
             "lb_list_withheld_requests_total",
             "counter",
             "Requests that came while the list was too old to act on.",
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,5 +1,5 @@
-//! Figures for operators: counters fed by the core's stages where each event happens, and gauges read when the
-//! figures are asked for, written in the Prometheus text exposition format. No I/O.
+//! Metrics for operators, in the Prometheus text exposition format: counters that the core's stages update as
+//! events happen, and gauges that are read when the metrics are requested. No I/O.
 
 mod list_figures;
 
@@ -7,14 +7,14 @@
 
 pub use list_figures::ListFigures;
 
-/// How a session ended, as the figures name it.
+/// Kind of final answer to a job, as the metrics label it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// Served with a backend server's result.
+    /// The job was served with an endpoint's result.
     Completed,
-    /// Denied: refused, harmless to try again.
+    /// The job was rejected; retrying it is safe.
     Rejected,
-    /// Failed.
+    /// The job failed.
     Failed,
 }
 
@@ -30,14 +30,14 @@
     }
 }
 
-/// What is read when the figures are asked for.
+/// Gauges that are read when the metrics are requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Sessions taken and not ended.
+    /// Number of open jobs.
     pub pending: u64,
-    /// Backend servers on the list.
+    /// Number of listed endpoints.
     pub members: u64,
-    /// Listed backend servers that are avoided now.
+    /// Number of listed endpoints that currently get no jobs.
     pub members_unavailable: u64,
 }
 
@@ -52,65 +52,65 @@
     }
 }
 
-/// The counters of one core, from 0 at the start of the process.
+/// Counters of one core, from 0 at the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct Telemetry {
-    /// The lanes (classes) by index, as the settings name them.
-    lanes: Vec<String>,
-    /// Sessions ended, by lane and result.
+    /// Names of the classes by index; they are the values of the `lane` label.
+    class_names: Vec<String>,
+    /// Number of jobs with a final answer, by class and kind of answer.
     downstream: Vec<[u64; 3]>,
-    /// Dispatches whose request was written whole to a backend server.
+    /// Number of attempts whose request was written completely.
     upstream: u64,
 }
 
 impl Telemetry {
-    /// Counters at 0 for these lanes.
-    pub fn new(lanes: Vec<String>) -> Telemetry {
-        let downstream = vec![[0; 3]; lanes.len()];
-        Telemetry { lanes, downstream, upstream: 0 }
+    /// Returns counters at 0 for classes with these names.
+    pub fn new(class_names: Vec<String>) -> Telemetry {
+        let downstream = vec![[0; 3]; class_names.len()];
+        Telemetry { class_names, downstream, upstream: 0 }
     }
 
-    /// A session of a lane has had its final answer.
-    pub fn record_answer(&mut self, lane: usize, result: Disposition) {
-        if let Some(row) = self.downstream.get_mut(lane) {
-            row[result as usize] += 1;
+    /// Counts the final answer to a job of a class.
+    pub fn record_answer(&mut self, class: usize, result: Disposition) {
+        if let Some(counts) = self.downstream.get_mut(class) {
+            counts[result as usize] += 1;
         }
     }
 
-    /// A dispatch's request was written whole to its backend server.
+    /// Counts an attempt whose request was written completely to its endpoint.
     pub fn record_request_sent(&mut self) {
         self.upstream += 1;
     }
 
-    /// Sessions of a lane that ended so.
-    pub fn downstream(&self, lane: usize, result: Disposition) -> u64 {
-        self.downstream.get(lane).map_or(0, |row| row[result as usize])
+    /// Returns the number of jobs of a class with this kind of answer.
+    pub fn downstream(&self, class: usize, result: Disposition) -> u64 {
+        self.downstream.get(class).map_or(0, |counts| counts[result as usize])
     }
 
-    /// Dispatches written whole.
+    /// Returns the number of attempts whose request was written completely.
     pub fn upstream(&self) -> u64 {
         self.upstream
     }
 }
 
-/// The figures of several cores, summed by lane name, in the text exposition format.
+/// Renders the metrics of several cores, summed by class name.
 pub fn render(cores: &[&Telemetry], gauges: Gauges) -> String {
-    let mut lanes: Vec<(&str, [u64; 3])> = Vec::new();
+    let mut classes: Vec<(&str, [u64; 3])> = Vec::new();
     for core in cores {
-        for (name, row) in core.lanes.iter().zip(&core.downstream) {
-            match lanes.iter_mut().find(|(n, _)| n == name) {
-                Some((_, sum)) => (0..3).for_each(|i| sum[i] += row[i]),
-                None => lanes.push((name, *row)),
+        for (name, counts) in core.class_names.iter().zip(&core.downstream) {
+            match classes.iter_mut().find(|(n, _)| n == name) {
+                Some((_, sum)) => (0..3).for_each(|i| sum[i] += counts[i]),
+                None => classes.push((name, *counts)),
             }
         }
     }
     let mut text = String::new();
     text.push_str("# HELP lb_downstream_requests_total Client requests that had their final answer.\n");
     text.push_str("# TYPE lb_downstream_requests_total counter\n");
-    for (lane, row) in &lanes {
+    for (class, counts) in &classes {
         for result in Disposition::ALL {
-            let lane = escape(lane);
-            let count = row[result as usize];
+            let lane = escape(class);
+            let count = counts[result as usize];
             let _ = writeln!(
                 text,
                 "lb_downstream_requests_total{{lane=\"{lane}\",result=\"{}\"}} {count}",
@@ -119,7 +119,7 @@
         }
     }
     let upstream: u64 = cores.iter().map(|c| c.upstream).sum();
-    let rows = [
+    let metrics = [
         ("lb_upstream_requests_total", "counter", "Requests written whole to backend servers.", upstream),
         ("lb_pending", "gauge", "Requests taken and not ended.", gauges.pending),
         ("lb_members", "gauge", "Backend servers on the list.", gauges.members),
@@ -130,13 +130,14 @@
             gauges.members_unavailable,
         ),
     ];
-    for (name, kind, help, value) in rows {
+    for (name, kind, help, value) in metrics {
         write_metric(&mut text, name, kind, help, &[(String::new(), value as f64)]);
     }
     text
 }
 
-/// Adds a figure: its help, its kind, and its values by their labels (`{name="value"}`, or nothing).
+/// Appends a metric to `text`: its help, its type, and its values with their labels (`{name="value"}`, or an
+/// empty string).
 pub fn write_metric(text: &mut String, name: &str, kind: &str, help: &str, values: &[(String, f64)]) {
     let _ = write!(text, "# HELP {name} {help}\n# TYPE {name} {kind}\n");
     for (labels, value) in values {
@@ -144,7 +145,7 @@
     }
 }
 
-/// A label value as the format has it: backslash, quote and line feed escaped.
+/// Escapes backslash, quote and line feed in a label value.
 pub(crate) fn escape(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/src/telemetry/tests.rs
+++ b/src/telemetry/tests.rs
@@ -2,9 +2,10 @@
 
 use super::*;
 
-/// Guards the names and the form that scrapers read, and that lanes of two cores with one name are one.
+/// Checks the metric names and the format that scrapers read, and that classes of the same name in two cores
+/// are summed.
 #[test]
-fn figures_are_rendered_once_per_lane_and_result() {
+fn metrics_are_rendered_once_per_class_and_result() {
     let mut one = Telemetry::new(vec!["search".into(), "hold".into()]);
     let mut two = Telemetry::new(vec!["search".into()]);
     one.record_answer(0, Disposition::Completed);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -226,5 +226,5 @@
     let stream = "[stream]\nlisten = \"127.0.0.1:0\"\nservers = [{name = \"a\", dial = \"127.0.0.1:1\"}]\n\
                   [[stream.class]]\nname = \"export\"\nrepeat = \"safe\"\n";
     let (well, log) = Program::operator(&(fleet_table + text.split_once('\n').unwrap().1 + stream)).wait();
-    assert!(!well && log.contains("only the platform's front asks a policy"), "{log}");
+    assert!(!well && log.contains("only the HTTP frontend applies a policy"), "{log}");
 }
