--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -36,7 +36,7 @@
     pub list_failures: u64,
     /// Entries of lists dropped because the endpoint table was full.
     pub lines_dropped: u64,
-    /// Attempts sent while the list was not confirmed.
+    /// Attempts sent while the list was unconfirmed.
     pub sent_unconfirmed: u64,
     /// Jobs that arrived while the list was too old to send attempts.
     pub withheld: u64,
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -127,7 +127,7 @@
         if dropped > 0 {
             self.statistics.counters.lines_dropped += dropped;
             crate::say(format_args!(
-                "the endpoint list has {dropped} servers more than the limit of {MAX_ENDPOINTS}; they are ignored"
+                "the list has {dropped} servers more than the limit of {MAX_ENDPOINTS}; they are ignored"
             ));
         }
         if let Some(split) = &self.traffic_split {
--- a/src/json.rs
+++ b/src/json.rs
@@ -60,27 +60,27 @@
     object.get(name).filter(|value| !value.is_null())
 }
 
-/// A field that is a finite number.
+/// Returns a field that is a finite number.
 pub fn number(value: &JsonValue, name: &str) -> Option<f64> {
     field(value, name)?.get::<f64>().copied().filter(|number| number.is_finite())
 }
 
-/// A field that is a string.
+/// Returns a field that is a string.
 pub fn text<'a>(value: &'a JsonValue, name: &str) -> Option<&'a str> {
     field(value, name)?.get::<String>().map(String::as_str)
 }
 
-/// A field that is a boolean; absent counts as false.
+/// Returns a boolean field; an absent one counts as false.
 pub fn flag(value: &JsonValue, name: &str) -> bool {
     field(value, name).and_then(|value| value.get::<bool>()).copied().unwrap_or(false)
 }
 
-/// A field that is a list; absent counts as empty.
+/// Returns a list field; an absent one counts as empty.
 pub fn list<'a>(value: &'a JsonValue, name: &str) -> &'a [JsonValue] {
     field(value, name).and_then(|value| value.get::<Vec<JsonValue>>()).map_or(&[], Vec::as_slice)
 }
 
-/// The strings of a list.
+/// Returns the strings of a list field.
 pub fn texts(value: &JsonValue, name: &str) -> Vec<String> {
     list(value, name).iter().filter_map(|value| value.get::<String>().cloned()).collect()
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -25,7 +25,7 @@
 /// Longest time that the event loop waits for events, in milliseconds.
 const MAX_POLL_MS: f64 = 1000.0;
 
-/// What `--help` says of the program.
+/// Description of the program in the `--help` output.
 const ABOUT: &str = "Routes jobs to backend servers. The environment names the platform's configuration (LB_CONFIG, \
     LB_LISTEN, LB_DISCOVERY); further fronts are set up in the operator's own file";
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, by examples and by a random script against a checker.
+//! Tests of the four dispatch rules, by examples and by a random script whose actions are checked.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use micabeam::routing::*;
 use std::collections::BTreeMap;
 
-fn fleet(count: u64) -> Vec<Endpoint> {
+fn endpoints(count: u64) -> Vec<Endpoint> {
     (1..=count).map(|id| member(id, 1.0)).collect()
 }
 
-/// Lets up to six seconds pass and gives the first final answer with its time.
+/// Lets up to six seconds pass and returns the first final answer with the time that it took.
 fn await_answer(world: &mut World) -> Option<(Micros, Action)> {
     let start = world.now;
     while world.now < start + 6 * SECOND {
@@ -24,11 +24,11 @@
 
 #[test]
 fn a_silent_worker_does_not_lose_the_job() {
-    let mut world = World::new(settings(), &fleet(2));
+    let mut world = World::new(settings(), &endpoints(2));
     let (job, actions) = world.job(2);
     assert!(sent(&actions).is_some());
-    let (after, answer) = await_answer(&mut world).expect("an answer before the client gives up");
-    assert_eq!(answer, Action::Fail { job }, "it may have run, so nothing is promised");
+    let (after, answer) = await_answer(&mut world).expect("no answer before the client's deadline");
+    assert_eq!(answer, Action::Fail { job }, "it may have run, so it fails");
     assert!(after <= 5 * SECOND && after > 4 * SECOND, "answered after {after} us");
 }
 
@@ -41,7 +41,7 @@
 
 #[test]
 fn nothing_is_sent_for_a_job_that_is_over() {
-    let mut world = World::new(settings(), &fleet(3));
+    let mut world = World::new(settings(), &endpoints(3));
     let (job, actions) = world.job(0);
     let worker = sent(&actions).unwrap();
     let left = world.handle(Event::ClientLeft(job));
@@ -52,13 +52,13 @@
 #[test]
 fn unsafe_work_is_resent_only_if_it_never_ran() {
     for outcome in [Outcome::Full, Outcome::Unreachable, Outcome::NotSent] {
-        let mut world = World::new(settings(), &fleet(3));
+        let mut world = World::new(settings(), &endpoints(3));
         let (job, actions) = world.job(2);
         let again = world.ended(job, 0, sent(&actions).unwrap(), outcome);
         assert!(sent(&again).is_some(), "{outcome:?} proves that it never ran");
     }
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled, Outcome::Unknown] {
-        let mut world = World::new(settings(), &fleet(3));
+        let mut world = World::new(settings(), &endpoints(3));
         let (job, actions) = world.job(2);
         let after = world.ended(job, 0, sent(&actions).unwrap(), outcome);
         assert_eq!(answer(&after), Some(Action::Fail { job }), "{outcome:?}: it may have run");
@@ -68,11 +68,11 @@
 
 #[test]
 fn keyed_work_stays_in_its_cell_and_window() {
-    let mut world = World::new(settings(), &fleet(8));
+    let mut world = World::new(settings(), &endpoints(8));
     let (job, actions) = world.job(1);
     let first = sent(&actions).unwrap();
-    let second = sent(&world.ended(job, 0, first, Outcome::Reset)).expect("resent within the window");
-    assert_eq!(first.0 % 2, second.0 % 2, "cells go by odd and even here");
+    let second = sent(&world.ended(job, 0, first, Outcome::Reset)).expect("not resent within the window");
+    assert_eq!(first.0 % 2, second.0 % 2, "cells are odd and even ids here");
     world.now += 2 * SECOND;
     let late = world.ended(job, 1, second, Outcome::Reset);
     assert_eq!(sent(&late), None, "the window is over");
@@ -85,13 +85,13 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_worker() {
-    let members = fleet(2);
+    let members = endpoints(2);
     let mut world = World::new(probing(), &members);
     let (_, actions) = world.job(0);
     let draining = asked(&actions).unwrap();
     let line = *members.iter().find(|m| m.id == draining).unwrap();
     world.handle(Event::Changes(&[Endpoint { status: EndpointStatus::Draining, ..line }]));
-    // Its answer to the probe comes after the news.
+    // The probe is answered after the endpoint was reported as draining.
     let after = world.probed(draining, 4.0);
     assert_ne!(sent(&after), Some(draining));
     assert!(asked(&after).is_some_and(|next| next != draining));
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_worker_absent_from_a_full_list_is_gone() {
-    let members = fleet(2);
+    let members = endpoints(2);
     let mut world = World::new(settings(), &members);
     world.handle(Event::List(&members[1..]));
     for _ in 0..4 {
@@ -109,18 +109,18 @@
     }
 }
 
-/// Twenty dispatchers, nine warm workers and one that has just started, jobs of 100 ms and four slots a worker, 300
-/// jobs a second: 83% of what nine warm workers can do. At each of `upgrades` every dispatcher is replaced: its new
-/// process recalls what the old one knows, and both get half of its jobs for a second. When the cold worker was sent
-/// its jobs.
+/// Simulates twenty dispatchers, nine warm workers and one that has just started, with jobs of 100 ms, four
+/// slots per worker and 300 jobs per second: 83% of what nine warm workers can do. At each of `upgrades`,
+/// every dispatcher is replaced: its new process restores the old one's learned state, and for one second
+/// each of the two gets half of its jobs. Returns the times at which the cold worker was sent jobs.
 fn sends_to_a_cold_worker(settings: &Settings, upgrades: &[Micros]) -> Vec<Micros> {
     let start = 100 * SECOND;
-    let mut members = fleet(9);
+    let mut members = endpoints(9);
     members.push(Endpoint { started_at: start, ..member(10, 1.0) });
     let world = |number| World::new(Settings { number, ..settings.clone() }, &members);
     let mut worlds: Vec<World> = (0..20).map(world).collect();
     let mut sends: Vec<Micros> = Vec::new();
-    let mut ending: Vec<(Micros, usize, JobId, EndpointId)> = Vec::new();
+    let mut running: Vec<(Micros, usize, JobId, EndpointId)> = Vec::new();
     for tick in 0..10_000u64 {
         let now = start + tick * MS;
         if upgrades.contains(&(tick * MS)) {
@@ -130,69 +130,76 @@
                 worlds.push(new);
             }
         }
-        let over: Vec<_> = ending.iter().copied().filter(|e| e.0 <= now).collect();
-        ending.retain(|e| e.0 > now);
-        for (_, at, job, worker) in over {
+        let ended: Vec<_> = running.iter().copied().filter(|e| e.0 <= now).collect();
+        running.retain(|e| e.0 > now);
+        for (_, at, job, worker) in ended {
             worlds[at].now = now;
             let mut actions = worlds[at].ended(job, 0, worker, Outcome::Served);
-            follow(&mut worlds[at], at, &mut actions, &mut sends, &mut ending);
+            apply_actions(&mut worlds[at], at, &mut actions, &mut sends, &mut running);
         }
         let last = worlds.len() - 20;
-        let both = upgrades.iter().any(|&u| (u..u + SECOND).contains(&(tick * MS)));
+        let overlap = upgrades.iter().any(|&u| (u..u + SECOND).contains(&(tick * MS)));
         for (at, world) in worlds.iter_mut().enumerate() {
             world.now = now;
             let mut actions = world.handle(Event::Wake);
-            let mine = at >= last || both && at + 20 >= last;
+            let mine = at >= last || overlap && at + 20 >= last;
             let turn = tick * 7 + at as u64 % 20 * 13;
-            let half = !both || (turn / 67).is_multiple_of(2) == (at >= last);
+            let half = !overlap || (turn / 67).is_multiple_of(2) == (at >= last);
             if mine && half && turn.is_multiple_of(67) {
                 actions.extend(world.job(0).1);
             }
-            follow(world, at, &mut actions, &mut sends, &mut ending);
+            apply_actions(world, at, &mut actions, &mut sends, &mut running);
         }
     }
     sends
 }
 
-/// Whether the rule holds: no second holds more than the multiple of what the worker can do by then.
-fn keeps_the_cold_rule(settings: &Settings, sends: &[Micros]) {
+/// Asserts that in no second the cold worker is sent more than the overload multiple of what it can do by
+/// then.
+fn assert_cold_worker_limit(settings: &Settings, sends: &[Micros]) {
     let (multiple, from, cold) =
         (settings.rules.overload_multiple, settings.rules.initial_capacity, settings.rules.warm_up as f64);
-    assert!(sends.len() > 20, "it is used: {} jobs", sends.len());
-    for (at, &first) in sends.iter().enumerate() {
-        let within = sends[at..].iter().take_while(|&&t| t < first + SECOND).count() as f64;
+    assert!(sends.len() > 20, "too few jobs sent to the cold worker: {}", sends.len());
+    for (index, &first) in sends.iter().enumerate() {
+        let within = sends[index..].iter().take_while(|&&t| t < first + SECOND).count() as f64;
         let warmth = from + (1.0 - from) * (first - 100 * SECOND) as f64 / cold;
         let limit = multiple * warmth * 40.0;
-        assert!(within <= limit + 2.0, "{within} jobs in a second against {limit}");
+        assert!(within <= limit + 2.0, "{within} jobs in a second exceed the limit of {limit}");
     }
 }
 
-/// What all together send to a worker that warms up stays under the multiple of what it can do.
+/// Guards against dispatchers that together send a worker in slow start more than the overload multiple of
+/// what it can do.
 #[test]
-fn a_cold_worker_is_not_pushed_over() {
+fn a_cold_worker_is_not_overloaded() {
     let settings = Settings { dispatchers: 20, ..probing() };
-    keeps_the_cold_rule(&settings, &sends_to_a_cold_worker(&settings, &[]));
+    assert_cold_worker_limit(&settings, &sends_to_a_cold_worker(&settings, &[]));
 }
 
-/// Two processes of one dispatcher at an upgrade stay within the rule together. A new one that is given a job more than
-/// the old one has left breaks it.
+/// The two processes of a dispatcher during an upgrade stay within the limit together. A new process that is
+/// given one job more than the old one has left breaks it.
 #[test]
-fn upgrades_of_all_dispatchers_do_not_push_a_cold_worker_over() {
+fn upgrades_of_all_dispatchers_do_not_overload_a_cold_worker() {
     let settings = Settings { dispatchers: 20, ..probing() };
     let alone = sends_to_a_cold_worker(&settings, &[]);
     let upgraded = sends_to_a_cold_worker(&settings, &[SECOND, 3 * SECOND]);
-    keeps_the_cold_rule(&settings, &upgraded);
-    let by = |sends: &[Micros]| sends.iter().filter(|&&t| t < 106 * SECOND).count();
-    assert!(by(&upgraded) <= by(&alone) * 12 / 10, "{} jobs against {}", by(&upgraded), by(&alone));
+    assert_cold_worker_limit(&settings, &upgraded);
+    let early = |sends: &[Micros]| sends.iter().filter(|&&t| t < 106 * SECOND).count();
+    assert!(
+        early(&upgraded) <= early(&alone) * 12 / 10,
+        "{} jobs against {}",
+        early(&upgraded),
+        early(&alone)
+    );
 }
 
-/// Answers probes with two free slots and lets jobs end after 100 ms.
-fn follow(
+/// Applies the actions of a dispatcher: answers probes with four free slots and lets jobs end after 100 ms.
+fn apply_actions(
     world: &mut World,
     at: usize,
     actions: &mut Vec<Action>,
     sends: &mut Vec<Micros>,
-    ending: &mut Vec<(Micros, usize, JobId, EndpointId)>,
+    running: &mut Vec<(Micros, usize, JobId, EndpointId)>,
 ) {
     while let Some(action) = actions.pop() {
         match action {
@@ -201,33 +208,33 @@
                 if worker == EndpointId(10) {
                     sends.push(world.now);
                 }
-                ending.push((world.now + 100 * MS, at, job, worker));
+                running.push((world.now + 100 * MS, at, job, worker));
             }
             _ => {}
         }
     }
 }
 
-/// A connection or a worker may fall silent, or a queue be longer than its report said.
+/// A connection or a worker may stop responding, or a queue may be longer than its report said.
 #[test]
-fn a_safe_job_that_does_not_start_by_its_aim_goes_on_and_others_stay() {
-    for (class, starts, goes_on) in [(0, false, true), (0, true, false), (2, false, false)] {
-        let mut world = World::new(Settings { reports_start: true, ..settings() }, &fleet(3));
+fn only_an_unstarted_idempotent_job_is_resent_after_its_objective() {
+    for (class, starts, is_resent) in [(0, false, true), (0, true, false), (2, false, false)] {
+        let mut world = World::new(Settings { reports_start: true, ..settings() }, &endpoints(3));
         let (job, actions) = world.job(class);
         let first = sent(&actions).unwrap();
         if starts {
             world.handle(Event::Started { job, attempt: 0 });
         }
         let actions = world.wait(250 * MS);
-        assert_eq!(actions.contains(&Action::Cancel { job, attempt: 0 }), goes_on, "{actions:?}");
-        assert_eq!(sent(&actions).is_some_and(|next| next != first), goes_on, "{actions:?}");
+        assert_eq!(actions.contains(&Action::Cancel { job, attempt: 0 }), is_resent, "{actions:?}");
+        assert_eq!(sent(&actions).is_some_and(|next| next != first), is_resent, "{actions:?}");
     }
 }
 
-/// A watch can fall silent; that a worker fails may be all that shows it.
+/// A watch can stop reporting without an error; a failing worker may then be the only sign of it.
 #[test]
-fn a_worker_that_fails_has_the_list_asked_for_again_but_not_all_the_time() {
-    let mut world = World::new(Settings { must_subscribe: true, ..settings() }, &fleet(4));
+fn a_failing_worker_causes_rate_limited_list_subscriptions() {
+    let mut world = World::new(Settings { must_subscribe: true, ..settings() }, &endpoints(4));
     let mut asked = Vec::new();
     for _ in 0..120 {
         let mut actions = world.wait(50 * MS);
@@ -240,32 +247,32 @@
             asked.push(world.now - 100 * SECOND);
         }
     }
-    // Twelve seconds in which all fail, of a time of ten within which it must be asked.
+    // Twelve seconds of constant failures, with a subscription required within every ten.
     assert!((2..=3).contains(&asked.len()) && asked[0] < SECOND, "{asked:?}");
 }
 
 #[test]
-fn a_worker_that_errors_at_once_loses_its_turns() {
-    let mut world = World::new(settings(), &fleet(4));
-    let mut met = 0;
+fn a_worker_that_fails_fast_gets_few_jobs() {
+    let mut world = World::new(settings(), &endpoints(4));
+    let mut received = 0;
     for _ in 0..80 {
         world.now += 10 * MS;
         let (job, actions) = world.job(2);
         let worker = sent(&actions).unwrap();
-        met += usize::from(worker == EndpointId(3));
+        received += usize::from(worker == EndpointId(3));
         let outcome = if worker == EndpointId(3) { Outcome::Error } else { Outcome::Served };
         world.ended(job, 0, worker, outcome);
     }
-    assert!((1..=6).contains(&met), "the failing worker had {met} of 80 jobs");
+    assert!((1..=6).contains(&received), "the failing worker had {received} of 80 jobs");
 }
 
 #[test]
-fn a_worker_that_turned_a_job_away_is_not_asked_again_on_its_old_report() {
-    let mut world = World::new(probing(), &fleet(2));
+fn a_worker_that_was_full_is_not_chosen_by_its_old_report() {
+    let mut world = World::new(probing(), &endpoints(2));
     let (job, actions) = world.job(2);
     let first = asked(&actions).unwrap();
     assert_eq!(sent(&world.probed(first, 3.0)), Some(first));
-    let other = asked(&world.ended(job, 0, first, Outcome::Full)).expect("the other is asked");
+    let other = asked(&world.ended(job, 0, first, Outcome::Full)).expect("the other worker is not probed");
     assert_ne!(other, first);
     world.now += 10 * MS;
     let back = world.probed(other, 0.0);
@@ -274,25 +281,25 @@
 }
 
 #[test]
-fn a_job_held_takes_the_place_of_an_attempt_that_ends() {
-    let mut world = World::new(probing(), &fleet(1));
+fn a_held_job_is_sent_when_an_attempt_ends() {
+    let mut world = World::new(probing(), &endpoints(1));
     let (running, _) = world.job(2);
     assert_eq!(sent(&world.probed(EndpointId(1), 1.0)), Some(EndpointId(1)));
     world.now += 10 * MS;
     let (held, _) = world.job(2);
     let report = LoadReport { free_slots: Some(0.0), queue: Some(50.0), ..LoadReport::default() };
     let full = Event::Probed { endpoint: EndpointId(1), answered: true, latency: MS, report };
-    assert_eq!(sent(&world.handle(full)), None, "it would wait there past its aim");
+    assert_eq!(sent(&world.handle(full)), None, "it would wait there beyond its latency objective");
     let actions = world.ended(running, 0, EndpointId(1), Outcome::Served);
     assert!(actions.contains(&Action::Send { job: held, endpoint: EndpointId(1) }), "{actions:?}");
 }
 
 #[test]
-fn a_job_too_late_to_be_worth_much_is_refused_at_once_with_when_to_come_back() {
+fn a_job_of_little_late_value_is_rejected_early_with_a_retry_delay() {
     for (late_worth, expected) in [(0.0, 250), (0.4, 250), (0.5, 4999)] {
         let mut settings = probing();
         settings.classes[2].late_value = late_worth;
-        let mut world = World::new(settings, &fleet(1));
+        let mut world = World::new(settings, &endpoints(1));
         let (job, actions) = world.job(2);
         assert_eq!(asked(&actions), Some(EndpointId(1)));
         let report = LoadReport { free_slots: Some(0.0), queue: Some(50.0), ..LoadReport::default() };
@@ -311,19 +318,19 @@
 }
 
 #[test]
-fn a_list_that_must_be_subscribed_to_is_asked_for_and_again_after_a_failure() {
+fn a_required_list_subscription_is_repeated_after_a_failure() {
     let mut settings = settings();
     settings.must_subscribe = true;
     let within = settings.rules.poll_within;
     let mut world = World::new(settings, &[]);
-    let members = fleet(2);
+    let members = endpoints(2);
     let asks = |actions: Vec<Action>| actions.contains(&Action::Subscribe);
     let mut asked = asks(world.handle(Event::Cached(&members)));
-    assert!(asked, "one dispatcher alone asks at once");
+    assert!(asked, "a single dispatcher subscribes at once");
     for failures in 0..5 {
         let start = world.now;
         while !asked {
-            assert!(world.now < start + within, "asked within the time, {failures} failures before");
+            assert!(world.now < start + within, "no subscription in time after {failures} failures");
             asked = asks(world.wait(50 * MS));
         }
         asked = asks(world.handle(Event::ListFailed { is_cheap: failures % 2 == 0 }));
@@ -331,15 +338,15 @@
 }
 
 #[test]
-fn odd_calls_are_passed_over() {
-    let mut world = World::new(settings(), &fleet(2));
+fn events_for_unknown_jobs_and_endpoints_are_ignored() {
+    let mut world = World::new(settings(), &endpoints(2));
     let worker = EndpointId(1);
     assert!(world.ended(JobId(99), 5, EndpointId(77), Outcome::Served).is_empty());
     assert!(world.handle(Event::ClientLeft(JobId(99))).is_empty());
     assert!(world.handle(Event::Started { job: JobId(99), attempt: 3 }).is_empty());
     assert!(world.probed(EndpointId(77), 1.0).is_empty());
     let (job, actions) = world.job(57);
-    assert!(sent(&actions).is_some(), "a class past the last is taken for the last");
+    assert!(sent(&actions).is_some(), "a class index out of range counts as the last class");
     world.ended(job, 9, worker, Outcome::Served);
     world.handle(Event::Changes(&[member(5, f64::NAN), member(6, -1.0), member(7, f64::INFINITY)]));
     for _ in 0..20 {
@@ -348,16 +355,16 @@
     }
 }
 
-/// What the checker knows of a job.
-struct Watched {
+/// What the checker records of a job.
+struct JobRecord {
     class: usize,
-    due: Micros,
+    expires_at: Micros,
     attempts: Vec<(EndpointId, Micros, Option<Outcome>)>,
-    over: bool,
+    finished: bool,
 }
 
-/// Plays a random script of jobs, outcomes, list changes and time against one dispatcher and checks every action
-/// against the rules. Returns the actions, so that two runs can be compared.
+/// Runs a random script of jobs, outcomes, list changes and time against one dispatcher and checks every
+/// action against the rules. Returns the actions, so that two runs can be compared.
 #[expect(
     clippy::too_many_lines,
     reason = "one loop over the steps of a random script, with the checks of each"
@@ -366,11 +373,11 @@
     let mut rng = fastrand::Rng::with_seed(u64::from(number) + 17);
     let mut settings = Settings { number, dispatchers: 4, ..settings() };
     settings.capabilities.may_probe = probe;
-    let (classes, cap) = (settings.classes.clone(), settings.capabilities.max_attempts);
+    let (classes, max_attempts) = (settings.classes.clone(), settings.capabilities.max_attempts);
     let mut dispatcher = Router::new(settings, 5);
-    let mut members = fleet(6);
-    let mut told_ready: BTreeMap<EndpointId, bool> = members.iter().map(|m| (m.id, true)).collect();
-    let mut jobs: BTreeMap<JobId, Watched> = BTreeMap::new();
+    let mut members = endpoints(6);
+    let mut listed_ready: BTreeMap<EndpointId, bool> = members.iter().map(|m| (m.id, true)).collect();
+    let mut jobs: BTreeMap<JobId, JobRecord> = BTreeMap::new();
     let mut probes: Vec<EndpointId> = Vec::new();
     let (mut now, mut next, mut all) = (50 * SECOND, 1, Vec::new());
     let mut actions = Vec::new();
@@ -378,25 +385,25 @@
     for _ in 0..steps {
         now += rng.u64(1..20) * MS;
         let report = LoadReport { free_slots: Some(f64::from(rng.u32(0..4))), ..LoadReport::default() };
-        let out: Vec<(JobId, usize)> = jobs
+        let open_attempts: Vec<(JobId, usize)> = jobs
             .iter()
             .flat_map(|(id, w)| w.attempts.iter().enumerate().map(move |(n, a)| (*id, n, a.2.is_none())))
-            .filter_map(|(id, n, out)| out.then_some((id, n)))
+            .filter_map(|(id, n, is_open)| is_open.then_some((id, n)))
             .collect();
         match rng.u32(0..10) {
             0..3 => {
                 let (id, class) = (JobId(next), rng.usize(0..3));
                 next += 1;
-                let due = now + rng.u64(200..4000) * MS;
-                jobs.insert(id, Watched { class, due, attempts: Vec::new(), over: false });
+                let expires_at = now + rng.u64(200..4000) * MS;
+                jobs.insert(id, JobRecord { class, expires_at, attempts: Vec::new(), finished: false });
                 dispatcher.handle(
                     now,
-                    Event::Job(Job { id, class, deadline: due, slots: 1.0, work: None }),
+                    Event::Job(Job { id, class, deadline: expires_at, slots: 1.0, work: None }),
                     &mut actions,
                 );
             }
-            3..7 if !out.is_empty() => {
-                let (job, attempt) = out[rng.usize(0..out.len())];
+            3..7 if !open_attempts.is_empty() => {
+                let (job, attempt) = open_attempts[rng.usize(0..open_attempts.len())];
                 let outcomes = [
                     Outcome::Served,
                     Outcome::Served,
@@ -410,8 +417,8 @@
                 let outcome = outcomes[rng.usize(0..outcomes.len())];
                 let w = jobs.get_mut(&job).unwrap();
                 w.attempts[attempt].2 = Some(outcome);
-                w.over |= outcome == Outcome::Served;
-                let (worker, latency, finished) = (w.attempts[attempt].0, 50 * MS, w.over);
+                w.finished |= outcome == Outcome::Served;
+                let (worker, latency, finished) = (w.attempts[attempt].0, 50 * MS, w.finished);
                 let ended = AttemptEnd { job, attempt, endpoint: worker, outcome, latency, finished, report };
                 dispatcher.handle(now, Event::Ended(ended), &mut actions);
             }
@@ -424,13 +431,13 @@
                     EndpointStatus::Gone,
                 ];
                 members[at].status = states[rng.usize(0..4)];
-                told_ready.insert(members[at].id, members[at].status == EndpointStatus::Ready);
+                listed_ready.insert(members[at].id, members[at].status == EndpointStatus::Ready);
                 dispatcher.handle(now, Event::Changes(&members[at..=at]), &mut actions);
             }
             8 if rng.u32(0..4) == 0 => {
-                let open = jobs.iter_mut().find(|(_, w)| !w.over);
+                let open = jobs.iter_mut().find(|(_, w)| !w.finished);
                 if let Some((&id, w)) = open {
-                    w.over = true;
+                    w.finished = true;
                     dispatcher.handle(now, Event::ClientLeft(id), &mut actions);
                 }
             }
@@ -445,18 +452,18 @@
         for action in actions.drain(..) {
             match &action {
                 Action::Send { job, endpoint: worker } => {
-                    let w = jobs.get_mut(job).expect("a job that was given");
-                    assert!(!w.over, "sent for {job:?}, which is over");
-                    assert!(told_ready[worker], "sent to {worker:?}, which drains or is gone");
-                    assert!(w.attempts.len() < cap, "more attempts than allowed");
-                    assert!(w.attempts.iter().all(|a| a.2.is_some()), "two attempts out together");
+                    let w = jobs.get_mut(job).expect("an unknown job");
+                    assert!(!w.finished, "sent for {job:?}, which is finished");
+                    assert!(listed_ready[worker], "sent to {worker:?}, which is draining or gone");
+                    assert!(w.attempts.len() < max_attempts, "more attempts than allowed");
+                    assert!(w.attempts.iter().all(|a| a.2.is_some()), "two open attempts at the same time");
                     if let Some((first, sent, _)) =
                         w.attempts.iter().find(|a| !a.2.is_some_and(Outcome::never_ran))
                     {
                         match classes[w.class].idempotency {
                             Idempotency::Idempotent => {}
                             Idempotency::NotIdempotent => {
-                                panic!("unsafe work that may have run is sent again")
+                                panic!("a non-idempotent job that may have run is sent again")
                             }
                             Idempotency::Keyed { window, .. } => {
                                 assert!(first.0 % 2 == worker.0 % 2 && now < sent + window);
@@ -466,16 +473,16 @@
                     w.attempts.push((*worker, now, None));
                 }
                 Action::Reject { job, .. } | Action::Fail { job } => {
-                    let w = jobs.get_mut(job).expect("a job that was given");
-                    assert!(!w.over, "{job:?} is answered twice");
+                    let w = jobs.get_mut(job).expect("an unknown job");
+                    assert!(!w.finished, "{job:?} is answered twice");
                     let ran = w.attempts.iter().any(|a| !a.2.is_some_and(Outcome::never_ran));
                     if matches!(action, Action::Reject { .. }) && ran {
                         assert!(
                             classes[w.class].idempotency == Idempotency::Idempotent,
-                            "a refusal of what may have run"
+                            "a job that may have run is rejected"
                         );
                     }
-                    w.over = true;
+                    w.finished = true;
                 }
                 Action::Cancel { job, attempt } => assert!(*attempt < jobs[job].attempts.len()),
                 Action::Probe { endpoint: worker } => probes.push(*worker),
@@ -484,7 +491,7 @@
             all.push(action);
         }
         for (id, w) in &jobs {
-            assert!(w.over || now <= w.due + 20 * MS, "{id:?} has no answer in time");
+            assert!(w.finished || now <= w.expires_at + 20 * MS, "{id:?} was not answered in time");
         }
     }
     assert!(
@@ -502,7 +509,7 @@
 }
 
 #[test]
-fn dispatchers_act_alike_together_and_apart() {
+fn dispatchers_act_alike_in_parallel_and_alone() {
     let apart: Vec<_> = (0..4).map(|number| script(number, 500, true)).collect();
     let together: Vec<_> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..4).map(|number| scope.spawn(move || script(number, 500, true))).collect();
@@ -512,14 +519,14 @@
 }
 
 #[test]
-fn a_worker_that_comes_takes_a_job_that_waits() {
+fn a_new_worker_gets_a_held_job() {
     let mut world = World::new(settings(), &[]);
     let (_, actions) = world.job(2);
     assert_eq!(sent(&actions), None);
     assert_eq!(sent(&world.handle(Event::Changes(&[member(1, 1.0)]))), Some(EndpointId(1)));
 }
 
-/// Sends to a worker that warms up, of sixty jobs, where it starts them at once or never.
+/// Returns how many of sixty jobs are sent to a worker in slow start, which starts them at once or never.
 fn sends_to_a_warming_worker(starts: bool) -> usize {
     let settings = Settings { reports_start: true, ..settings() };
     let cold = Endpoint { started_at: 100 * SECOND, ..member(3, 1.0) };
@@ -536,7 +543,7 @@
                 actions.extend(world.ended(job, attempt, worker, Outcome::Served));
                 break;
             }
-            // Past its aim it is called off, and the job goes elsewhere.
+            // After its latency objective the attempt is cancelled, and the job goes to another worker.
             actions = world.wait(260 * MS);
             attempt += 1;
         }
@@ -544,11 +551,12 @@
     sends
 }
 
-/// Guards against a cold worker that goes on getting its part though it does not start what it has: found on days on which
-/// workers vanished under load, and a cold one fell under what came to it instead.
+/// Guards against a cold worker that keeps getting its share although it does not start its jobs. Found in
+/// simulated days on which workers vanished under load and a cold one was overloaded by the jobs that went to
+/// it instead.
 #[test]
 fn a_warming_worker_that_does_not_start_its_jobs_gets_fewer() {
     let (slow, quick) = (sends_to_a_warming_worker(false), sends_to_a_warming_worker(true));
-    assert!(quick >= 6, "it is used: {quick}");
+    assert!(quick >= 6, "too few jobs sent: {quick}");
     assert!(slow * 10 <= quick * 7, "{slow} jobs where it starts none, {quick} where it starts all");
 }
