--- a/src/telemetry/tests.rs
+++ b/src/telemetry/tests.rs
@@ -2,18 +2,19 @@
 
 use super::*;
 
-/// Guards the names and the form that scrapers read, and that lanes of two cores with one name are one.
+/// Checks the metric names and the format that scrapers read, and that classes of the same name in two cores
+/// are summed.
 #[test]
-fn figures_are_rendered_once_per_lane_and_result() {
+fn metrics_are_rendered_once_per_class_and_result() {
     let mut one = Telemetry::new(vec!["search".into(), "hold".into()]);
     let mut two = Telemetry::new(vec!["search".into()]);
-    one.answered(0, Disposition::Completed);
-    one.answered(0, Disposition::Completed);
-    one.answered(1, Disposition::Rejected);
-    two.answered(0, Disposition::Failed);
-    one.answered(7, Disposition::Failed);
-    one.written();
-    two.written();
+    one.record_answer(0, Disposition::Completed);
+    one.record_answer(0, Disposition::Completed);
+    one.record_answer(1, Disposition::Rejected);
+    two.record_answer(0, Disposition::Failed);
+    one.record_answer(7, Disposition::Failed);
+    one.record_request_sent();
+    two.record_request_sent();
     let gauges = Gauges { pending: 4, members: 3, members_unavailable: 1 };
     let text = render(&[&one, &two], gauges);
     let lines: Vec<&str> = text.lines().filter(|l| !l.starts_with('#')).collect();
