--- a/src/frontend/console/tests.rs
+++ b/src/frontend/console/tests.rs
@@ -4,7 +4,7 @@
 
 /// Guards the calls' words and that what is not a call is named as such, never taken for one.
 #[test]
-fn lines_read_as_calls() {
+fn console_lines_parse_as_calls() {
     assert_eq!(ParsedCall::read(b"readyz"), ParsedCall::Call(Call::Readyz));
     assert_eq!(ParsedCall::read(b"telemetry\r"), ParsedCall::Call(Call::Telemetry));
     assert_eq!(ParsedCall::read(b" evacuate "), ParsedCall::Call(Call::Evacuate));
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -70,7 +70,7 @@
     watch: Watch,
     /// The next call is to be answered at once, whether or not there is news: nothing was answered since the start, or since
     /// the watch fell silent.
-    asks_at_once: bool,
+    wants_immediate_answer: bool,
     /// How long the call may wait that was begun last, in milliseconds, until it is asked for.
     started_wait_ms: Option<f64>,
     rng: fastrand::Rng,
@@ -87,7 +87,7 @@
             version: Some(version),
             stale_answers: 0,
             watch: Watch::Off,
-            asks_at_once: true,
+            wants_immediate_answer: true,
             started_wait_ms: None,
             rng,
         }
@@ -95,7 +95,7 @@
 
     /// Begins the watch where lists are pushed: no call of the router does, since calls to an agent cost nothing and
     /// what it has counts as told whether or not a watch is open.
-    pub fn begin(&mut self, now_ms: f64, settings: &Settings) {
+    pub fn start(&mut self, now_ms: f64, settings: &Settings) {
         if !settings.must_subscribe {
             self.watch = Watch::Pausing { deadline_ms: now_ms };
         }
@@ -140,9 +140,8 @@
             }
             self.close(net);
         }
-        let is_answered_at_once = self.asks_at_once || self.version.is_none();
-        let wait_ms =
-            if is_answered_at_once { 0.0 } else { call_timing::watch_wait_ms(settings, &mut self.rng) };
+        let is_immediate = self.wants_immediate_answer || self.version.is_none();
+        let wait_ms = if is_immediate { 0.0 } else { call_timing::watch_wait_ms(settings, &mut self.rng) };
         self.start_call(net, now_ms, wait_ms, settings)
     }
 
@@ -196,7 +195,7 @@
         conn.pump();
         let ended = conn.eof || conn.broken;
         let (is_connecting, is_refused) = (conn.connecting, conn.refused);
-        let has_begun_answer = !conn.rx.is_empty();
+        let has_partial_answer = !conn.rx.is_empty();
         // Guards against half an answer that is taken for a whole one: what a reset cuts off has not ended.
         let message = http::read_response(&mut conn.rx, conn.eof && !conn.broken);
         if let Watch::Calling { is_connecting: was_connecting, .. } = &mut self.watch {
@@ -229,7 +228,7 @@
             }
             Ok(Some(_)) => self.on_failed(net, now_ms, &site.settings, CallFailure::Broken),
             // What has been written counts as told, whether or not all of it came.
-            Ok(None) if has_begun_answer => {
+            Ok(None) if has_partial_answer => {
                 self.on_failed(net, now_ms, &site.settings, CallFailure::Incomplete)
             }
             Err(_) => self.on_failed(net, now_ms, &site.settings, CallFailure::Incomplete),
@@ -259,7 +258,7 @@
             return self.on_failed(net, now_ms, &site.settings, CallFailure::Stale);
         }
         self.version = Some(list.version);
-        self.asks_at_once = false;
+        self.wants_immediate_answer = false;
         self.watch = Watch::Pausing { deadline_ms: now_ms + WATCH_INTERVAL_MS };
         Some(DiscoveryUpdate::List { lines: list.lines, scope: list.scope })
     }
@@ -277,21 +276,21 @@
     }
 
     /// Whether a configuration names another discovery service than before.
-    pub fn is_other_service(&self, configured: Option<SocketAddr>) -> bool {
+    pub fn names_other_service(&self, configured: Option<SocketAddr>) -> bool {
         configured.is_some() && configured != self.configured
     }
 
     /// Goes over to the discovery service that the configuration names, if it names another one than before.
     /// Its versions need not go on from those of the old one, which soon ends all watches: the whole list is
     /// asked for first.
-    pub fn follow(
+    pub fn switch_service(
         &mut self,
         net: &mut Sockets,
         now_ms: f64,
         configured: Option<SocketAddr>,
         settings: &Settings,
     ) -> Option<DiscoveryUpdate> {
-        let address = configured.filter(|_| self.is_other_service(configured))?;
+        let address = configured.filter(|_| self.names_other_service(configured))?;
         self.close(net);
         let watch = Watch::Pausing { deadline_ms: now_ms };
         (self.address, self.configured, self.version, self.watch) = (address, configured, None, watch);
@@ -327,7 +326,7 @@
         self.close(net);
         if !settings.must_subscribe {
             self.watch = Watch::Pausing { deadline_ms: now_ms + AGENT_RETRY_INTERVAL_MS };
-            return Some(DiscoveryUpdate::Repeated(failure));
+            return Some(DiscoveryUpdate::Retrying(failure));
         }
         self.watch = Watch::Off;
         Some(DiscoveryUpdate::Failed(failure))
@@ -346,9 +345,9 @@
             // The next call is a step of its own, as it may fail in another way.
             Watch::Calling { deadline_ms, is_long_poll: true, .. } if deadline_ms <= now_ms => {
                 self.close(net);
-                self.asks_at_once = true;
+                self.wants_immediate_answer = true;
                 self.watch = Watch::Pausing { deadline_ms: now_ms };
-                Some(DiscoveryUpdate::Repeated(CallFailure::Silent))
+                Some(DiscoveryUpdate::Retrying(CallFailure::Silent))
             }
             Watch::Calling { deadline_ms, .. } if deadline_ms <= now_ms => {
                 self.on_failed(net, now_ms, settings, CallFailure::Silent)
--- a/src/frontend/discovery/tests.rs
+++ b/src/frontend/discovery/tests.rs
@@ -27,9 +27,9 @@
 /// logged: `call not made call_ms=0`, then `attempts by the list allowed=true` 2.5 s later with no call in between, and `call not
 /// made call_ms=5999` at the next.
 #[test]
-fn a_call_that_could_not_be_made_is_not_out() {
+fn a_call_that_cannot_be_sent_does_not_count_as_in_flight() {
     let (mut net, mut discovery, _events) = discovery();
-    discovery.asks_at_once = false;
+    discovery.wants_immediate_answer = false;
     let update = discovery.call(&mut net, 1_000.0, &settings());
     assert!(matches!(update, Some(DiscoveryUpdate::Failed(CallFailure::Local))));
     assert_eq!(discovery.take_started_call(), None);
@@ -38,7 +38,7 @@
 /// A watch falls silent, and the call that is to follow it cannot be made. Guards against a silence that is reported as another
 /// failure: the list would count as watched until then.
 #[test]
-fn a_watch_that_falls_silent_is_reported_so_though_the_next_call_cannot_be_made() {
+fn a_silent_watch_is_reported_before_the_next_call_fails_locally() {
     let (mut net, mut discovery, _events) = discovery();
     discovery.watch = Watch::Calling {
         started_at_ms: 0.0,
@@ -48,7 +48,7 @@
         is_reused: false,
     };
     let first = discovery.tick(&mut net, 6_000.0, &settings());
-    assert!(matches!(first, Some(DiscoveryUpdate::Repeated(CallFailure::Silent))));
+    assert!(matches!(first, Some(DiscoveryUpdate::Retrying(CallFailure::Silent))));
     assert!(discovery.next_deadline() <= 6_000.0, "the next call is due at once");
     let second = discovery.tick(&mut net, 6_000.0, &settings());
     assert!(matches!(second, Some(DiscoveryUpdate::Failed(CallFailure::Local))));
--- a/src/frontend/discovery/update.rs
+++ b/src/frontend/discovery/update.rs
@@ -15,7 +15,7 @@
     /// It failed. The router says when to call again.
     Failed(CallFailure),
     /// It failed, and is made again without being asked for.
-    Repeated(CallFailure),
+    Retrying(CallFailure),
 }
 
 impl DiscoveryUpdate {
@@ -27,7 +27,7 @@
                 core.on_list_failed(failure);
                 return Vec::new();
             }
-            DiscoveryUpdate::Repeated(failure) => {
+            DiscoveryUpdate::Retrying(failure) => {
                 core.on_list_call_repeated(failure);
                 return Vec::new();
             }
--- a/src/frontend/files.rs
+++ b/src/frontend/files.rs
@@ -99,9 +99,10 @@
         let gearman = self.read_gearman(gearman_table, config.as_ref())?;
         let gearman_descriptors = gearman.as_ref().map_or(0, |config| config.peers);
         let streaming_descriptors = streaming.as_ref().map_or(0, streaming::StreamingFrontend::descriptors);
-        let taken = gearman_descriptors + streaming_descriptors;
+        let reserved = gearman_descriptors + streaming_descriptors;
         let http = config.zip(self.config.as_ref()).map(|(config, path)| {
-            http::Config::read(&config, taken).map_err(|cause| FilesError::Http { path: path.clone(), cause })
+            http::Config::read(&config, reserved)
+                .map_err(|cause| FilesError::Http { path: path.clone(), cause })
         });
         Ok(Configs { http: http.transpose()?, gearman, streaming, fleet, console })
     }
--- a/src/frontend/gateway.rs
+++ b/src/frontend/gateway.rs
@@ -95,7 +95,7 @@
         if let Some(http) = &mut self.http {
             http.tick(&mut self.net);
             if let Some(fleet) =
-                self.fleet.as_mut().filter(|fleet| http.is_past_last_call() && !fleet.is_stopped())
+                self.fleet.as_mut().filter(|fleet| http.has_stopped_accepting() && !fleet.is_stopped())
             {
                 http.close_gate();
                 fleet.stop(Departure::Stopped);
@@ -150,7 +150,7 @@
 
     /// Whether the process is ready to serve. Once it says so, the process that it replaces may stop listening.
     fn readiness(&self) -> String {
-        if self.http.as_ref().is_some_and(|http| !http.has_joined() || !http.has_usable_list()) {
+        if self.http.as_ref().is_some_and(|http| !http.has_reached_predecessor() || !http.has_usable_list()) {
             "NAK joining\n".into()
         } else if self.lifecycle.is_serving() {
             "ACK ready\n".into()
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -252,7 +252,7 @@
         }
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let peers = self.peers.values().flat_map(|p| [p.close_deadline, p.read_deadline]).flatten();
-        let stop = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.last_call_ms.max(now + 20.0));
+        let stop = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.accepts_until_ms.max(now + 20.0));
         let workers = self.peers.values().filter_map(|p| p.worker.as_ref()).map(Worker::next_deadline);
         peers.chain(workers).fold(wake.min(stop), f64::min)
     }
@@ -264,7 +264,7 @@
 
     /// Whether it is past its last call.
     fn is_past_last_call(&self) -> bool {
-        self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.last_call_ms)
+        self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.accepts_until_ms)
     }
 
     /// Whether all jobs are answered, and the answers are written as far as the peers read.
--- a/src/frontend/handover.rs
+++ b/src/frontend/handover.rs
@@ -129,7 +129,7 @@
 }
 
 /// The live process beside this one that the note names, if there is one. What does not read names none.
-pub fn process_beside(path: &Path, own_pid: u32) -> Option<u32> {
+pub fn live_peer(path: &Path, own_pid: u32) -> Option<u32> {
     let note = HandoverNote::parse(&read(path).ok()??)?;
     (note.pid != own_pid && is_alive(note.pid)).then_some(note.pid)
 }
--- a/src/frontend/handover/tests.rs
+++ b/src/frontend/handover/tests.rs
@@ -4,7 +4,7 @@
 
 /// Guards against a torn, stale or foreign note being taken for a successor.
 #[test]
-fn only_a_whole_note_of_another_live_process_is_a_successor() {
+fn only_a_complete_note_of_another_live_process_names_a_successor() {
     let note = HandoverNote { pid: 42, listening_since_ms: 1000 };
     assert_eq!(HandoverNote::parse(&note.text()), Some(note));
     for torn in [
--- a/src/frontend/http/attempts.rs
+++ b/src/frontend/http/attempts.rs
@@ -4,7 +4,7 @@
 
 use super::HttpFrontend;
 use super::upstream::{
-    AttemptId, AttemptState, Clearance, ConnectionUse, MAX_CANCEL_TRIES, RESPONSE_TIMEOUT_MS, declines,
+    AttemptId, AttemptState, ConnectionUse, MAX_CANCEL_TRIES, RESPONSE_TIMEOUT_MS, WritePermission, declines,
 };
 use crate::frontend::Sockets;
 use crate::net::ConnId;
@@ -36,28 +36,28 @@
         let Some(AttemptState { endpoint, address, .. }) = self.upstreams.attempts.get(&id) else { return };
         let host = self.address(*endpoint);
         let is_valid = host == *address && self.core.attempt_is_valid(id.job, id.number);
-        let clearance = match self.core.site().allows_copies {
-            true => Clearance::Cleared,
-            false => self.upstreams.clearance(id.job),
+        let permission = match self.core.site().allows_copies {
+            true => WritePermission::Granted,
+            false => self.upstreams.write_permission(id.job),
         };
         let is_intact = net.conn(conn).is_some_and(|conn| conn.is_fresh());
-        if is_valid && is_intact && self.upstreams.is_resting(conn) {
+        if is_valid && is_intact && self.upstreams.is_write_delayed(conn) {
             // Guards against a request that crosses the end of a connection that was used just before: it may have run,
             // and is answered as failed.
             return;
         }
-        let outcome = match (is_valid && clearance != Clearance::Refused, is_intact) {
-            (true, true) if clearance == Clearance::Waiting => {
+        let outcome = match (is_valid && permission != WritePermission::Denied, is_intact) {
+            (true, true) if permission == WritePermission::Pending => {
                 // A second copy must not be open beside the first: it waits until that is cancelled.
                 return self.upstreams.set_deadline(conn, f64::INFINITY);
             }
             (true, true) => None,
             // Guards against a job that is decided anew, and held, as an idle connection has ended: nothing was sent.
             (true, false) if self.upstreams.was_pooled(conn) => {
-                return self.move_to_new_connection(net, conn, id);
+                return self.retry_on_new_connection(net, conn, id);
             }
             // A connection that has ended says of an endpoint that took it just now that it fails.
-            (true, false) if !self.upstreams.was_up_before(conn) => Some(Outcome::Unreachable),
+            (true, false) if !self.upstreams.was_connected_before(conn) => Some(Outcome::Unreachable),
             _ => Some(Outcome::NotSent),
         };
         if let Some(outcome) = outcome {
@@ -71,7 +71,7 @@
     }
 
     /// Goes on with an attempt on a new connection, as the idle one that it was to be written on has ended.
-    fn move_to_new_connection(&mut self, net: &mut Sockets, ended: ConnId, id: AttemptId) {
+    fn retry_on_new_connection(&mut self, net: &mut Sockets, ended: ConnId, id: AttemptId) {
         self.close_upstream(net, ended);
         let Some(attempt) = self.upstreams.attempts.get(&id) else { return };
         let opened = self.open_upstream(net, attempt.endpoint, ConnectionUse::Assigned(id));
@@ -141,7 +141,7 @@
         if tries < MAX_CANCEL_TRIES {
             self.send_cancel(net, id, endpoint, &request_id);
         } else {
-            self.resume_waiting(net, id.job);
+            self.resume_next_attempt(net, id.job);
         }
     }
 
@@ -149,12 +149,12 @@
     pub(super) fn on_cancelled(&mut self, net: &mut Sockets, id: AttemptId) {
         if self.upstreams.attempts.get(&id).is_some_and(|attempt| attempt.cancel_tries.is_some()) {
             self.upstreams.attempts.remove(&id);
-            self.resume_waiting(net, id.job);
+            self.resume_next_attempt(net, id.job);
         }
     }
 
     /// Lets a job's next attempt go on that waited for an older one to be cancelled.
-    fn resume_waiting(&mut self, net: &mut Sockets, job: JobId) {
+    fn resume_next_attempt(&mut self, net: &mut Sockets, job: JobId) {
         let of_job = self.upstreams.attempts.iter().filter(|(id, _)| id.job == job);
         for conn in of_job.filter_map(|(_, attempt)| attempt.conn).collect::<Vec<_>>() {
             self.on_upstream_ready(net, conn);
--- a/src/frontend/http/callbacks.rs
+++ b/src/frontend/http/callbacks.rs
@@ -12,7 +12,7 @@
     Malformed,
     /// It is of a job of this process. What is repeated or late is acknowledged all the same, since its sender would only
     /// try again.
-    Taken,
+    Accepted,
     /// This process has no such job.
     Unknown,
 }
@@ -26,11 +26,11 @@
         else {
             return CallbackResult::Malformed;
         };
-        let Some(job) = self.ids.get(id).copied() else { return CallbackResult::Unknown };
+        let Some(job) = self.jobs_by_request_id.get(id).copied() else { return CallbackResult::Unknown };
         if let Some(attempt) = self.open_attempt_at(job, from) {
             self.on_job_event(attempt, state, &callback);
         }
-        CallbackResult::Taken
+        CallbackResult::Accepted
     }
 
     /// The open attempt of a job at an endpoint. Guards against a late callback of an attempt that was cancelled: both the job
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -214,10 +214,10 @@
     /// accept for a while, the listener stays open until `tick` has tried again, for a bounded time.
     pub(super) fn close_listener_when_empty(&mut self, net: &mut Sockets) {
         let now_ms = self.core.clock().now();
-        let give_up_ms = *self.listener_close_by_ms.get_or_insert(now_ms + MAX_LISTENER_CLOSE_MS);
+        let close_by_ms = *self.listener_close_by_ms.get_or_insert(now_ms + MAX_LISTENER_CLOSE_MS);
         self.accept_all(net);
         let is_paused = net.accept_state(self.clients.listener) == AcceptState::Paused;
-        self.is_closing_listener = is_paused && now_ms < give_up_ms;
+        self.is_closing_listener = is_paused && now_ms < close_by_ms;
         if !self.is_closing_listener {
             net.close_listener(self.clients.listener);
         }
@@ -303,7 +303,7 @@
             self.on_client_ready(net, id);
             let is_empty = net.conn(id).is_none_or(|conn| conn.tx.is_empty() && conn.rx.is_empty());
             if is_empty && self.clients.connections.get(&id).is_some_and(Client::is_idle) {
-                self.close_gently(net, id);
+                self.close_gracefully(net, id);
             }
         }
     }
@@ -316,7 +316,7 @@
         for id in self.clients.connections.keys().copied().collect::<Vec<_>>() {
             self.on_client_ready(net, id);
             if self.clients.connections.get(&id).is_some_and(Client::is_idle) {
-                self.close_gently(net, id);
+                self.close_gracefully(net, id);
             }
         }
     }
@@ -324,7 +324,7 @@
     /// Ends a connection between requests: this side at once, the whole of it once the peer has ended its own. Guards against
     /// bytes that cross the closing: left unread they would reset the connection, and a response under way with it. What is
     /// read from now on is not answered nor sent on, so that its client sends it elsewhere.
-    fn close_gently(&mut self, net: &mut Sockets, id: ConnId) {
+    fn close_gracefully(&mut self, net: &mut Sockets, id: ConnId) {
         self.start_closing(net, id);
         self.on_client_ready(net, id);
     }
--- a/src/frontend/http/config.rs
+++ b/src/frontend/http/config.rs
@@ -62,15 +62,15 @@
 }
 
 impl Config {
-    /// Reads the file's text; `taken` descriptors are another frontend's.
+    /// Reads the file's text; `reserved` descriptors are another frontend's.
     ///
     /// # Errors
     /// Where a part of it is missing or does not read, or the descriptors are too few.
-    pub fn read(config: &JsonValue, taken: usize) -> Result<Config, ConfigError> {
+    pub fn read(config: &JsonValue, reserved: usize) -> Result<Config, ConfigError> {
         let site = Site::read(field(config, "settings").ok_or(ConfigError::NoSettings)?)?;
         let seed = text(config, "seed").unwrap_or("0");
         let seed = u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed(seed.to_string()))?;
-        let budget = read_budget(config, taken)?;
+        let budget = read_budget(config, reserved)?;
         let known_list = match field(config, "known") {
             Some(list) => read_list(list, &site)?,
             None => {
@@ -84,14 +84,15 @@
 }
 
 /// What may be open by the limits of the file and of the system.
-fn read_budget(config: &JsonValue, taken: usize) -> Result<Budget, ConfigError> {
+fn read_budget(config: &JsonValue, reserved: usize) -> Result<Budget, ConfigError> {
     let limit = |name| field(config, "limits").and_then(|limits| number(limits, name));
     let sockets = limit("sockets").unwrap_or(DEFAULT_SOCKETS);
     let memory_mb = limit("memory_mb").unwrap_or(DEFAULT_MEMORY_MB);
     // What the system gives may be less than what the file names.
     let system = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize);
-    let own = (sockets as usize).min(system).saturating_sub(taken);
-    Budget::from_limits(own, memory_mb).ok_or_else(|| ConfigError::TooFewSockets(sockets.min(system as f64)))
+    let available = (sockets as usize).min(system).saturating_sub(reserved);
+    Budget::from_limits(available, memory_mb)
+        .ok_or_else(|| ConfigError::TooFewSockets(sockets.min(system as f64)))
 }
 
 fn read_address(config: &JsonValue, name: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -69,8 +69,8 @@
     upstreams: Upstreams,
     discovery: Discovery,
     jobs: FxHashMap<JobId, ClientJob>,
-    /// Jobs by the ids that their clients gave them.
-    ids: FxHashMap<Rc<str>, JobId>,
+    /// Jobs by the jobs_by_request_id that their clients gave them.
+    jobs_by_request_id: FxHashMap<Rc<str>, JobId>,
     /// The processes beside this one at an upgrade.
     links: Option<upgrade_link::UpgradeLinks>,
     /// Whether requests may be started now, where a policy is shared.
@@ -100,7 +100,7 @@
             discovery: Discovery::new(discovery, config.discovery, known_list.version, seed),
             core: Core::new(site, seed, clock, budget.jobs),
             jobs: FxHashMap::default(),
-            ids: FxHashMap::default(),
+            jobs_by_request_id: FxHashMap::default(),
             links: None,
             gate: None,
             shutdown: None,
@@ -113,7 +113,7 @@
         };
         frontend.core.restore_list(known_list.lines);
         frontend.started_at_ms = frontend.core.clock().now();
-        frontend.discovery.begin(frontend.started_at_ms, &frontend.core.site().settings);
+        frontend.discovery.start(frontend.started_at_ms, &frontend.core.site().settings);
         frontend
     }
 
@@ -131,10 +131,10 @@
         self.upstreams.reconfigure(config.site.connection_idle_ms, config.budget.upstreams);
         self.core.reconfigure(config.site, config.budget.jobs);
         let now_ms = self.core.clock().now();
-        if self.discovery.is_other_service(config.discovery) {
+        if self.discovery.names_other_service(config.discovery) {
             self.core.on_discovery_changed();
         }
-        let update = self.discovery.follow(net, now_ms, config.discovery, &self.core.site().settings);
+        let update = self.discovery.switch_service(net, now_ms, config.discovery, &self.core.site().settings);
         self.on_discovery_update(net, update);
         self.carry_out(net);
     }
@@ -258,13 +258,13 @@
         self.sweep_clients(net, now_ms);
         self.sweep_gate(net, now_ms);
         self.sweep_links(net, now_ms);
-        if self.evacuating && !self.is_past_last_call() && now_ms >= self.next_evacuation_ms {
+        if self.evacuating && !self.has_stopped_accepting() && now_ms >= self.next_evacuation_ms {
             // New connections are left alone a while, lest a first callback be cut off: look again for them.
             self.close_idle(net);
             self.carry_out(net);
             self.next_evacuation_ms = now_ms + EVACUATION_INTERVAL_MS;
         }
-        if self.is_past_last_call() {
+        if self.has_stopped_accepting() {
             self.core.reject_new_jobs();
             self.close_idle(net);
             // What was read there may have ended a job: it is answered before the program looks whether all is finished.
@@ -295,8 +295,8 @@
     fn stop_deadline(&self) -> f64 {
         let Some(shutdown) = self.shutdown else { return f64::INFINITY };
         let now_ms = self.core.clock().now();
-        if now_ms < shutdown.last_call_ms && !self.is_closing_listener {
-            shutdown.last_call_ms
+        if now_ms < shutdown.accepts_until_ms && !self.is_closing_listener {
+            shutdown.accepts_until_ms
         } else {
             now_ms + STOP_INTERVAL_MS
         }
@@ -313,8 +313,8 @@
     }
 
     /// Whether clients are being sent away, by an operator or since the program stops.
-    fn sends_clients_away(&self) -> bool {
-        self.evacuating || self.is_past_last_call()
+    fn is_evacuating_or_stopping(&self) -> bool {
+        self.evacuating || self.has_stopped_accepting()
     }
 
     /// Begins to stop. Where a successor listens at the same address, nothing new is accepted: what waits in the backlog is
@@ -331,18 +331,19 @@
     }
 
     /// Whether a stop is past its last call: nothing new is taken any more.
-    pub fn is_past_last_call(&self) -> bool {
-        self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.last_call_ms)
+    pub fn has_stopped_accepting(&self) -> bool {
+        self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.accepts_until_ms)
     }
 
     /// Whether all that was taken is answered, written as far as peers read, and every connection ended as far as peers end
     /// theirs.
     pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
-        if !self.is_past_last_call() || self.core.open_jobs() > 0 || self.gate_deadline() < f64::INFINITY {
+        if !self.has_stopped_accepting() || self.core.open_jobs() > 0 || self.gate_deadline() < f64::INFINITY
+        {
             return false;
         }
         if !std::mem::replace(&mut self.is_closing_all, true) {
-            self.leave_last_list(net);
+            self.save_final_list(net);
             self.close_all(net);
             self.carry_out(net);
         }
--- a/src/frontend/http/policy_gate.rs
+++ b/src/frontend/http/policy_gate.rs
@@ -113,7 +113,7 @@
     pub fn apply_policy(&mut self, text: &str) {
         let policy = match Policy::read(text, self.core.site()) {
             Ok(policy) => policy,
-            Err(errors) => return self.refuse_policy(&errors),
+            Err(errors) => return self.disable_policy(&errors),
         };
         let partitions = self.core.set_partitions(policy.partitions.iter().map(|(_, _, selector)| selector));
         if let Some(gate) = &mut self.gate {
@@ -123,7 +123,7 @@
 
     /// A policy in force does not fit: it was checked before, and the settings have changed since. Nothing is started
     /// without it.
-    fn refuse_policy(&mut self, errors: &[PolicyError]) {
+    fn disable_policy(&mut self, errors: &[PolicyError]) {
         for error in errors {
             tracing::error!(%error, "policy in force does not fit the settings");
         }
--- a/src/frontend/http/probes.rs
+++ b/src/frontend/http/probes.rs
@@ -12,7 +12,7 @@
     /// Probes an endpoint. The router is always told of the end: it asks nobody twice meanwhile.
     pub(super) fn probe(&mut self, net: &mut Sockets, endpoint: EndpointId) {
         let now_ms = self.core.clock().now();
-        let purpose = ConnectionUse::Probe { started_at_ms: now_ms, up_at_ms: now_ms };
+        let purpose = ConnectionUse::Probe { started_at_ms: now_ms, connected_at_ms: now_ms };
         let Ok(conn) = self.acquire(net, endpoint, purpose) else {
             return self.core.on_probe_ended(endpoint, false, 0.0, LoadReport::default());
         };
@@ -22,7 +22,7 @@
     /// Probes an endpoint on a new connection, within what is left of a probe's time.
     pub(super) fn probe_again(&mut self, net: &mut Sockets, endpoint: EndpointId, started_at_ms: f64) {
         let now_ms = self.core.clock().now();
-        let purpose = ConnectionUse::Probe { started_at_ms, up_at_ms: now_ms };
+        let purpose = ConnectionUse::Probe { started_at_ms, connected_at_ms: now_ms };
         let Ok(conn) = self.open_upstream(net, endpoint, purpose) else {
             let latency_ms = now_ms - started_at_ms;
             return self.core.on_probe_ended(endpoint, false, latency_ms, LoadReport::default());
@@ -37,15 +37,20 @@
         self.on_upstream_ready(net, conn);
     }
 
-    /// An endpoint has responded to a probe on a connection that has been up since `up_at_ms`.
-    pub(super) fn on_probe_response(&mut self, endpoint: EndpointId, up_at_ms: f64, message: &Message) {
+    /// An endpoint has responded to a probe on a connection that has been up since `connected_at_ms`.
+    pub(super) fn on_probe_response(
+        &mut self,
+        endpoint: EndpointId,
+        connected_at_ms: f64,
+        message: &Message,
+    ) {
         let report = match message.body.first() {
             Some(b'{') => {
                 json::parse(&message.body).map_or(LoadReport::default(), |load| self.load_from_json(&load))
             }
             _ => self.load_from_text(&String::from_utf8_lossy(&message.body)),
         };
-        let latency_ms = self.core.clock().now() - up_at_ms;
+        let latency_ms = self.core.clock().now() - connected_at_ms;
         self.core.on_probe_ended(endpoint, message.status == 200, latency_ms, report);
     }
 }
--- a/src/frontend/http/requests.rs
+++ b/src/frontend/http/requests.rs
@@ -32,7 +32,7 @@
 
 /// What a connection has been read in this turn.
 #[derive(Default)]
-struct TurnUse {
+struct TurnUsage {
     drained_bytes: usize,
     requests: usize,
 }
@@ -40,12 +40,12 @@
 impl HttpFrontend {
     /// A client's connection can be read or written, or has ended.
     pub(super) fn on_client_ready(&mut self, net: &mut Sockets, id: ConnId) {
-        let mut turn = TurnUse::default();
+        let mut turn = TurnUsage::default();
         while self.read_client(net, id, &mut turn) == Progress::Continue {}
     }
 
     /// Reads once from a client's connection.
-    fn read_client(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUse) -> Progress {
+    fn read_client(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUsage) -> Progress {
         let Some(conn) = net.conn(id) else { return Progress::Done };
         conn.pump();
         let has_ended = conn.eof || conn.broken;
@@ -60,14 +60,14 @@
         if client.is_busy() {
             return self.read_ahead(net, id, turn);
         }
-        match self.count_turn(id, turn) {
+        match self.charge_turn(id, turn) {
             Progress::Continue => self.read_request(net, id),
             Progress::Done => Progress::Done,
         }
     }
 
     /// Counts a request of this turn. Guards against one client that sends without end and keeps all others waiting.
-    fn count_turn(&mut self, id: ConnId, turn: &mut TurnUse) -> Progress {
+    fn charge_turn(&mut self, id: ConnId, turn: &mut TurnUsage) -> Progress {
         turn.requests += 1;
         if turn.requests <= MAX_REQUESTS_PER_TURN {
             return Progress::Continue;
@@ -83,7 +83,7 @@
         net: &mut Sockets,
         id: ConnId,
         has_ended: bool,
-        turn: &mut TurnUse,
+        turn: &mut TurnUsage,
     ) -> Progress {
         let Some(conn) = net.conn(id) else { return Progress::Done };
         let (unread, is_written) = (conn.rx.len(), conn.tx.is_empty());
@@ -103,7 +103,7 @@
     /// Leaves what comes while a client waits for its answer in its buffer. Guards against an end that is not seen behind more
     /// than can be held: a client that sends so much before it has its answer is read to its end, and its connection is not
     /// used again.
-    fn read_ahead(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUse) -> Progress {
+    fn read_ahead(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUsage) -> Progress {
         let (Some(conn), Some(client)) = (net.conn(id), self.clients.connections.get(&id)) else {
             return Progress::Done;
         };
@@ -115,7 +115,7 @@
         }
         conn.rx.consume(unread);
         conn.closes_after_answer = true;
-        self.count_turn(id, turn)
+        self.charge_turn(id, turn)
     }
 
     /// Reads a request, if all of it has come.
@@ -126,7 +126,7 @@
         let now_ms = self.core.clock().now();
         if let Some(client) = self.clients.get_mut(id) {
             if let Ok(None) = &read {
-                expect_rest(client, unread, now_ms);
+                extend_read_deadline(client, unread, now_ms);
             } else {
                 (client.read_deadline_ms, client.partial_request) = (None, None);
             }
@@ -151,7 +151,7 @@
     fn on_request(&mut self, net: &mut Sockets, id: ConnId, message: Message) {
         let path = message.target.split('?').next().unwrap_or("").to_string();
         match (message.method.as_str(), path.as_str()) {
-            ("GET", "/up") => self.on_up(net, id, message.close),
+            ("GET", "/up") => self.on_health_check(net, id, message.close),
             ("GET", "/v1/seam") => self.on_upgrade_link(net, id, &message),
             ("GET", "/counters") => {
                 let text = self.core.counters().to_string();
@@ -164,8 +164,8 @@
     }
 
     /// Whether clients may come here.
-    fn on_up(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
-        let (status, body) = if self.sends_clients_away() || !self.gate_is_open() {
+    fn on_health_check(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
+        let (status, body) = if self.is_evacuating_or_stopping() || !self.gate_is_open() {
             (503, "evacuating\n")
         } else if !self.has_usable_list() {
             (503, "waiting for the list\n")
@@ -183,11 +183,11 @@
         }
         let wanted = message.header(upgrade_link::WARM_STATE_HEADER);
         if matches!(wanted, Some(upgrade_link::WANTS_WARM_STATE | upgrade_link::WANTS_LIST)) {
-            self.leave_warm_state();
+            self.save_warm_state();
         }
         self.respond(net, id, 204, &[], b"", message.close);
         if let Some(pid) = message.header(upgrade_link::ASKED_HEADER) {
-            self.on_linked_by(net, pid);
+            self.on_link_opened_by(net, pid);
         }
     }
 
@@ -198,7 +198,7 @@
         let asked = message.header(upgrade_link::ASKED_HEADER);
         let status = match self.on_callback(&message.body) {
             CallbackResult::Malformed => 400,
-            CallbackResult::Taken => 204,
+            CallbackResult::Accepted => 204,
             CallbackResult::Unknown if self.forward_callback(net, id, &message.body, asked) => return,
             CallbackResult::Unknown if asked.is_some() => 410,
             // Nobody knows its job: its sender would only try again.
@@ -228,8 +228,9 @@
             Some(text) => parse_duration_ms(text),
             None => Some(self.core.site().client_classes[class].max_wait_ms),
         };
-        let request_id =
-            message.header("req-id").filter(|id| is_request_id(id) && !self.ids.contains_key(*id));
+        let request_id = message
+            .header("req-id")
+            .filter(|id| is_request_id(id) && !self.jobs_by_request_id.contains_key(*id));
         let (Some(wait_ms), Some(request_id)) = (wait_ms, request_id) else {
             return self.respond(net, id, 400, &[], b"Req-Id or Req-Deadline does not read\n", close);
         };
@@ -266,7 +267,7 @@
         let passed_on = head::onward(&message.headers).filter(|(name, _)| !is_rewritten(name));
         let headers = passed_on.cloned().collect();
         let (target, body) = (message.target, message.body);
-        self.ids.insert(Rc::clone(&request_id), job);
+        self.jobs_by_request_id.insert(Rc::clone(&request_id), job);
         self.jobs.insert(job, ClientJob { client: id, id: request_id, target, headers, body });
         if let Some(conn) = net.conn(id).filter(|_| message.close) {
             conn.closes_after_answer = true;
@@ -279,7 +280,7 @@
 
 /// Sets the deadline of a request of which `unread` bytes have come. Guards against cutting off a client that writes slowly
 /// or in pieces but goes on: only silence, or a request that takes far too long, ends it.
-fn expect_rest(client: &mut Client, unread: usize, now_ms: f64) {
+fn extend_read_deadline(client: &mut Client, unread: usize, now_ms: f64) {
     match client.partial_request {
         Some(PartialRequest { since_ms, seen_bytes }) if unread > seen_bytes => {
             let deadline_ms = (now_ms + READ_TIMEOUT_MS).min(since_ms + REQUEST_TIMEOUT_MS);
--- a/src/frontend/http/responses.rs
+++ b/src/frontend/http/responses.rs
@@ -11,7 +11,7 @@
     /// Forgets what a job's request looked like.
     pub(super) fn forget_job(&mut self, job: JobId) -> Option<ClientJob> {
         let client_job = self.jobs.remove(&job)?;
-        self.ids.remove(&client_job.id);
+        self.jobs_by_request_id.remove(&client_job.id);
         if !self.core.site().allows_copies {
             self.upstreams.forget_cancelling(job);
         }
@@ -84,7 +84,7 @@
         // A client sent away is closed once answered; callbacks of endpoints go on.
         let is_sent_away = self.evacuating && client.is_some_and(|client| !client.sends_callbacks);
         // A link stays to the end: the process at its other end could not open another.
-        let is_ending = self.is_past_last_call() && client.is_none_or(|client| !client.is_upgrade_link);
+        let is_ending = self.has_stopped_accepting() && client.is_none_or(|client| !client.is_upgrade_link);
         let is_last = net.conn(id).is_some_and(|conn| conn.closes_after_answer);
         is_last || is_sent_away || is_ending || matches!(status, 400 | 413 | 501)
     }
--- a/src/frontend/http/state_handover.rs
+++ b/src/frontend/http/state_handover.rs
@@ -16,7 +16,7 @@
 
 /// Why there is no warm state of the process before.
 #[derive(Debug, Error)]
-enum NoWarmState {
+enum WarmStateUnavailable {
     #[error(transparent)]
     Read(#[from] std::io::Error),
     #[error(transparent)]
@@ -25,7 +25,7 @@
 
 impl HttpFrontend {
     /// Leaves what this process knows for the one that replaces it.
-    pub(super) fn leave_warm_state(&self) {
+    pub(super) fn save_warm_state(&self) {
         let Some(links) = &self.links else { return };
         let endpoints = self.core.endpoints().listed();
         let file = WarmStateFile {
@@ -46,11 +46,11 @@
     }
 
     /// Leaves the list for the last time, where a process is beside this one: nothing can be told to this one any more.
-    pub(super) fn leave_last_list(&mut self, net: &mut Sockets) {
+    pub(super) fn save_final_list(&mut self, net: &mut Sockets) {
         if self.links.as_ref().is_some_and(UpgradeLinks::has_peer) {
             self.discovery.stop(net);
             self.core.on_watch_stopped();
-            self.leave_warm_state();
+            self.save_warm_state();
         }
     }
 
@@ -97,16 +97,16 @@
 
     /// Removes what the process before has left, as nothing more of it is wanted. What another process has left there since
     /// stays.
-    pub(super) fn remove_left_state(&self, pid: u32) {
+    pub(super) fn remove_saved_state(&self, pid: u32) {
         let Some(links) = &self.links else { return };
         handover::take_list_handover(links.note(), pid);
         let left = self.read_warm_state(links.note(), pid);
-        if matches!(left, Ok(_) | Err(NoWarmState::Refused(WarmStateError::Stale(_)))) {
+        if matches!(left, Ok(_) | Err(WarmStateUnavailable::Refused(WarmStateError::Stale(_)))) {
             handover::remove_warm_state(links.note());
         }
     }
 
-    fn read_warm_state(&self, note: &Path, pid: u32) -> Result<WarmStateFile, NoWarmState> {
+    fn read_warm_state(&self, note: &Path, pid: u32) -> Result<WarmStateFile, WarmStateUnavailable> {
         let bytes = handover::read_warm_state(note, MAX_WARM_STATE_BYTES)?;
         let now_ms = self.core.clock().now();
         Ok(WarmStateFile::decode(&bytes, pid, &self.warm_state_names(), now_ms)?)
--- a/src/frontend/http/tests.rs
+++ b/src/frontend/http/tests.rs
@@ -3,7 +3,7 @@
 use super::headers::{parse_duration_ms, parse_slots, parse_work_ms};
 
 #[test]
-fn spans_and_slots_read() {
+fn durations_slots_and_work_parse() {
     assert_eq!(parse_duration_ms("480m"), Some(480.0));
     assert_eq!(parse_duration_ms("9500u"), Some(9.5));
     for bad in ["", "m", "480", "-1m", "480é", "1e3m"] {
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -119,7 +119,13 @@
 
 impl HttpFrontend {
     /// Sets the links up at the address that was listened at, beside a process that was there before.
-    pub fn join(&mut self, net: &mut Sockets, address: SocketAddr, note: PathBuf, predecessor: Option<u32>) {
+    pub fn start_upgrade_links(
+        &mut self,
+        net: &mut Sockets,
+        address: SocketAddr,
+        note: PathBuf,
+        predecessor: Option<u32>,
+    ) {
         let mut links = UpgradeLinks::new(address, note, predecessor);
         let first = predecessor.and_then(|pid| links.forwarder.on_peer_seen(pid));
         self.links = Some(links);
@@ -127,7 +133,7 @@
     }
 
     /// Whether the link to the process before is ready, so that that one may stop listening.
-    pub fn has_joined(&self) -> bool {
+    pub fn has_reached_predecessor(&self) -> bool {
         let is_opening = |links: &UpgradeLinks| links.predecessor.is_some_and(|pid| links.is_opening(pid));
         !self.links.as_ref().is_some_and(is_opening)
     }
@@ -138,7 +144,7 @@
     }
 
     /// A process beside this one has opened a link: it is known from now on, whatever its note says.
-    pub(super) fn on_linked_by(&mut self, net: &mut Sockets, pid: &str) {
+    pub(super) fn on_link_opened_by(&mut self, net: &mut Sockets, pid: &str) {
         let pid = pid.trim().parse().ok().filter(|&pid| handover::is_alive(pid));
         let action = pid.and_then(|pid| self.links.as_mut()?.forwarder.on_peer_seen(pid));
         self.carry_out_forwarding(net, action);
@@ -157,7 +163,7 @@
         let mut actions = Vec::new();
         if now_ms >= links.next_note_ms {
             links.next_note_ms = now_ms + NOTE_INTERVAL_MS;
-            actions = links.look_for_processes();
+            actions = links.find_peers();
         }
         if links.forwarder.peers().next().is_none() {
             self.carry_out_forwarding(net, actions);
@@ -254,12 +260,12 @@
                 if links.predecessor.take_if(|predecessor| *predecessor == pid).is_some() =>
             {
                 self.restore_warm_state(pid, sent_at_ms);
-                self.want_list_of(pid);
+                self.schedule_list_request(pid);
             }
             Some(LinkRequest::Introduction { .. }) => {}
             Some(LinkRequest::List { sent_at_ms }) => {
                 self.restore_list(pid, sent_at_ms);
-                self.want_list_of(pid);
+                self.schedule_list_request(pid);
             }
             Some(LinkRequest::Callback) => {
                 let response = match message.status {
@@ -274,14 +280,14 @@
     }
 
     /// Asks a process for its list after a while, unless discovery has answered this one.
-    fn want_list_of(&mut self, pid: u32) {
+    fn schedule_list_request(&mut self, pid: u32) {
         let now_ms = self.core.clock().now();
         let is_wanted = !self.core.has_read_list();
         let Some(links) = &mut self.links else { return };
         let source = ListSource { pid, ask_at_ms: now_ms + LIST_INTERVAL_MS, answered_at_ms: now_ms };
         links.list_source = is_wanted.then_some(source);
         if !is_wanted {
-            self.remove_left_state(pid);
+            self.remove_saved_state(pid);
         }
     }
 
@@ -290,7 +296,7 @@
         let is_wanted = !self.core.has_read_list();
         let Some(links) = &mut self.links else { return };
         if let Some(source) = links.list_source.take_if(|_| !is_wanted) {
-            return self.remove_left_state(source.pid);
+            return self.remove_saved_state(source.pid);
         }
         let Some(source) = links.list_source.as_mut().filter(|source| source.ask_at_ms <= now_ms) else {
             return;
@@ -325,7 +331,7 @@
             && !self.core.has_read_list()
         {
             self.restore_list(pid, source.answered_at_ms);
-            self.remove_left_state(pid);
+            self.remove_saved_state(pid);
         }
         let Some(links) = &mut self.links else { return };
         let actions = links.forwarder.on_link_lost(pid, handover::is_alive(pid));
@@ -353,11 +359,11 @@
 
 impl UpgradeLinks {
     /// Looks who is there: processes that have gone are forgotten, and one that the note names is met.
-    fn look_for_processes(&mut self) -> Vec<ForwardingAction> {
+    fn find_peers(&mut self) -> Vec<ForwardingAction> {
         let gone: Vec<u32> = self.forwarder.peers().filter(|&pid| !handover::is_alive(pid)).collect();
         let lost = gone.into_iter().flat_map(|pid| self.forwarder.on_link_lost(pid, false));
         let mut actions: Vec<ForwardingAction> = lost.collect();
-        let named = handover::process_beside(&self.note, self.forwarder.own_pid());
+        let named = handover::live_peer(&self.note, self.forwarder.own_pid());
         actions.extend(named.and_then(|pid| self.forwarder.on_peer_seen(pid)));
         actions
     }
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -15,7 +15,7 @@
 
 use table::UpstreamConnection;
 pub(super) use table::{
-    AttemptId, AttemptState, Clearance, ConnectionUse, MAX_CANCEL_TRIES, RESPONSE_TIMEOUT_MS, Upstreams,
+    AttemptId, AttemptState, ConnectionUse, MAX_CANCEL_TRIES, RESPONSE_TIMEOUT_MS, Upstreams, WritePermission,
 };
 
 /// How long a connection is not used after an attempt was declined on it, in milliseconds. A second copy of such a response,
@@ -55,9 +55,9 @@
             self.close_upstream(net, id);
         }
         // A rest of some milliseconds, once for each endpoint, is less than a new connection costs both sides.
-        if let Some((id, rests_until_ms)) = self.upstreams.pool.take_unproven(endpoint, now_ms) {
+        if let Some((id, write_after_ms)) = self.upstreams.pool.take_unproven(endpoint, now_ms) {
             if net.conn(id).is_some_and(|conn| conn.is_fresh()) {
-                self.reuse(id, endpoint, purpose, rests_until_ms);
+                self.reuse(id, endpoint, purpose, write_after_ms);
                 return Ok(id);
             }
             self.close_upstream(net, id);
@@ -66,15 +66,15 @@
     }
 
     /// Uses a connection that was idle, once it has rested.
-    fn reuse(&mut self, id: ConnId, endpoint: EndpointId, purpose: ConnectionUse, rests_until_ms: f64) {
-        let deadline_ms = if rests_until_ms > 0.0 { rests_until_ms } else { f64::INFINITY };
+    fn reuse(&mut self, id: ConnId, endpoint: EndpointId, purpose: ConnectionUse, write_after_ms: f64) {
+        let deadline_ms = if write_after_ms > 0.0 { write_after_ms } else { f64::INFINITY };
         let connection = UpstreamConnection {
             endpoint,
             purpose,
             deadline_ms,
             was_pooled: true,
-            is_up: true,
-            rests_until_ms,
+            is_connected: true,
+            write_after_ms,
         };
         self.upstreams.connections.insert(id, connection);
     }
@@ -108,8 +108,8 @@
             purpose,
             deadline_ms,
             was_pooled: false,
-            is_up: false,
-            rests_until_ms: 0.0,
+            is_connected: false,
+            write_after_ms: 0.0,
         };
         self.upstreams.connections.insert(id, connection);
         Ok(id)
@@ -137,7 +137,7 @@
         }
         conn.pump();
         if !conn.connecting && !conn.broken {
-            connection.note_up(now_ms);
+            connection.mark_connected(now_ms);
         }
         let has_ended = conn.eof || conn.broken;
         // What came before a break counts; a complete response is one. What a reset cut off is none.
@@ -183,7 +183,9 @@
         }
         match purpose {
             ConnectionUse::Cancelling(attempt) => self.on_cancelled(net, attempt),
-            ConnectionUse::Probe { up_at_ms, .. } => self.on_probe_response(endpoint, up_at_ms, message),
+            ConnectionUse::Probe { connected_at_ms, .. } => {
+                self.on_probe_response(endpoint, connected_at_ms, message)
+            }
             ConnectionUse::Attempt(attempt) => self.on_attempt_response(attempt, message),
             ConnectionUse::Draining
             | ConnectionUse::Idle
@@ -246,8 +248,8 @@
                 connection.deadline_ms = f64::INFINITY;
                 self.upstreams.pool.put(connection.endpoint, id, now_ms);
             }
-            Some(connection) if connection.rests_until_ms > 0.0 => {
-                connection.rests_until_ms = 0.0;
+            Some(connection) if connection.write_after_ms > 0.0 => {
+                connection.write_after_ms = 0.0;
                 connection.deadline_ms = f64::INFINITY;
                 let endpoint = connection.endpoint;
                 if net.conn(id).is_some_and(|conn| conn.is_fresh()) {
--- a/src/frontend/http/upstream/table.rs
+++ b/src/frontend/http/upstream/table.rs
@@ -34,7 +34,7 @@
         /// Since when it was wanted, in milliseconds.
         started_at_ms: f64,
         /// Since when its connection has been up, in milliseconds.
-        up_at_ms: f64,
+        connected_at_ms: f64,
     },
     /// For a response that nobody needs.
     Draining,
@@ -53,9 +53,9 @@
     /// Whether it has been idle in the pool.
     pub was_pooled: bool,
     /// Whether it has been seen to come up.
-    pub is_up: bool,
+    pub is_connected: bool,
     /// Its end may be on the way until this time, in milliseconds: its attempt waits. 0: it does not.
-    pub rests_until_ms: f64,
+    pub write_after_ms: f64,
 }
 
 /// An attempt that has not ended.
@@ -72,13 +72,13 @@
 
 /// Whether the next attempt of a job may be written, where no two may be open together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::frontend::http) enum Clearance {
+pub(in crate::frontend::http) enum WritePermission {
     /// It may.
-    Cleared,
+    Granted,
     /// Not yet: the attempt before it is being cancelled.
-    Waiting,
+    Pending,
     /// It may not: the attempt before it could not be cancelled.
-    Refused,
+    Denied,
 }
 
 /// All connections to endpoints.
@@ -122,7 +122,7 @@
     }
 
     /// Whether a connection proved itself before: it was in the pool, or has come up without a time limit.
-    pub fn was_up_before(&self, conn: ConnId) -> bool {
+    pub fn was_connected_before(&self, conn: ConnId) -> bool {
         let is_known = |connection: &UpstreamConnection| {
             connection.was_pooled || connection.deadline_ms == f64::INFINITY
         };
@@ -135,8 +135,8 @@
     }
 
     /// Whether the attempt on a connection waits as its end may be on the way.
-    pub fn is_resting(&self, conn: ConnId) -> bool {
-        self.connections.get(&conn).is_some_and(|connection| connection.rests_until_ms > 0.0)
+    pub fn is_write_delayed(&self, conn: ConnId) -> bool {
+        self.connections.get(&conn).is_some_and(|connection| connection.write_after_ms > 0.0)
     }
 
     /// An attempt is being written on a connection.
@@ -144,7 +144,7 @@
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.purpose = ConnectionUse::Attempt(attempt);
             connection.deadline_ms = f64::INFINITY;
-            connection.is_up = true;
+            connection.is_connected = true;
         }
     }
 
@@ -157,12 +157,12 @@
     }
 
     /// Whether the next attempt of a job may go, by the attempts of it that are being cancelled.
-    pub fn clearance(&self, job: JobId) -> Clearance {
+    pub fn write_permission(&self, job: JobId) -> WritePermission {
         let of_job = self.attempts.iter().filter(|(id, _)| id.job == job);
         match of_job.filter_map(|(_, attempt)| attempt.cancel_tries).max() {
-            None => Clearance::Cleared,
-            Some(tries) if tries >= MAX_CANCEL_TRIES => Clearance::Refused,
-            Some(_) => Clearance::Waiting,
+            None => WritePermission::Granted,
+            Some(tries) if tries >= MAX_CANCEL_TRIES => WritePermission::Denied,
+            Some(_) => WritePermission::Pending,
         }
     }
 
@@ -180,14 +180,14 @@
 impl UpstreamConnection {
     /// The connection is seen to be up. Guards against a connection that came up within the write of its request, as on
     /// loopback: seen up only by the state of the socket, it kept its time limit to connect.
-    pub fn note_up(&mut self, now_ms: f64) {
-        if std::mem::replace(&mut self.is_up, true) {
+    pub fn mark_connected(&mut self, now_ms: f64) {
+        if std::mem::replace(&mut self.is_connected, true) {
             return;
         }
         match &mut self.purpose {
             ConnectionUse::Draining => self.deadline_ms = now_ms + DRAIN_TIMEOUT_MS,
             ConnectionUse::Cancelling(_) => self.deadline_ms = now_ms + RESPONSE_TIMEOUT_MS,
-            ConnectionUse::Probe { up_at_ms, .. } => *up_at_ms = now_ms,
+            ConnectionUse::Probe { connected_at_ms, .. } => *connected_at_ms = now_ms,
             ConnectionUse::Idle
             | ConnectionUse::CoolingDown
             | ConnectionUse::Assigned(_)
--- a/src/frontend/operator.rs
+++ b/src/frontend/operator.rs
@@ -56,7 +56,7 @@
 }
 
 /// What the file sets up.
-pub struct Operator {
+pub struct OperatorConfig {
     /// Gearman's table, as its frontend reads it.
     pub gearman: Option<JsonValue>,
     /// The stream front's.
@@ -124,28 +124,37 @@
 ///
 /// # Errors
 /// Where the file cannot be read, is no TOML, or has a table that is not valid.
-pub fn read(path: &Path) -> Result<Operator, FileError> {
+pub fn read(path: &Path) -> Result<OperatorConfig, FileError> {
     let file = path.display().to_string();
     let text =
         std::fs::read_to_string(path).map_err(|cause| FileError::Read { file: file.clone(), cause })?;
     parse(&file, &text)
 }
 
-fn parse(file: &str, text: &str) -> Result<Operator, FileError> {
+fn parse(file: &str, text: &str) -> Result<OperatorConfig, FileError> {
     let parse = |cause| FileError::Parse { file: file.into(), cause };
-    let known: File = toml::from_str(text).map_err(parse)?;
-    let mut whole: toml::Table = toml::from_str(text).map_err(parse)?;
-    if known.gearman.is_none() && known.stream.is_none() && known.console.is_none() && known.fleet.is_none() {
+    let tables: File = toml::from_str(text).map_err(parse)?;
+    let mut untyped: toml::Table = toml::from_str(text).map_err(parse)?;
+    if tables.gearman.is_none()
+        && tables.stream.is_none()
+        && tables.console.is_none()
+        && tables.fleet.is_none()
+    {
         return Err(FileError::Empty { file: file.into() });
     }
-    let stream = known.stream.map(streaming::Table::check).transpose();
+    let stream = tables.stream.map(streaming::Table::check).transpose();
     let stream = stream.map_err(|errors| FileError::Stream { file: file.into(), errors })?;
-    let fleet = match (known.fleet, known.rollout) {
+    let fleet = match (tables.fleet, tables.rollout) {
         (None, Some(_)) => Err(vec![fleet::ConfigError::Alone]),
         (fleet, rollout) => fleet.map(|fleet| fleet.check(rollout)).transpose(),
     };
     let fleet = fleet.map_err(|errors| FileError::Fleet { file: file.into(), errors })?;
-    Ok(Operator { gearman: whole.remove("gearman").map(json), stream, fleet, console: known.console })
+    Ok(OperatorConfig {
+        gearman: untyped.remove("gearman").map(json),
+        stream,
+        fleet,
+        console: tables.console,
+    })
 }
 
 /// A value of TOML as one of JSON; a date becomes its text. The parser of TOML bounds its nesting.
--- a/src/frontend/operator/tests.rs
+++ b/src/frontend/operator/tests.rs
@@ -6,7 +6,7 @@
                     [[stream.class]]\nname = \"export\"\nrepeat = \"safe\"\n";
 
 #[test]
-fn a_file_with_anything_wrong_is_refused_with_what_it_is() {
+fn invalid_files_are_rejected_with_the_reason() {
     assert!(parse("f", GOOD).unwrap().stream.is_some());
     for (from, to, says) in [
         ("listen", "listens", "unknown field `listens`"),
@@ -32,7 +32,7 @@
 
 /// The files that are given as examples read, and their policy too.
 #[test]
-fn the_files_under_deploy_read() {
+fn the_deploy_files_parse() {
     for (file, text) in [
         ("fleet.toml", include_str!("../../../deploy/fleet.toml")),
         ("micabeam.toml", include_str!("../../../deploy/micabeam.toml")),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn gearman_s_table_is_what_its_json_file_is() {
+fn the_gearman_table_parses_like_its_json_file() {
     let text = "[gearman]\nlisten = \"127.0.0.1:0\"\n[gearman.functions]\n\
                 hold = {class = \"site-hold\", tenant = \"fraser-parks\"}\n[gearman.record]\nentries = 10\n";
     let json = parse("f", text).unwrap().gearman.unwrap();
--- a/src/frontend/shutdown.rs
+++ b/src/frontend/shutdown.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
     /// When nothing new is taken any more, in milliseconds of the clock.
-    pub last_call_ms: f64,
+    pub accepts_until_ms: f64,
     /// Since when all jobs are over.
     idle_since_ms: Option<f64>,
 }
@@ -38,14 +38,14 @@
     pub fn within(core: &mut Core, until_kill_ms: f64) -> Shutdown {
         let now_ms = core.clock().now();
         core.limit_late_deadlines(now_ms + KILL_GRACE_MS - MARGIN_MS, now_ms + until_kill_ms);
-        let last_call_ms = now_ms + MAX_SERVING_MS.min(until_kill_ms / 2.0);
-        Shutdown { last_call_ms, idle_since_ms: None }
+        let accepts_until_ms = now_ms + MAX_SERVING_MS.min(until_kill_ms / 2.0);
+        Shutdown { accepts_until_ms, idle_since_ms: None }
     }
 
     /// Whether the program can end, now that no job is open: all is written, or peers have had their time. Guards against a
     /// stop that never ends since a peer does not read its answers.
     pub fn is_over(&mut self, now_ms: f64, is_written: impl FnOnce() -> bool) -> bool {
-        if now_ms < self.last_call_ms {
+        if now_ms < self.accepts_until_ms {
             return false;
         }
         let idle_since_ms = *self.idle_since_ms.get_or_insert(now_ms);
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -135,10 +135,11 @@
         self.pipes.reconfigure(config.table.pipes);
         let now = self.now();
         if let Some(discovery) = &mut self.discovery {
-            if discovery.is_other_service(config.table.discovery) {
+            if discovery.names_other_service(config.table.discovery) {
                 self.core.on_discovery_changed();
             }
-            let update = discovery.follow(net, now, config.table.discovery, &self.core.site().settings);
+            let update =
+                discovery.switch_service(net, now, config.table.discovery, &self.core.site().settings);
             self.apply_discovery(net, update);
         } else {
             let lines = config.endpoints.clone();
@@ -280,7 +281,7 @@
         }
         let clients = self.clients.values().map(|c| c.deadline);
         let servers = self.upstreams.values().map(|s| s.connect_deadline);
-        let stop = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.last_call_ms.max(now + 20.0));
+        let stop = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.accepts_until_ms.max(now + 20.0));
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let discovery = self.discovery.as_ref().map_or(f64::INFINITY, Discovery::next_deadline);
         let due = wake.min(stop).min(discovery).min(self.flow.next_deadline());
@@ -297,7 +298,7 @@
 
     /// Whether it is past its last call.
     fn is_past_last_call(&self) -> bool {
-        self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.last_call_ms)
+        self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.accepts_until_ms)
     }
 
     /// Whether all requests are answered, and the answers are written as far as the peers read.
--- a/src/main.rs
+++ b/src/main.rs
@@ -141,7 +141,7 @@
     clock: &Clock,
 ) -> Option<OwnNote> {
     let path = handover::note_path(&std::env::temp_dir(), address);
-    let predecessor = handover::process_beside(&path, std::process::id());
+    let predecessor = handover::live_peer(&path, std::process::id());
     let note = leave_note(&path, clock);
     if let Some(fleet) = fleet {
         fleet.steer(frontend.core_mut());
@@ -149,7 +149,7 @@
             frontend.enable_policy_gate();
         }
     }
-    frontend.join(net, address, path, predecessor);
+    frontend.start_upgrade_links(net, address, path, predecessor);
     note
 }
 
