--- a/src/frontend/console/mod.rs
+++ b/src/frontend/console/mod.rs
@@ -1,49 +1,49 @@
-//! The operators' console: a listener where each connection carries one call, a line, and gets one answer, a line that begins
-//! with `ACK` or `NAK` (the figures end with a line `--`).
+//! The operators' console: a listener on which each connection carries one call (a line) and gets one answer.
+//! An answer is a line that starts with `ACK` or `NAK`; the answer to `telemetry` ends with a line `--`.
 //!
-//! Owns the connections of its listener and their time limits. It decides nothing: the gateway carries out the calls that
-//! `on_ready` returns and must answer each by `answer`, and must call `sweep` at `next_deadline` at the latest.
+//! The console owns its connections and their time limits. The gateway carries out the calls that `on_ready`
+//! returns; it must answer each one through `answer`, and call `sweep` no later than `next_deadline`.
 
 use rustc_hash::FxHashMap;
 
 use super::Sockets;
 use crate::net::ConnId;
 
-/// Most callers at once; above it the one that connected first makes room.
+/// Maximum number of connections; above it the oldest one is closed.
 const MAX_CALLERS: usize = 64;
 /// How long a caller may take to send its line, in milliseconds.
 const READ_TIMEOUT_MS: f64 = 2000.0;
-/// How long an answered caller may take to read and to end its side, in milliseconds.
+/// How long an answered caller may take to read the answer and close its side, in milliseconds.
 const LINGER_TIMEOUT_MS: f64 = 1000.0;
-/// Longest call, in bytes with its line end.
+/// Maximum length of a call in bytes, including the line end.
 const MAX_CALL_BYTES: usize = 256;
 
-/// What an operator can ask.
+/// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether the process is ready to serve.
+    /// Asks whether the process is ready to serve.
     Readyz,
-    /// The figures.
+    /// Asks for the metrics.
     Telemetry,
-    /// Close clients' connections, and take no new ones.
+    /// Closes clients' connections and tells new ones to go elsewhere.
     Evacuate,
-    /// Accept clients again.
+    /// Accepts clients again.
     Activate,
-    /// The state of the shared policy.
+    /// Asks for the state of the shared policy.
     Policy,
 }
 
-/// A line that was read from a caller.
+/// A line read from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParsedCall {
-    /// A call.
+    /// A valid call.
     Call(Call),
-    /// A line that is no call; the reason is answered after `NAK`.
+    /// An invalid line, with the reason that follows `NAK` in the answer.
     Invalid(&'static str),
 }
 
 impl ParsedCall {
-    /// Reads one line, without its end.
+    /// Parses a line without its line end.
     pub fn read(line: &[u8]) -> ParsedCall {
         let Ok(line) = std::str::from_utf8(line) else { return ParsedCall::Invalid("not UTF-8") };
         match line.trim() {
@@ -59,53 +59,54 @@
 }
 
 struct Caller {
-    /// When it connected, in milliseconds of the clock.
+    /// When the caller connected, in milliseconds of the clock.
     connected_at: f64,
-    /// When it must have sent its line, or, once answered, have ended, in milliseconds of the clock.
+    /// When the caller must have sent its line or, once answered, closed its side; in milliseconds of the
+    /// clock.
     deadline: f64,
     is_answered: bool,
 }
 
-/// The console's connections.
+/// The console's listener and connections.
 pub struct Console {
     listener: usize,
     callers: FxHashMap<ConnId, Caller>,
 }
 
 impl Console {
-    /// A console on a listener that is open.
+    /// Creates a console on an open listener.
     pub fn new(listener: usize) -> Console {
         Console { listener, callers: FxHashMap::default() }
     }
 
-    /// Its listener.
+    /// Returns the index of the console's listener.
     pub fn listener(&self) -> usize {
         self.listener
     }
 
-    /// Whether a connection is a caller's.
+    /// Whether the connection belongs to a caller.
     pub fn owns(&self, conn: ConnId) -> bool {
         self.callers.contains_key(&conn)
     }
 
-    /// When `sweep` is to be called next, in milliseconds of the clock.
+    /// Returns when `sweep` must be called next, in milliseconds of the clock.
     pub fn next_deadline(&self) -> f64 {
         self.callers.values().map(|c| c.deadline).fold(f64::INFINITY, f64::min)
     }
 
-    /// Accepts callers. At the bound the one that connected first makes room: callers that send nothing never keep out one that
-    /// does.
+    /// Accepts callers. At the limit the oldest connection is closed, so that callers that send nothing never
+    /// keep out one that does.
     pub fn accept(&mut self, net: &mut Sockets, now: f64) {
         for _ in 0..MAX_CALLERS {
             let Some(id) = net.accept(self.listener) else { return };
             while self.callers.len() >= MAX_CALLERS {
-                let first = self
+                let oldest = self
                     .callers
                     .iter()
                     .min_by(|a, b| a.1.connected_at.total_cmp(&b.1.connected_at))
                     .map(|(&id, _)| id);
-                let Some(first) = first else { break };
-                self.close(net, first);
+                let Some(oldest) = oldest else { break };
+                self.close(net, oldest);
             }
             self.callers.insert(
                 id,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Reads what a caller has sent. Returns its call once its line is complete; a line that is no call is answered here.
+    /// Reads from a caller. Returns the call once its line is complete; an invalid line is answered here.
     pub fn on_ready(&mut self, net: &mut Sockets, id: ConnId, now: f64) -> Option<Call> {
         let caller = self.callers.get_mut(&id)?;
         let conn = net.conn(id)?;
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Writes a caller's answer. The connection ends once the caller has read it.
+    /// Writes the answer to a caller. The connection is closed once the caller has read it.
     pub fn answer(&mut self, net: &mut Sockets, id: ConnId, now: f64, text: &str) {
         let Some(caller) = self.callers.get_mut(&id) else { return };
         (caller.is_answered, caller.deadline) = (true, now + LINGER_TIMEOUT_MS);
@@ -167,11 +168,11 @@
         }
     }
 
-    /// Ends the connections of callers that take too long.
+    /// Closes the connections of callers past their deadline.
     pub fn sweep(&mut self, net: &mut Sockets, now: f64) {
-        let over: Vec<ConnId> =
+        let expired: Vec<ConnId> =
             self.callers.iter().filter(|(_, c)| c.deadline <= now).map(|(&id, _)| id).collect();
-        for id in over {
+        for id in expired {
             self.close(net, id);
         }
     }
--- a/src/frontend/console/tests.rs
+++ b/src/frontend/console/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of `console`.
+//! Tests for `console`.
 
 use super::*;
 
-/// Guards the calls' words and that what is not a call is named as such, never taken for one.
+/// Checks the names of the calls, and that any other line is reported as invalid.
 #[test]
 fn console_lines_parse_as_calls() {
     assert_eq!(ParsedCall::read(b"readyz"), ParsedCall::Call(Call::Readyz));
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -1,11 +1,11 @@
-//! Discovery: a watch of the endpoint list, for any frontend that takes it from there. It owns the one connection to
-//! discovery and the version of the list that is held; when to call after a failure is the router's decision.
+//! Client of the discovery service: watches the endpoint list for a frontend. It owns the single connection
+//! to discovery and the version of the list held. The router decides when to call again after a failure.
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
 //! | off | the router asks for the list | calling |
 //! | calling | an answer | pausing, then calling again |
-//! | calling | a long poll is silent past its time | pausing for no time, then calling on a new connection |
+//! | calling | a long poll gets no answer in time | pausing for no time, then calling on a new connection |
 //! | calling | any other failure | off; with an agent, pausing |
 
 mod call_timing;
@@ -23,33 +23,38 @@
 
 pub use update::DiscoveryUpdate;
 
-/// How long a connection may take to come up, in milliseconds: until then nothing of the call was sent.
+/// How long a connection may take to be established, in milliseconds. Nothing of the call has been sent until
+/// then.
 const CONNECT_TIMEOUT_MS: f64 = 2_500.0;
-/// Time between a failed call to an agent and the next, in milliseconds.
+/// Time between a failed call to an agent and the next call, in milliseconds.
 const AGENT_RETRY_INTERVAL_MS: f64 = 200.0;
-/// A call on a reused connection that ends this soon has crossed its closing, in milliseconds: it was not read, and is made
-/// again.
+/// If a reused connection is closed within this time after a call was sent on it, in milliseconds, the close
+/// crossed the call: the service has not read the call, and it is sent again.
 const CROSSED_CLOSE_MS: f64 = 500.0;
-/// Answers in a row of older versions that are passed over before the service is held to count anew.
+/// Maximum number of consecutive answers with an older version that are ignored; after that the service is
+/// assumed to have restarted its version count.
 const MAX_STALE_ANSWERS: u32 = 1;
-/// Time between an answer and the next call of the watch, in milliseconds: a watch breaks after 200 ms.
+/// Time between an answer and the next call of the watch, in milliseconds. A watch counts as broken if 200 ms
+/// pass between the two.
 const WATCH_INTERVAL_MS: f64 = 40.0;
-/// A call that has been out for longer may have fallen silent, in milliseconds, and is given up where another is asked for.
+/// Age in milliseconds after which a call may have lost its connection silently, and is replaced if the
+/// router asks for another.
 const MIN_CALL_AGE_MS: f64 = 1_000.0;
 
-/// The state of the watch.
+/// State of the watch.
 enum Watch {
     Off,
-    /// The process ends, and asks no more.
+    /// The process is stopping and sends no more calls.
     Stopped,
     Calling {
         started_at_ms: f64,
-        /// When it is given up, unless its connection does not come up before.
+        /// When the call is given up, unless its connection is not established before.
         deadline_ms: f64,
         is_connecting: bool,
-        /// It may wait for news: its silence says that the watch is broken, not that discovery is.
+        /// Whether the call is a long poll. A long poll without an answer shows a broken watch, not that
+        /// discovery has failed.
         is_long_poll: bool,
-        /// It went out on a connection that had answered before.
+        /// Whether the call was sent on a connection that had answered before.
         is_reused: bool,
     },
     Pausing {
@@ -57,27 +62,28 @@
     },
 }
 
-/// The one connection to discovery.
+/// The connection to discovery and the state of the watch.
 pub struct Discovery {
     address: SocketAddr,
-    /// The address in the file as last read. The environment may have named another one at the start.
+    /// The address in the configuration as last read. The environment may have set another one at the start.
     configured: Option<SocketAddr>,
     conn: Option<ConnId>,
-    /// The version held; none where the next call asks for the whole list.
+    /// The version of the list held; `None` if the next call asks for the complete list.
     version: Option<u64>,
-    /// Answers in a row that told an older version than the one held, and were not taken.
+    /// Number of consecutive answers that were ignored because their version was older than the one held.
     stale_answers: u32,
     watch: Watch,
-    /// The next call is to be answered at once, whether or not there is news: nothing was answered since the start, or since
-    /// the watch fell silent.
+    /// Whether the next call asks for an immediate answer rather than waiting for changes: no call was
+    /// answered since the start, or since the watch lost its connection silently.
     wants_immediate_answer: bool,
-    /// How long the call may wait that was begun last, in milliseconds, until it is asked for.
+    /// How long the last call that was started may wait for changes, in milliseconds, until
+    /// `take_started_call` reads it.
     started_wait_ms: Option<f64>,
     rng: fastrand::Rng,
 }
 
 impl Discovery {
-    /// A watch that has not begun, from a version on.
+    /// Creates a watch that has not started, for changes after `version`.
     pub fn new(address: SocketAddr, configured: Option<SocketAddr>, version: u64, seed: u64) -> Discovery {
         let rng = fastrand::Rng::with_seed(seed);
         Discovery {
@@ -93,20 +99,20 @@
         }
     }
 
-    /// Begins the watch where lists are pushed: no call of the router does, since calls to an agent cost nothing and
-    /// what it has counts as told whether or not a watch is open.
+    /// Starts the watch if an agent pushes lists. The router does not request calls to an agent: they cost
+    /// nothing, and the list that the agent has counts as received whether or not a watch is open.
     pub fn start(&mut self, now_ms: f64, settings: &Settings) {
         if !settings.must_subscribe {
             self.watch = Watch::Pausing { deadline_ms: now_ms };
         }
     }
 
-    /// Whether a connection is its own.
+    /// Whether the connection belongs to this watch.
     pub fn owns(&self, conn: ConnId) -> bool {
         self.conn == Some(conn)
     }
 
-    /// When `tick` is to be called next.
+    /// Returns when `tick` must be called next, in milliseconds of the clock.
     pub fn next_deadline(&self) -> f64 {
         match self.watch {
             Watch::Off | Watch::Stopped => f64::INFINITY,
@@ -117,24 +123,25 @@
         }
     }
 
-    /// The version of the list that is held, where one is.
+    /// Returns the version of the list held, if any.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// How long the call may wait for news that was begun since the last time that this was asked, in milliseconds.
+    /// Returns how long the last call that was started may wait for changes, in milliseconds; `None` if no
+    /// call was started since this was last read.
     pub fn take_started_call(&mut self) -> Option<f64> {
         self.started_wait_ms.take()
     }
 
-    /// Calls discovery, unless a call was begun just now. One that has waited for a while is begun anew, on a new
-    /// connection: the old one may have fallen silent.
+    /// Calls discovery, unless a call was just started. A call that is older than `MIN_CALL_AGE_MS` is
+    /// replaced on a new connection, because the old connection may be dead without an error.
     pub fn call(&mut self, net: &mut Sockets, now_ms: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
         if let Watch::Stopped = self.watch {
             return None;
         }
         if let Watch::Calling { started_at_ms, .. } = self.watch {
-            // A call that is given up takes discovery's time all the same: many would only make the line longer.
+            // An abandoned call still takes discovery's time; many of them would only lengthen its queue.
             if now_ms < started_at_ms + MIN_CALL_AGE_MS || settings.is_large_fleet() {
                 return None;
             }
@@ -145,7 +152,7 @@
         self.start_call(net, now_ms, wait_ms, settings)
     }
 
-    /// Asks for what is newer than the version held, and lets the call wait so long for it.
+    /// Starts a call for changes after the version held, which discovery may hold for `wait_ms`.
     fn start_call(
         &mut self,
         net: &mut Sockets,
@@ -155,8 +162,8 @@
     ) -> Option<DiscoveryUpdate> {
         let is_long_poll = wait_ms > 0.0;
         let timeout_ms = call_timing::silence_timeout_ms(settings, is_long_poll);
-        let fresh = |id: &ConnId| net.conn(*id).is_some_and(|conn| conn.is_fresh());
-        let reusable = self.conn.filter(fresh);
+        let is_fresh = |id: &ConnId| net.conn(*id).is_some_and(|conn| conn.is_fresh());
+        let reusable = self.conn.filter(is_fresh);
         self.watch = Watch::Calling {
             started_at_ms: now_ms,
             deadline_ms: now_ms + wait_ms + timeout_ms,
@@ -178,7 +185,7 @@
             Err(_) => return self.on_failed(net, now_ms, settings, CallFailure::Local),
         };
         self.conn = Some(conn);
-        // Not before: a call that could not be made would count as one that is out.
+        // Set only now: a call that could not be sent must not count as in flight.
         self.started_wait_ms = Some(wait_ms);
         let target = match self.version {
             Some(version) => format!("/discovery/hosts?since={version}&timeout_ms={}", wait_ms as u64),
@@ -189,20 +196,20 @@
         None
     }
 
-    /// Its connection can be read, or broke.
+    /// Handles the connection when it became readable or failed.
     pub fn on_ready(&mut self, net: &mut Sockets, now_ms: f64, site: &Site) -> Option<DiscoveryUpdate> {
         let conn = self.conn.and_then(|id| net.conn(id))?;
         conn.pump();
         let ended = conn.eof || conn.broken;
         let (is_connecting, is_refused) = (conn.connecting, conn.refused);
         let has_partial_answer = !conn.rx.is_empty();
-        // Guards against half an answer that is taken for a whole one: what a reset cuts off has not ended.
+        // A partial answer must not be taken for a complete one: an answer cut off by a reset has not ended.
         let message = http::read_response(&mut conn.rx, conn.eof && !conn.broken);
         if let Watch::Calling { is_connecting: was_connecting, .. } = &mut self.watch {
             *was_connecting = is_connecting;
         }
         let Watch::Calling { started_at_ms, is_long_poll, is_reused, .. } = self.watch else {
-            // Nothing was asked for.
+            // No call is in flight.
             if ended || !matches!(message, Ok(None)) {
                 self.close(net);
             }
@@ -210,7 +217,7 @@
         };
         match message {
             Ok(None) if !ended => None,
-            // Guards against a failure that is none: the call crossed the closing of a connection that was kept.
+            // The call crossed the close of a reused connection, which is not a failure of discovery.
             Ok(None) if is_reused && now_ms < started_at_ms + CROSSED_CLOSE_MS => {
                 self.close(net);
                 let wait_ms = if is_long_poll {
@@ -227,7 +234,7 @@
                 self.on_list(net, now_ms, site, &message.body)
             }
             Ok(Some(_)) => self.on_failed(net, now_ms, &site.settings, CallFailure::Broken),
-            // What has been written counts as told, whether or not all of it came.
+            // Discovery counts an answer as received once it has written it, even if not all of it arrived.
             Ok(None) if has_partial_answer => {
                 self.on_failed(net, now_ms, &site.settings, CallFailure::Incomplete)
             }
@@ -239,7 +246,7 @@
         }
     }
 
-    /// A complete answer has come.
+    /// Handles a complete answer.
     fn on_list(
         &mut self,
         net: &mut Sockets,
@@ -250,7 +257,7 @@
         let list = match parse_list(body, site) {
             Ok(list) => list,
             Err(e) => {
-                crate::say(format_args!("discovery's answer does not read: {e}"));
+                crate::say(format_args!("discovery sent an invalid list: {e}"));
                 return self.on_failed(net, now_ms, &site.settings, CallFailure::Incomplete);
             }
         };
@@ -263,9 +270,9 @@
         Some(DiscoveryUpdate::List { lines: list.lines, scope: list.scope })
     }
 
-    /// Whether a version is older than the one held. Guards against a drain that is forgotten again as a late copy of
-    /// the service answers. One that tells older versions again and again has begun to count anew: it is asked for the
-    /// whole list.
+    /// Whether a version is older than the one held. Ignoring such an answer keeps a lagging replica of the
+    /// service from undoing a drain. A service that repeatedly answers with older versions has restarted its
+    /// count, and is asked for the complete list.
     fn is_stale(&mut self, version: u64) -> bool {
         let stale = self.version.is_some_and(|held| version < held);
         self.stale_answers = if stale { self.stale_answers + 1 } else { 0 };
@@ -275,14 +282,14 @@
         stale
     }
 
-    /// Whether a configuration names another discovery service than before.
+    /// Whether a configuration names a different discovery service than the last one read.
     pub fn names_other_service(&self, configured: Option<SocketAddr>) -> bool {
         configured.is_some() && configured != self.configured
     }
 
-    /// Goes over to the discovery service that the configuration names, if it names another one than before.
-    /// Its versions need not go on from those of the old one, which soon ends all watches: the whole list is
-    /// asked for first.
+    /// Switches to the discovery service in the configuration, if it differs from the last one read. The
+    /// versions of the new service are unrelated to those of the old one, which soon ends all its watches; so
+    /// the complete list is requested first.
     pub fn switch_service(
         &mut self,
         net: &mut Sockets,
@@ -298,13 +305,13 @@
         self.tick(net, now_ms, settings)
     }
 
-    /// Ends the watch for good: nothing new is told to this process from now on.
+    /// Ends the watch permanently; this process receives no further changes.
     pub fn stop(&mut self, net: &mut Sockets) {
         self.close(net);
         self.watch = Watch::Stopped;
     }
 
-    /// Whether the watch was ended for good.
+    /// Whether the watch was ended permanently.
     pub fn is_stopped(&self) -> bool {
         matches!(self.watch, Watch::Stopped)
     }
@@ -315,7 +322,8 @@
         }
     }
 
-    /// The router says when to call again, but for an agent, which is asked again at once.
+    /// Handles a failed call. The router decides when to call again, except for an agent, which is called
+    /// again after `AGENT_RETRY_INTERVAL_MS`.
     fn on_failed(
         &mut self,
         net: &mut Sockets,
@@ -332,7 +340,7 @@
         Some(DiscoveryUpdate::Failed(failure))
     }
 
-    /// Does what is due by now.
+    /// Runs all work that is due.
     pub fn tick(&mut self, net: &mut Sockets, now_ms: f64, settings: &Settings) -> Option<DiscoveryUpdate> {
         if let Watch::Calling { is_connecting: true, .. } = self.watch
             && self.next_deadline() <= now_ms
@@ -340,9 +348,10 @@
             return self.on_failed(net, now_ms, settings, CallFailure::Silent);
         }
         match self.watch {
-            // Guards against a watch that has fallen silent and is missed only when the router calls again: it is
-            // asked anew at once, on a new connection. Watches of many end at unlike times, so that this is no rush.
-            // The next call is a step of its own, as it may fail in another way.
+            // A watch that lost its connection silently is reopened at once on a new connection; otherwise
+            // the loss would go unnoticed until the router calls again. The watches of many dispatchers end
+            // at different times, so this causes no burst of calls. The next call is a separate step, because
+            // it may fail in a different way.
             Watch::Calling { deadline_ms, is_long_poll: true, .. } if deadline_ms <= now_ms => {
                 self.close(net);
                 self.wants_immediate_answer = true;
--- a/src/frontend/discovery/call_timing.rs
+++ b/src/frontend/discovery/call_timing.rs
@@ -1,32 +1,37 @@
-//! How long calls for the list wait for news, and how long their answers are waited for.
+//! Durations of calls for the endpoint list: how long a call waits for changes, and how long to wait for its
+//! answer.
 
 use crate::core::millis;
 use crate::routing::Settings;
 
-/// How long a call waits for news, in milliseconds: silence on it is noticed, and made good, before what it missed counts as
-/// told 6 s after it fell silent and is to be followed 2 s later.
+/// How long a call waits for changes, in milliseconds. A silently broken call must be noticed and replaced in
+/// time: a change that it missed counts as received 6 s after the call fell silent, and must be followed 2 s
+/// later.
 const WATCH_WAIT_MS: f64 = 5_000.0;
-/// How long a call that need not wait may take, in milliseconds: discovery works through calls in turn.
+/// How long a call that asks for an immediate answer may take, in milliseconds. Discovery processes calls one
+/// after another.
 const CALL_TIMEOUT_MS: f64 = 2_500.0;
-/// The same where dispatchers are many: a call that is given up takes discovery's time all the same.
+/// Same limit as `CALL_TIMEOUT_MS`, for a large fleet: an abandoned call still takes discovery's time.
 const LARGE_FLEET_CALL_TIMEOUT_MS: f64 = 3_500.0;
-/// A watch that has not answered this long after its wait was over has fallen silent, in milliseconds. What it missed counts
-/// as told 2 s after that wait and is to be followed 2 s later: by then the call that follows has had its time as well.
+/// Time after the end of its wait at which a watch without an answer is considered broken, in milliseconds. A
+/// change that it missed counts as received 2 s after the wait, and must be followed 2 s later; the next call
+/// has time to complete by then.
 const SILENCE_TIMEOUT_MS: f64 = 1_000.0;
-/// How long a call waits for news where an agent on this machine pushes lists, in milliseconds: it answers at once and at no
-/// cost. While discovery is down it is silent, and what it is told at the return counts as told at that moment.
+/// How long a call waits for changes where an agent on this machine pushes lists, in milliseconds. The agent
+/// answers at once and at no cost. While discovery is down the agent is silent; what it receives when
+/// discovery returns counts as received at that moment.
 const AGENT_WAIT_MS: f64 = 1_000.0;
-/// After this time beyond its wait a call to an agent has fallen silent, in milliseconds.
+/// Time after the end of its wait at which a call to an agent is considered broken, in milliseconds.
 const AGENT_SILENCE_TIMEOUT_MS: f64 = 500.0;
-/// Longest wait of a watch where dispatchers are many, in milliseconds: a watch that falls silent is missed until its wait is
-/// over. Discovery gets through the calls of all dispatchers in about 8 s, however many they are; so a third of its time is
-/// taken at the most.
+/// Longest wait of a watch in a large fleet, in milliseconds: a watch that breaks silently is not noticed
+/// until its wait is over. Discovery processes the calls of all dispatchers in about 8 s, however many there
+/// are, so watches take a third of its time at most.
 const MAX_WATCH_WAIT_MS: f64 = 20_000.0;
-/// Where dispatchers are many, waits grow with their number, so that all of them together begin one in so many of the calls
-/// that discovery gets through.
+/// In a large fleet, waits grow with the number of dispatchers, so that together they start one call for
+/// every so many calls that discovery can process.
 const WAITS_PER_POLL: f64 = 3.0;
 
-/// How long a call may wait for news, in milliseconds.
+/// Returns how long a call may wait for changes, in milliseconds.
 pub(super) fn watch_wait_ms(settings: &Settings, rng: &mut fastrand::Rng) -> f64 {
     if !settings.must_subscribe {
         return AGENT_WAIT_MS;
@@ -35,11 +40,13 @@
         return WATCH_WAIT_MS;
     }
     let all = f64::from(settings.dispatchers) * millis(Settings::POLL_COST) * WAITS_PER_POLL;
-    // Guards against many dispatchers that come back at one time as nothing has changed for long.
+    // Random variation keeps many dispatchers from calling at the same time after a long period without
+    // changes.
     all.min(MAX_WATCH_WAIT_MS) * (0.5 + 0.5 * rng.f64())
 }
 
-/// How long after its wait a call has fallen silent, in milliseconds.
+/// Returns the time after the end of its wait at which a call without an answer is considered broken, in
+/// milliseconds.
 pub(super) fn silence_timeout_ms(settings: &Settings, is_long_poll: bool) -> f64 {
     match (settings.must_subscribe, is_long_poll) {
         (false, _) => AGENT_SILENCE_TIMEOUT_MS,
--- a/src/frontend/discovery/tests.rs
+++ b/src/frontend/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! What the watch reports of calls that cannot be made.
+//! Tests for the reports of the watch about calls that cannot be sent.
 
 use calloop::EventLoop;
 
@@ -7,7 +7,7 @@
 use crate::net::Net;
 use crate::routing::Settings;
 
-/// An address to which no connection can be begun: the system refuses at once.
+/// An address to which connecting fails immediately.
 const UNREACHABLE: ([u8; 4], u16) = ([127, 255, 255, 255], 9);
 
 fn settings() -> Settings {
@@ -19,13 +19,14 @@
     (Net::new(events.handle()), Discovery::new(UNREACHABLE.into(), None, 3, 1), events)
 }
 
-/// A call for the list that this process cannot make.
+/// A call for the list that this process cannot send must not count as in flight.
 ///
-/// What was seen: after an outage a dispatcher sent to a server for 2 s after its removal had to be followed. Why: the failure was
-/// reported first and the begin of the call after it, so that a call counted as out that nobody had made; 2.5 s later it counted as
-/// a long poll that discovery had accepted, and the list as watched. What showed it: the soak's seed 771204 with its discovery
-/// logged: `call not made call_ms=0`, then `attempts by the list allowed=true` 2.5 s later with no call in between, and `call not
-/// made call_ms=5999` at the next.
+/// After an outage, a dispatcher was found to send requests to a server 2 s after the server's removal had to
+/// be followed. The failure was reported before the start of the call, so a call counted as in flight that
+/// was never sent. 2.5 s later it counted as a long poll accepted by discovery, and the list as watched.
+/// Found by the soak with seed 771204 and logging of discovery: `call not made call_ms=0`, then `attempts by
+/// the list allowed=true` 2.5 s later with no call in between, and `call not made call_ms=5999` for the next
+/// call.
 #[test]
 fn a_call_that_cannot_be_sent_does_not_count_as_in_flight() {
     let (mut net, mut discovery, _events) = discovery();
@@ -35,8 +36,8 @@
     assert_eq!(discovery.take_started_call(), None);
 }
 
-/// A watch falls silent, and the call that is to follow it cannot be made. Guards against a silence that is reported as another
-/// failure: the list would count as watched until then.
+/// A watch falls silent, and the call that replaces it cannot be sent. The silence must be reported as such;
+/// reported as another failure, the list would count as watched up to then.
 #[test]
 fn a_silent_watch_is_reported_before_the_next_call_fails_locally() {
     let (mut net, mut discovery, _events) = discovery();
--- a/src/frontend/discovery/update.rs
+++ b/src/frontend/discovery/update.rs
@@ -1,25 +1,26 @@
-//! What a call for the list has brought, and how a core is told of it.
+//! Result of a call for the endpoint list, and its application to a core.
 
 use crate::core::{Core, ListScope, ListedEndpoint};
 use crate::routing::{CallFailure, EndpointId};
 
-/// What a call has brought.
+/// Result of a call for the endpoint list.
 pub enum DiscoveryUpdate {
-    /// The list, or its changes.
+    /// The endpoint list, or changes to it.
     List {
-        /// Its lines.
+        /// The endpoints in the answer.
         lines: Vec<ListedEndpoint>,
-        /// How much of the list they are.
+        /// Whether the lines are the complete list or changes.
         scope: ListScope,
     },
-    /// It failed. The router says when to call again.
+    /// The call failed; the router decides when to call again.
     Failed(CallFailure),
-    /// It failed, and is made again without being asked for.
+    /// The call failed, and is repeated without a request of the router.
     Retrying(CallFailure),
 }
 
 impl DiscoveryUpdate {
-    /// Tells a core, and gives the endpoints that were started again, or have moved: their old connections are gone.
+    /// Applies the update to a core. Returns the endpoints that restarted or moved; connections opened to
+    /// them before are no longer valid.
     pub fn apply(self, core: &mut Core) -> Vec<EndpointId> {
         let (lines, scope) = match self {
             DiscoveryUpdate::List { lines, scope } => (lines, scope),
@@ -32,14 +33,14 @@
                 return Vec::new();
             }
         };
-        let renewed = |line: &ListedEndpoint| {
+        let restarted = |line: &ListedEndpoint| {
             let id = core.endpoints().id(&line.name)?;
             let old = &core.endpoints().get(id)?;
             ((old.endpoint.started_at, &old.address) != (line.endpoint.started_at, &line.address))
                 .then_some(id)
         };
-        let renewed = lines.iter().filter_map(renewed).collect();
+        let restarted = lines.iter().filter_map(restarted).collect();
         core.on_list(lines, scope);
-        renewed
+        restarted
     }
 }
--- a/src/frontend/files.rs
+++ b/src/frontend/files.rs
@@ -1,5 +1,5 @@
-//! The files that the settings come from, read together: what the connections of one frontend may take is not another's to
-//! give out.
+//! The files that the settings are read from. They are read together because the frontends share one limit on
+//! file descriptors: descriptors reserved by one frontend are not available to another.
 
 use std::net::SocketAddr;
 
@@ -8,85 +8,85 @@
 use super::{fleet, gearman, http, operator, streaming};
 use crate::json::{self, JsonError, JsonValue, field, text};
 
-/// Why the files cannot be used.
+/// The reason why the files are rejected.
 #[derive(Debug, Error)]
 pub enum FilesError {
     /// A file cannot be read.
     #[error("{path}: {cause}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The I/O error.
         cause: std::io::Error,
     },
-    /// A file is no JSON.
+    /// A file is not valid JSON.
     #[error("{path}: {cause}")]
     Json {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The syntax error.
         cause: JsonError,
     },
-    /// The operator's file does not fit.
+    /// The operator's file is invalid.
     #[error(transparent)]
     Operator(#[from] operator::FileError),
-    /// The console's address in the environment does not read.
-    #[error("LB_CONSOLE is no address: {0}")]
+    /// `LB_CONSOLE` in the environment is not a valid address.
+    #[error("LB_CONSOLE is not a socket address: {0}")]
     ConsoleVariable(String),
-    /// The console's address in the platform's configuration does not read.
-    #[error("`console` is no address: {0}")]
+    /// `console` in the platform's configuration is not a valid address.
+    #[error("`console` is not a socket address: {0}")]
     ConsoleField(String),
-    /// Gearman's frontend has two files.
+    /// The Gearman frontend is configured in two files.
     #[error("{0}: Gearman is set up in two files")]
     TwoGearmanFiles(String),
-    /// Gearman's settings do not fit.
+    /// The settings of the Gearman frontend are invalid.
     #[error("{path}: {cause}")]
     Gearman {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What is wrong.
+        /// The error found.
         cause: gearman::ConfigError,
     },
-    /// The platform's configuration does not fit.
+    /// The platform's configuration is invalid.
     #[error("{path}: {cause}")]
     Http {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What is wrong.
+        /// The error found.
         cause: http::ConfigError,
     },
 }
 
-/// The files that the settings come from, by their paths.
+/// Paths of the files that the settings are read from.
 pub struct Files {
     /// The platform's configuration.
     pub config: Option<String>,
-    /// The settings of Gearman's frontend alone.
+    /// The file with the settings of the Gearman frontend alone.
     pub gearman: Option<String>,
-    /// The operator's file of all frontends.
+    /// The operator's file, which may configure all frontends.
     pub operator: Option<String>,
 }
 
-/// What the files say, a frontend each.
+/// The configurations read from the files.
 pub struct Configs {
-    /// The platform's.
+    /// The HTTP frontend's configuration.
     pub http: Option<http::Config>,
-    /// Gearman's.
+    /// The Gearman frontend's configuration.
     pub gearman: Option<gearman::Config>,
-    /// The streaming frontend's.
+    /// The streaming frontend's configuration.
     pub streaming: Option<streaming::Config>,
-    /// The fleet's.
+    /// The fleet's configuration.
     pub fleet: Option<fleet::Config>,
-    /// The console's address: of `$LB_CONSOLE`, of `console` in the platform's configuration, or of the operator's file, in
-    /// that order.
+    /// The console's address, taken from the first of these that is set: `$LB_CONSOLE`, `console` in the
+    /// platform's configuration, the operator's file.
     pub console: Option<SocketAddr>,
 }
 
 impl Files {
-    /// Reads the files that there are.
+    /// Reads all files that are given.
     ///
     /// # Errors
-    /// Where one of them cannot be read, or does not fit.
+    /// If one of them cannot be read or is invalid.
     pub fn read(&self) -> Result<Configs, FilesError> {
         let config = self.config.as_deref().map(load).transpose()?;
         let operator = self.operator.as_ref().map(|path| operator::read(path.as_ref())).transpose()?;
@@ -107,7 +107,8 @@
         Ok(Configs { http: http.transpose()?, gearman, streaming, fleet, console })
     }
 
-    /// Gearman's settings, of a file of their own or of the operator's; the deployment's settings stand in for their own.
+    /// Reads the Gearman frontend's settings from their own file or the operator's file. Where they have no
+    /// `settings` of their own, the platform's apply.
     fn read_gearman(
         &self,
         table: Option<JsonValue>,
@@ -125,13 +126,13 @@
         Ok(Some(config))
     }
 
-    /// The file that Gearman's settings are in.
+    /// Returns the path of the file with the Gearman frontend's settings.
     pub fn gearman_path(&self) -> Option<&String> {
         self.gearman.as_ref().or(self.operator.as_ref())
     }
 }
 
-/// The console's address, of the environment or of the platform's configuration.
+/// Returns the console's address from the environment or the platform's configuration.
 fn console_address(config: Option<&JsonValue>) -> Result<Option<SocketAddr>, FilesError> {
     if let Ok(found) = std::env::var("LB_CONSOLE") {
         return found.parse().map(Some).map_err(|_| FilesError::ConsoleVariable(found));
--- a/src/frontend/gateway.rs
+++ b/src/frontend/gateway.rs
@@ -1,5 +1,6 @@
-//! The gateway: all that runs in the program's main thread. It owns the sockets, the clock, the frontends and the console,
-//! hands each what happens on its connections, and carries out operators' calls, signals and reloads over all of them.
+//! The gateway: everything that runs in the program's main thread. It owns the sockets, the clock, the
+//! frontends and the console, dispatches socket events to them, and applies operators' calls, signals and
+//! configuration reloads to all of them.
 
 use std::path::PathBuf;
 
@@ -17,76 +18,76 @@
 use crate::net::{ConnId, Handler};
 use crate::telemetry::{self, Gauges};
 
-/// Why files that were read again are not taken over.
+/// The reason why reloaded files are not applied.
 #[derive(Debug, Error)]
 pub enum ReloadError {
-    /// They do not read.
+    /// A file cannot be read or is invalid.
     #[error(transparent)]
     Files(#[from] FilesError),
-    /// The wanted policy does not read.
+    /// The policy file cannot be read or is invalid.
     #[error(transparent)]
     Policy(#[from] PolicyFileError),
-    /// The platform's configuration takes a restart.
+    /// The change in the platform's configuration needs a restart.
     #[error("{path}: {cause}")]
     Http {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The change that needs a restart.
         cause: IncompatibleSettings,
     },
-    /// Gearman's file takes a restart, or its identity does not read.
+    /// The change in Gearman's settings needs a restart, or its identity is invalid.
     #[error("{path}: {cause}")]
     Gearman {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The change that needs a restart, or the error in the identity.
         cause: gearman::IncompatibleConfig,
     },
-    /// The streaming frontend's file takes a restart.
+    /// The change in the streaming frontend's settings needs a restart.
     #[error("{path}: {cause}")]
     Streaming {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The change that needs a restart.
         cause: streaming::IncompatibleConfig,
     },
 }
 
-/// The handover note that this process has left.
+/// The handover note that this process has written.
 #[derive(Clone, Debug)]
 pub struct OwnNote {
-    /// Where it is.
+    /// The path of the note.
     pub path: PathBuf,
-    /// Since when this process listens, in milliseconds since the Unix epoch.
+    /// When this process began to listen, in milliseconds since the Unix epoch.
     pub listening_since_ms: u64,
 }
 
-/// All that runs in the program's main thread.
+/// The state of the program's main thread.
 pub struct Gateway {
-    /// The sockets.
+    /// The sockets of all frontends and the console.
     pub net: Sockets,
-    /// The platform's frontend, where it is set up.
+    /// The platform's HTTP frontend, if configured.
     pub http: Option<HttpFrontend>,
-    /// Gearman's frontend, where it is set up.
+    /// The Gearman frontend, if configured.
     pub gearman: Option<GearmanFrontend>,
-    /// The streaming frontend, where it is set up.
+    /// The streaming frontend, if configured.
     pub streaming: Option<StreamingFrontend>,
-    /// The frontends' side of the fleet, where it is set up.
+    /// The main thread's side of the fleet, if configured.
     pub fleet: Option<Fleet>,
-    /// The operators' console, where it is set up.
+    /// The operators' console, if configured.
     pub console: Option<Console>,
-    /// Where the process is in its life.
+    /// The phase of the process, from serving to stopped.
     pub lifecycle: Lifecycle,
-    /// The handover note of this process, where it could leave one.
+    /// The handover note of this process, if it could be written.
     pub note: Option<OwnNote>,
-    /// The clock.
+    /// The clock that all deadlines refer to.
     pub clock: Clock,
-    /// The files that its settings come from.
+    /// The files that the settings are read from.
     pub files: Files,
 }
 
 impl Gateway {
-    /// Does what is due by now.
+    /// Runs all work that is due.
     pub fn tick(&mut self) {
         if let Some(console) = &mut self.console {
             console.sweep(&mut self.net, self.clock.now());
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Hands the platform's core what its zones may get, and carries out what is to be done with the policy.
+    /// Passes the fleet's zone shares to the platform's core, and carries out the fleet's policy commands.
     fn tick_fleet(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         fleet.tick(self.http.as_mut().map(HttpFrontend::core_mut));
@@ -120,7 +121,7 @@
         }
     }
 
-    /// When `tick` is to be called next, in milliseconds of the clock.
+    /// Returns when `tick` must be called next, in milliseconds of the clock.
     pub fn next_deadline(&self) -> f64 {
         [
             self.http.as_ref().map_or(f64::INFINITY, HttpFrontend::next_deadline),
@@ -133,8 +134,8 @@
         .fold(f64::INFINITY, f64::min)
     }
 
-    /// Carries an operator's call out and words its answer.
-    pub fn call(&mut self, call: Call) -> String {
+    /// Carries out an operator's call and returns the text of its answer.
+    pub fn handle_call(&mut self, call: Call) -> String {
         match call {
             Call::Readyz => self.readiness(),
             Call::Telemetry => self.telemetry() + "--\n",
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Whether the process is ready to serve. Once it says so, the process that it replaces may stop listening.
+    /// Returns the answer to `readyz`. Once this process says that it is ready, the process that it replaces
+    /// may stop listening.
     fn readiness(&self) -> String {
         if self.http.as_ref().is_some_and(|http| !http.has_reached_predecessor() || !http.has_usable_list()) {
             "NAK joining\n".into()
@@ -168,7 +170,7 @@
         "ACK\n".into()
     }
 
-    /// The figures of all frontends, in the text exposition format.
+    /// Returns the metrics of all frontends, in the text exposition format.
     pub fn telemetry(&self) -> String {
         let mut cores: Vec<&Core> = Vec::new();
         cores.extend(self.http.as_ref().map(HttpFrontend::core));
@@ -184,7 +186,7 @@
             + &self.fleet.as_ref().map(Fleet::figures).unwrap_or_default()
     }
 
-    /// Begins to stop: what was taken is finished, and nothing new is taken after a short while.
+    /// Begins to stop: accepted requests are finished, and after a short time no new ones are accepted.
     pub fn stop(&mut self) {
         let has_successor =
             !self.lifecycle.is_stopping() && self.note.as_ref().is_some_and(OwnNote::has_successor);
@@ -192,7 +194,8 @@
         if let Some(http) = &mut self.http {
             http.stop(&mut self.net, has_successor);
         }
-        // A successor needs the fleet's address now; without one the lease is given back once nothing new is taken.
+        // A successor needs the fleet's address now. Without one, the lease is returned once no new requests
+        // are accepted.
         if let Some(fleet) = self.fleet.as_mut().filter(|_| has_successor || self.http.is_none()) {
             fleet.stop(Departure::ServesOn);
         }
@@ -204,14 +207,14 @@
         }
     }
 
-    /// Reads the files again and takes their settings over; what is in flight goes on.
+    /// Reads the files again and applies their settings; open jobs continue.
     ///
     /// # Errors
-    /// Where a file does not read or takes a restart: then all settings in force stay as they are.
+    /// If a file is invalid or its changes need a restart; the settings in force are then unchanged.
     pub fn reload(&mut self) -> Result<(), ReloadError> {
         let Configs { http, gearman, streaming, fleet, .. } = self.files.read()?;
         let wanted = fleet.and_then(|fleet| fleet.rollout).map(|rollout| rollout.read()).transpose()?;
-        // All must fit before any is taken over.
+        // All files are checked before any of them is applied.
         if let (Some(frontend), Some(config)) = (&self.http, &http) {
             let path = self.files.config.clone().unwrap_or_default();
             frontend.check_compatible(config).map_err(|cause| ReloadError::Http { path, cause })?;
@@ -242,14 +245,14 @@
         Ok(())
     }
 
-    /// Whether all of it has stopped.
+    /// Whether all frontends have stopped.
     pub fn is_stopped(&mut self) -> bool {
         let http = self.http.as_mut().is_none_or(|frontend| frontend.is_stopped(&mut self.net));
         let gearman = self.gearman.as_mut().is_none_or(|frontend| frontend.is_stopped(&mut self.net));
         http && gearman && self.streaming.as_mut().is_none_or(|frontend| frontend.is_stopped(&mut self.net))
     }
 
-    /// The counters of all frontends.
+    /// Returns the counters of all frontends.
     pub fn counters(&self) -> String {
         let http = self.http.as_ref().map(|frontend| {
             let (counters, forwarded) = (frontend.core().counters(), frontend.forwarded_callbacks());
@@ -263,13 +266,13 @@
 }
 
 impl OwnNote {
-    /// Whether another process has left its note there since.
+    /// Whether another process has written its note at the same path since this one began to listen.
     fn has_successor(&self) -> bool {
         handover::has_successor(&self.path, std::process::id(), self.listening_since_ms)
     }
 }
 
-/// A phase as the console names it.
+/// Returns the name of a phase in console answers.
 fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Serving => "serving",
@@ -285,7 +288,7 @@
         if let Some(console) = self.console.as_mut().filter(|console| console.owns(conn)) {
             let now_ms = self.clock.now();
             if let Some(call) = console.on_ready(&mut self.net, conn, now_ms) {
-                let answer = self.call(call);
+                let answer = self.handle_call(call);
                 if let Some(console) = &mut self.console {
                     console.answer(&mut self.net, conn, now_ms, &answer);
                 }
--- a/src/frontend/handover.rs
+++ b/src/frontend/handover.rs
@@ -1,7 +1,8 @@
-//! The files in `$TMPDIR` by which two processes of one dispatcher find each other at an upgrade. The newer one leaves a note
-//! that it listens at the clients' address; the older one reads it at SIGTERM and hands over instead of draining. It leaves
-//! its warm state in a second file, and beside it a line on the list in that state. All are replaced by a rename, and read
-//! defensively: a note that does not read, or is of a process that is gone, names no successor.
+//! Files in `$TMPDIR` by which two processes of one dispatcher find each other during an upgrade. The new
+//! process writes a note that it listens at the clients' address; the old one reads the note at SIGTERM and
+//! hands over instead of draining. The old process saves its warm state in a second file, and a description
+//! of the endpoint list in that state in a third. All files are replaced by a rename and validated when read:
+//! a malformed note, or one of a process that has exited, names no successor.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,17 +10,17 @@
 
 use crate::lifecycle::list_handover::ListHandover;
 
-/// First word of a note, with its version.
+/// Start of a note, with the version of its format.
 const MAGIC: &str = "micabeam-handover 1";
-/// Longest note that is read, in bytes.
+/// Maximum size of a note that is read, in bytes.
 const MAX_NOTE_BYTES: u64 = 512;
 
-/// A process's note.
+/// The note that a listening process writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HandoverNote {
-    /// Its process id.
+    /// The process ID.
     pub pid: u32,
-    /// When it began to listen, in milliseconds since the Unix epoch.
+    /// When the process began to listen, in milliseconds since the Unix epoch.
     pub listening_since_ms: u64,
 }
 
@@ -28,7 +29,7 @@
         format!("{MAGIC} pid={} at={}\n", self.pid, self.listening_since_ms)
     }
 
-    /// Reads a note's text; none where it is torn or not of this form.
+    /// Parses a note; `None` if it is truncated or malformed.
     pub fn parse(text: &str) -> Option<HandoverNote> {
         let line = text.strip_suffix('\n').filter(|line| !line.contains('\n'))?;
         let rest = line.strip_prefix(MAGIC)?.strip_prefix(' ')?;
@@ -39,15 +40,15 @@
     }
 }
 
-/// Where the note of the processes at an address lies.
+/// Returns the path of the note for a listening address.
 pub fn note_path(dir: &Path, listen: SocketAddr) -> PathBuf {
     dir.join(format!("micabeam-{}-{}.handover", listen.ip(), listen.port()))
 }
 
-/// Writes this process's note, by a rename.
+/// Writes the note of this process, replacing the old one by a rename.
 ///
 /// # Errors
-/// Where the file cannot be written.
+/// If the file cannot be written.
 pub fn write_note(path: &Path, note: HandoverNote) -> std::io::Result<()> {
     let temporary = path.with_extension(format!("handover.{}", note.pid));
     let mut file = std::fs::File::create(&temporary)?;
@@ -56,21 +57,22 @@
     std::fs::rename(&temporary, path)
 }
 
-/// Writes what a process that replaces this one is to know, by a rename. Not synced: it is for a process that runs beside
-/// this one.
+/// Saves the warm state for the process that replaces this one, replacing the old file by a rename. The file
+/// is not synced, since it is only read by a process that runs at the same time.
 ///
 /// # Errors
-/// Where the file cannot be written.
+/// If the file cannot be written.
 pub fn write_warm_state(note: &Path, pid: u32, bytes: &[u8]) -> std::io::Result<()> {
     let temporary = note.with_extension(format!("memory.{pid}"));
     std::fs::write(&temporary, bytes)?;
     std::fs::rename(&temporary, note.with_extension("memory"))
 }
 
-/// Reads what was left, `max_bytes` at most. It stays: the line on its list may come later than it.
+/// Reads at most `max_bytes` of the saved warm state. The file is kept, because the description of its list
+/// may be written later.
 ///
 /// # Errors
-/// Where there is no such file, or it cannot be read.
+/// If there is no such file, or it cannot be read.
 pub fn read_warm_state(note: &Path, max_bytes: usize) -> std::io::Result<Vec<u8>> {
     use std::io::Read;
     let mut bytes = Vec::new();
@@ -78,20 +80,20 @@
     Ok(bytes)
 }
 
-/// Removes the state that was left: nobody else is to use it.
+/// Removes the saved warm state, so that no other process uses it.
 pub fn remove_warm_state(note: &Path) {
     let _ = std::fs::remove_file(note.with_extension("memory"));
 }
 
-/// Where a process says something of the list in the warm state that it has left.
+/// Returns the path of the file in which a process describes the list in its saved warm state.
 fn list_handover_path(note: &Path, pid: u32) -> PathBuf {
     note.with_extension(format!("list.{pid}"))
 }
 
-/// Writes what this process says of the list in the warm state that it has left.
+/// Writes the description of the list in the saved warm state.
 ///
 /// # Errors
-/// Where the file cannot be written.
+/// If the file cannot be written.
 pub fn write_list_handover(note: &Path, handover: ListHandover) -> std::io::Result<()> {
     let path = list_handover_path(note, handover.pid);
     let temporary = path.with_extension(format!("{}.new", handover.pid));
@@ -99,19 +101,20 @@
     std::fs::rename(&temporary, path)
 }
 
-/// Reads what the process `pid` says of the list that it has left, and removes it. None where there is nothing of it.
+/// Reads the description of the list that the process `pid` has saved, and removes it. Returns `None` if
+/// there is none or it is malformed.
 pub fn take_list_handover(note: &Path, pid: u32) -> Option<ListHandover> {
-    // Moved away first: what is left while it is read must not be removed with it.
+    // Renamed first, so that a description written while this one is read is not removed with it.
     let path = list_handover_path(note, pid);
-    let taken = path.with_extension(format!("{pid}.taken"));
-    std::fs::rename(path, &taken).ok()?;
-    let text = read(&taken).ok()?;
-    let _ = std::fs::remove_file(&taken);
+    let claimed = path.with_extension(format!("{pid}.taken"));
+    std::fs::rename(path, &claimed).ok()?;
+    let text = read(&claimed).ok()?;
+    let _ = std::fs::remove_file(&claimed);
     ListHandover::parse(&text?).filter(|handover| handover.pid == pid)
 }
 
-/// Whether another process that is alive left its note there after `since`. A note that does not read is named
-/// in the log, once, and counts as none.
+/// Whether another live process has written its note at `path` since `since_ms`. A note that cannot be read
+/// or is malformed is logged and ignored.
 pub fn has_successor(path: &Path, own_pid: u32, since_ms: u64) -> bool {
     let text = match read(path) {
         Ok(Some(text)) => text,
@@ -122,19 +125,20 @@
         }
     };
     let Some(note) = HandoverNote::parse(&text) else {
-        crate::say(format_args!("the hand-over note {} is ignored: it does not read", path.display()));
+        crate::say(format_args!("the hand-over note {} is ignored: it is malformed", path.display()));
         return false;
     };
     note.pid != own_pid && note.listening_since_ms >= since_ms && is_alive(note.pid)
 }
 
-/// The live process beside this one that the note names, if there is one. What does not read names none.
+/// Returns the other live process that the note names, if any. A note that cannot be read or is malformed
+/// names none.
 pub fn live_peer(path: &Path, own_pid: u32) -> Option<u32> {
     let note = HandoverNote::parse(&read(path).ok()??)?;
     (note.pid != own_pid && is_alive(note.pid)).then_some(note.pid)
 }
 
-/// Whether a process runs: one that has ended and was not waited for does not.
+/// Whether a process is running. A zombie, which has exited but was not waited for, is not.
 pub fn is_alive(pid: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"));
     stat.is_ok_and(|stat| {
--- a/src/frontend/http/attempts.rs
+++ b/src/frontend/http/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: written once their connections are up, cancelled, and ended by what their endpoints respond.
+//! Attempts: sent once their connection is established, cancelled, and ended by the endpoint's response.
 
 use std::rc::Rc;
 
@@ -12,7 +12,8 @@
 use crate::routing::{EndpointId, JobId, LoadReport, Outcome};
 
 impl HttpFrontend {
-    /// Finds a connection for an attempt. It is written once that is up, which may be much later.
+    /// Assigns a connection to an attempt. The request is written once the connection is established, which
+    /// may be much later.
     pub(super) fn send(&mut self, net: &mut Sockets, id: AttemptId, endpoint: EndpointId) {
         if self.client_has_left(net, id.job) {
             return;
@@ -27,8 +28,9 @@
         self.on_upstream_ready(net, conn);
     }
 
-    /// Writes an attempt whose connection is up. Much can have come between its decision and now: the client has left, the
-    /// endpoint drains, has moved or was started anew, the time for a repeat is over. Then it never ran.
+    /// Writes an attempt whose connection is established. The situation may have changed since the core's
+    /// decision: the client has left, the endpoint drains, has moved or was restarted, or the time for a
+    /// retry is over. In these cases the attempt never ran.
     pub(super) fn write_attempt(&mut self, net: &mut Sockets, conn: ConnId, id: AttemptId) {
         if self.client_has_left(net, id.job) {
             return;
@@ -42,21 +44,24 @@
         };
         let is_intact = net.conn(conn).is_some_and(|conn| conn.is_fresh());
         if is_valid && is_intact && self.upstreams.is_write_delayed(conn) {
-            // Guards against a request that crosses the end of a connection that was used just before: it may have run,
-            // and is answered as failed.
+            // The endpoint may be closing a connection that was used just before. A request that crosses the
+            // close may have run, and would have to be answered as failed; so the attempt waits (see
+            // `write_after_ms`).
             return;
         }
         let outcome = match (is_valid && permission != WritePermission::Denied, is_intact) {
             (true, true) if permission == WritePermission::Pending => {
-                // A second copy must not be open beside the first: it waits until that is cancelled.
+                // The previous attempt of the job must be cancelled before this one is written, since no two
+                // may be open at once.
                 return self.upstreams.set_deadline(conn, f64::INFINITY);
             }
             (true, true) => None,
-            // Guards against a job that is decided anew, and held, as an idle connection has ended: nothing was sent.
+            // The idle connection was closed and nothing was sent, so the attempt moves to a new connection.
+            // Ending it instead would hold the job for another decision.
             (true, false) if self.upstreams.was_pooled(conn) => {
                 return self.retry_on_new_connection(net, conn, id);
             }
-            // A connection that has ended says of an endpoint that took it just now that it fails.
+            // A connection that ended right after it was established shows that the endpoint is failing.
             (true, false) if !self.upstreams.was_connected_before(conn) => Some(Outcome::Unreachable),
             _ => Some(Outcome::NotSent),
         };
@@ -70,7 +75,7 @@
         self.on_upstream_ready(net, conn);
     }
 
-    /// Goes on with an attempt on a new connection, as the idle one that it was to be written on has ended.
+    /// Continues an attempt on a new connection, because the idle one chosen for it was closed.
     fn retry_on_new_connection(&mut self, net: &mut Sockets, ended: ConnId, id: AttemptId) {
         self.close_upstream(net, ended);
         let Some(attempt) = self.upstreams.attempts.get(&id) else { return };
@@ -85,7 +90,7 @@
         self.on_upstream_ready(net, conn);
     }
 
-    /// An attempt's request, with the time that is left to its client.
+    /// Builds an attempt's request, with the client's remaining time as its deadline.
     fn attempt_bytes(&self, id: JobId, host: String) -> Vec<u8> {
         let deadline_ms = self.core.job(id).map_or(0.0, |job| job.request.deadline_ms);
         let left_us = ((deadline_ms - self.core.clock().now()) * 1e3).max(0.0) as u64;
@@ -96,15 +101,18 @@
         http::write_request("POST", &job.target, &headers, Some(&job.body))
     }
 
-    /// Cancels an attempt: before the job was taken by closing the connection, after that by a `DELETE`.
+    /// Cancels an attempt: by closing its connection before the endpoint has accepted the job, by a `DELETE`
+    /// after that.
     pub(super) fn cancel(&mut self, net: &mut Sockets, id: AttemptId) {
         let Some(attempt) = self.upstreams.attempts.remove(&id) else { return };
-        // While the job goes on its next attempt waits where no two may be open together.
+        // Where no two attempts of a job may be open at once, the next attempt of an unfinished job waits for
+        // the cancellation.
         let next_waits = !self.core.site().allows_copies && self.jobs.contains_key(&id.job);
         if let Some(conn) = attempt.conn {
             let purpose = self.upstreams.purpose(conn);
             self.close_upstream(net, conn);
-            // A 202 that was lost on its way is one for the endpoint: then the close cancels nothing.
+            // The endpoint may have accepted the job with a 202 that has not arrived; closing the connection
+            // does not cancel the job then.
             let may_be_taken = matches!(purpose, Some(ConnectionUse::Attempt(_)));
             if !(next_waits && may_be_taken) {
                 return;
@@ -131,7 +139,8 @@
         self.on_upstream_ready(net, conn);
     }
 
-    /// A `DELETE` had no response: it may not have come, and is made again where the next attempt waits for it.
+    /// Handles a `DELETE` without a response, which may not have arrived. It is sent again if the next
+    /// attempt waits for it.
     pub(super) fn on_cancel_failed(&mut self, net: &mut Sockets, id: AttemptId) {
         let Some(cancelling) = self.upstreams.attempts.get_mut(&id) else { return };
         let Some(tries) = &mut cancelling.cancel_tries else { return };
@@ -145,7 +154,7 @@
         }
     }
 
-    /// An endpoint has confirmed that an attempt is cancelled: what waited for that goes on.
+    /// Handles an endpoint's confirmation that an attempt is cancelled: the next attempt may be written.
     pub(super) fn on_cancelled(&mut self, net: &mut Sockets, id: AttemptId) {
         if self.upstreams.attempts.get(&id).is_some_and(|attempt| attempt.cancel_tries.is_some()) {
             self.upstreams.attempts.remove(&id);
@@ -153,7 +162,7 @@
         }
     }
 
-    /// Lets a job's next attempt go on that waited for an older one to be cancelled.
+    /// Resumes the attempts of a job that waited for an older one to be cancelled.
     fn resume_next_attempt(&mut self, net: &mut Sockets, job: JobId) {
         let of_job = self.upstreams.attempts.iter().filter(|(id, _)| id.job == job);
         for conn in of_job.filter_map(|(_, attempt)| attempt.conn).collect::<Vec<_>>() {
@@ -161,7 +170,7 @@
         }
     }
 
-    /// Takes an attempt that has ended by a callback off its connection, which still awaits a response.
+    /// Detaches an attempt that was ended by a callback from its connection, which still awaits a response.
     pub(super) fn detach(&mut self, id: AttemptId) {
         let now_ms = self.core.clock().now();
         if let Some(conn) = self.upstreams.attempts.remove(&id).and_then(|attempt| attempt.conn) {
@@ -169,7 +178,7 @@
         }
     }
 
-    /// An endpoint has responded to an attempt.
+    /// Handles an endpoint's response to an attempt.
     pub(super) fn on_attempt_response(&mut self, id: AttemptId, message: &Message) {
         let report =
             message.header("srv-load").map_or(LoadReport::default(), |text| self.load_from_text(text));
@@ -180,8 +189,8 @@
                 }
             }
             _ if declines(message) => self.end_unserved(id, Outcome::Full, report),
-            // What is wrong with the request is not its endpoint's failure; to come too late, too early or too often is
-            // nothing wrong with it.
+            // A client error is the request's fault and not the endpoint's, except for 408, 425 and 429,
+            // which depend on timing and rate.
             400..500 if !matches!(message.status, 408 | 425 | 429) => {
                 self.end_unserved(id, Outcome::Unfit, report);
             }
@@ -189,7 +198,7 @@
         }
     }
 
-    /// Tells the core how an attempt ended other than served.
+    /// Reports to the core an attempt that ended without being served.
     pub(super) fn end_unserved(&mut self, id: AttemptId, outcome: Outcome, report: LoadReport) {
         self.upstreams.attempts.remove(&id);
         self.core.on_attempt_ended(id.job, id.number, outcome, report, Vec::new());
--- a/src/frontend/http/callbacks.rs
+++ b/src/frontend/http/callbacks.rs
@@ -1,24 +1,24 @@
-//! Callbacks: what endpoints tell of the jobs that they took, and the forms of their load reports.
+//! Callbacks: job events that endpoints send, and the formats of their load reports.
 
 use super::HttpFrontend;
 use super::upstream::AttemptId;
 use crate::json::{self, JsonValue, field, text};
 use crate::routing::{JobId, LoadReport, Outcome};
 
-/// What a callback is to this process.
+/// Result of processing a callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallbackResult {
-    /// It does not read.
+    /// The callback is malformed.
     Malformed,
-    /// It is of a job of this process. What is repeated or late is acknowledged all the same, since its sender would only
-    /// try again.
+    /// The callback is for a job of this process. Duplicate or late callbacks are acknowledged as well, since
+    /// their sender would only retry.
     Accepted,
     /// This process has no such job.
     Unknown,
 }
 
 impl HttpFrontend {
-    /// Takes a callback.
+    /// Processes the body of a callback.
     pub(super) fn on_callback(&mut self, body: &[u8]) -> CallbackResult {
         let Ok(callback) = json::parse(body) else { return CallbackResult::Malformed };
         let (Some(id), Some(from), Some(state)) =
@@ -33,8 +33,8 @@
         CallbackResult::Accepted
     }
 
-    /// The open attempt of a job at an endpoint. Guards against a late callback of an attempt that was cancelled: both the job
-    /// and the sender must match an attempt that is still open.
+    /// Returns the open attempt of a job at an endpoint. Both the job and the sender must match an open
+    /// attempt, so that a late callback of a cancelled attempt is ignored.
     fn open_attempt_at(&self, job: JobId, endpoint_name: &str) -> Option<AttemptId> {
         let endpoint = self.core.endpoints().id(endpoint_name)?;
         let attempts = &self.core.job(job)?.attempts;
@@ -42,7 +42,7 @@
         Some(AttemptId { job, number })
     }
 
-    /// An endpoint tells what has become of an attempt. A state that is not known changes nothing.
+    /// Handles an event of an attempt. An unknown state is ignored.
     fn on_job_event(&mut self, id: AttemptId, state: &str, callback: &JsonValue) {
         let outcome = match state {
             "started" => return self.core.on_attempt_started(id.job, id.number),
@@ -59,12 +59,13 @@
             Some(other) => other.stringify().unwrap_or_default().into_bytes(),
             None => Vec::new(),
         };
-        // The response to the attempt itself may be on its way yet: its connection waits for that.
+        // The response to the attempt's request may still be outstanding; its connection continues to wait
+        // for it.
         self.detach(id);
         self.core.on_attempt_ended(id.job, id.number, outcome, report, result);
     }
 
-    /// A load report that is a JSON object.
+    /// Parses a load report given as a JSON object.
     pub(super) fn load_from_json(&self, load: &JsonValue) -> LoadReport {
         let Some(fields) = load.get::<std::collections::HashMap<String, JsonValue>>() else {
             return LoadReport::default();
@@ -73,7 +74,7 @@
         self.core.site().named_report(numbers)
     }
 
-    /// A load report in the form `inflight=7,queue=2`.
+    /// Parses a load report of the form `inflight=7,queue=2`.
     pub(super) fn load_from_text(&self, text: &str) -> LoadReport {
         let number = |pair: &str| {
             let (name, value) = pair.split_once('=')?;
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -1,5 +1,5 @@
-//! Client connections: accepted, bounded, swept and ended here. What comes on them is read in `requests`, and what goes back
-//! is written in `responses`.
+//! Client connections: accepting, limiting, sweeping and closing them. Requests are read in `requests`, and
+//! responses are written in `responses`.
 
 use rustc_hash::FxHashMap;
 
@@ -8,59 +8,65 @@
 use crate::net::{AcceptState, Budget, ConnId};
 use crate::routing::JobId;
 
-/// How long a client may be silent while it owes the rest of a request, or its first byte, in milliseconds.
+/// How long a client may send nothing while the first byte or the rest of a request is outstanding, in
+/// milliseconds.
 pub(super) const READ_TIMEOUT_MS: f64 = 2500.0;
-/// How long a client may take to send a request from its first byte to its last, however steadily, in milliseconds.
+/// How long a client may take to send a request from its first byte to its last, even if it sends steadily,
+/// in milliseconds.
 pub(super) const REQUEST_TIMEOUT_MS: f64 = 20_000.0;
-/// Time between two sweeps for clients that take too long, in milliseconds.
+/// Interval between two sweeps for clients past their deadline, in milliseconds.
 pub(super) const SWEEP_INTERVAL_MS: f64 = 100.0;
-/// How long the end of a connection waits for the peer to end its side, in milliseconds.
+/// How long a connection whose write side is shut down waits for the peer to close its side, in milliseconds.
 const LINGER_TIMEOUT_MS: f64 = 1000.0;
-/// How long a connection without a request is left alone while the program stops, in milliseconds: a new one may yet bring
-/// its first callback.
+/// Idle time before a connection may be closed during a stop or an evacuation, in milliseconds: a new
+/// connection may be about to carry its first callback.
 const MIN_IDLE_BEFORE_CLOSE_MS: f64 = 250.0;
-/// How long a listener that is to be closed may stay open while the system refuses to accept, in milliseconds.
+/// How long a listener that is due to be closed stays open while the system refuses to accept, in
+/// milliseconds.
 const MAX_LISTENER_CLOSE_MS: f64 = 500.0;
-/// Connections accepted before other events of the loop have their turn.
+/// Maximum number of connections accepted in one pass, so that other events of the loop are handled as well.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-/// A request of which some bytes have come.
+/// A request that has arrived in part.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PartialRequest {
-    /// Since when it has been coming, in milliseconds.
+    /// When its first bytes were seen, in milliseconds of the clock.
     pub since_ms: f64,
-    /// How many of its bytes were there at the last look.
+    /// Number of its bytes buffered at the last check.
     pub seen_bytes: usize,
 }
 
-/// A client connection. Times are milliseconds of the clock.
+/// A client connection. Times are in milliseconds of the clock.
 pub(super) struct Client {
-    /// The job that it waits for.
+    /// The job whose answer the client waits for.
     pub job: Option<JobId>,
-    /// Since when it has had nothing to do.
+    /// Since when the connection has been idle.
     pub idle_since_ms: f64,
-    /// Whether it has brought callbacks, which go on to come while the program stops.
+    /// Whether the client has sent callbacks. Such connections stay open during a stop, since more callbacks
+    /// may follow.
     pub sends_callbacks: bool,
-    /// Whether its peer is another process of this dispatcher, which passes callbacks on.
+    /// Whether the peer is another process of this dispatcher, which forwards callbacks.
     pub is_upgrade_link: bool,
-    /// Whether something of it waits here before it becomes a job: a callback for the answer of another process, or a
-    /// request for the policy gate.
+    /// Whether a message from this connection is waiting without being a job: a callback that another process
+    /// is asked about, or a request held by the policy gate.
     pub is_waiting: bool,
-    /// When it is closed, once its last response is written.
+    /// When the connection is closed after its last response was written, even if the peer has not closed its
+    /// side.
     pub close_deadline_ms: Option<f64>,
-    /// When a complete request is to have come, if one is due.
+    /// When the next complete request must have arrived, if one is due.
     pub read_deadline_ms: Option<f64>,
     pub partial_request: Option<PartialRequest>,
-    /// Whether a request of it was taken, or a callback of it read.
+    /// Whether a request on this connection was admitted, or a callback on it read.
     pub has_sent_request: bool,
-    /// Bytes held for it: of a request that is not complete, or of its job.
+    /// Bytes buffered for the connection: its incomplete request, or the request of its job.
     pub buffered_bytes: usize,
-    /// How long its first request may have waited before it was accepted, in milliseconds.
+    /// How long the first request may have waited in the backlog, in milliseconds.
     pub backlog_wait_ms: f64,
 }
 
 impl Client {
-    /// A connection that was accepted just now, and may have waited so long for that.
+    /// Creates the state of a connection accepted now, which may have waited `backlog_wait_ms` in the
+    /// backlog.
     fn new(now_ms: f64, backlog_wait_ms: f64) -> Client {
         Client {
             job: None,
@@ -77,31 +83,32 @@
         }
     }
 
-    /// Whether nothing of it is under way, and it is not being closed.
+    /// Whether the connection has no open request and is not being closed.
     pub fn is_idle(&self) -> bool {
         self.job.is_none() && !self.is_waiting && self.close_deadline_ms.is_none()
     }
 
-    /// Whether it can bring no further request before something here has ended.
+    /// Whether the current request must end before the next one is read.
     pub fn is_busy(&self) -> bool {
         self.job.is_some() || self.is_waiting
     }
 }
 
-/// All client connections.
+/// All client connections of the frontend.
 pub(super) struct Clients {
     pub listener: usize,
     pub budget: Budget,
     pub connections: FxHashMap<ConnId, Client>,
-    /// Bytes held for all of them.
+    /// Bytes buffered for all connections.
     buffered_bytes: usize,
-    /// When to sweep next for clients that take too long.
+    /// When to check next for clients past their deadline.
     next_sweep_ms: f64,
-    /// Connections that have had their answer, and may hold their next request already.
+    /// Connections that were just answered and may already have their next request buffered.
     pub answered: Vec<ConnId>,
-    /// Connections that have had their turn, and may hold more.
+    /// Connections that used up their turn and may have more data buffered.
     pub deferred: Vec<ConnId>,
-    /// Since when the system refuses to accept, or what waited since then is not all accepted, in milliseconds.
+    /// Since when the system has refused to accept, in milliseconds of the clock. Stays set until the backlog
+    /// is empty again.
     refused_since_ms: Option<f64>,
 }
 
@@ -119,9 +126,10 @@
         }
     }
 
-    /// Takes in what an attempt to accept has shown. Gives how long a connection that was accepted now may have waited, in
-    /// milliseconds: since the system first refused, where the backlog was not empty after that. Guards against a deadline
-    /// that is passed on as if the request had come only now.
+    /// Updates the accept state after an attempt to accept. Returns how long a connection accepted now may
+    /// have waited in the backlog, in milliseconds: the time since the system first refused, if the backlog
+    /// has not been empty since. Without this, the deadline passed on to an endpoint would be too late, as if
+    /// the request had only just arrived.
     fn record_accept_state(&mut self, now_ms: f64, state: AcceptState) -> f64 {
         match state {
             AcceptState::Empty => self.refused_since_ms = None,
@@ -139,23 +147,24 @@
         self.connections.get_mut(&conn)
     }
 
-    /// When to look at them again.
+    /// Returns when the connections need attention next.
     pub fn next_deadline(&self) -> f64 {
         if self.deferred.is_empty() { self.next_sweep_ms } else { 0.0 }
     }
 
-    /// Whether every connection has ended.
+    /// Whether no client connection is left.
     pub fn all_ended(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Has the clients swept soon: a deadline of one of them has been set.
+    /// Schedules a sweep soon, because a client's deadline was set.
     pub fn schedule_sweep(&mut self, now_ms: f64) {
         self.next_sweep_ms = self.next_sweep_ms.min(now_ms + SWEEP_INTERVAL_MS);
     }
 
-    /// Notes the bytes that are held for a client, and tells whether they fit. Guards against memory that many half-sent
-    /// bodies take together, each within its bound. What is small always fits, callbacks above all.
+    /// Records the bytes buffered for a client and returns whether they fit the memory budget. Bounds the
+    /// total of many half-sent bodies, each of which is within its own limit. Amounts up to one client's
+    /// equal share always fit, so that callbacks are never refused.
     pub fn reserve(&mut self, id: ConnId, bytes: usize) -> bool {
         if let Some(client) = self.connections.get_mut(&id) {
             self.buffered_bytes = self.buffered_bytes - client.buffered_bytes + bytes;
@@ -164,8 +173,9 @@
         self.buffered_bytes <= self.budget.bytes || bytes <= self.budget.bytes / self.budget.clients
     }
 
-    /// The connection that has been idle longest. Guards against usual clients who lose their places to many that connect
-    /// and send nothing, or nothing that is taken: those go first.
+    /// Returns the connection without a job that has been idle longest, connections without an admitted
+    /// request or a callback first. Regular clients thus do not lose their connections to many others that
+    /// connect and send nothing useful.
     fn longest_idle(&self) -> Option<ConnId> {
         let order = |a: &Client, b: &Client| {
             let by_use = a.has_sent_request.cmp(&b.has_sent_request);
@@ -177,13 +187,13 @@
 }
 
 impl HttpFrontend {
-    /// Accepts what waits. At the limit the connection that has been idle longest makes room: the backlog counts as taken,
-    /// so that nothing may be left in it.
+    /// Accepts pending connections. At the limit, the connection that has been idle longest is closed to make
+    /// space: the kernel has already accepted those in the backlog on our behalf, so none may be left there.
     pub fn accept(&mut self, net: &mut Sockets) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             while self.clients.connections.len() >= self.clients.budget.clients {
                 let Some(idle) = self.clients.longest_idle() else { return };
-                // A request that has come by now is taken or rejected first.
+                // A request that has already arrived is accepted or rejected first.
                 self.on_client_ready(net, idle);
                 if self.clients.connections.get(&idle).is_some_and(|client| client.job.is_none()) {
                     self.drop_client(net, idle);
@@ -199,7 +209,7 @@
         }
     }
 
-    /// Accepts all that waits, however many.
+    /// Accepts all pending connections, regardless of their number.
     pub(super) fn accept_all(&mut self, net: &mut Sockets) {
         loop {
             let before = self.clients.connections.len();
@@ -210,8 +220,9 @@
         }
     }
 
-    /// Closes the listener once what waits there is accepted: at the close the system resets the rest. Where it refuses to
-    /// accept for a while, the listener stays open until `tick` has tried again, for a bounded time.
+    /// Closes the listener once its backlog is accepted, since closing it resets the connections left in the
+    /// backlog. While the system refuses to accept, the listener stays open and `tick` retries, for
+    /// `MAX_LISTENER_CLOSE_MS` at most.
     pub(super) fn close_listener_when_empty(&mut self, net: &mut Sockets) {
         let now_ms = self.core.clock().now();
         let close_by_ms = *self.listener_close_by_ms.get_or_insert(now_ms + MAX_LISTENER_CLOSE_MS);
@@ -223,8 +234,8 @@
         }
     }
 
-    /// Ends a connection once its last response is written: this side first, since a close with bytes unread would take the
-    /// response back.
+    /// Shuts down the write side of a connection after its last response was written. Closing it at once with
+    /// unread bytes in its receive buffer would reset it and lose the response.
     pub(super) fn linger(&mut self, net: &mut Sockets, id: ConnId) {
         let now_ms = self.core.clock().now();
         let Some(client) = self.clients.get_mut(id).filter(|client| client.close_deadline_ms.is_none())
@@ -238,7 +249,7 @@
         }
     }
 
-    /// Closes a connection; its client has left.
+    /// Closes a connection and tells the core that the client of its job has left.
     pub(super) fn drop_client(&mut self, net: &mut Sockets, id: ConnId) {
         net.close(id);
         self.clients.reserve(id, 0);
@@ -249,8 +260,9 @@
         }
     }
 
-    /// Whether a job's client has gone, by a look at its connection before anything is sent for it. Guards against an attempt
-    /// that begins as its client's end waits to be read in the same turn of the loop.
+    /// Checks on the socket whether a job's client has left, before anything is sent for the job. Without
+    /// this check an attempt could start although the client's close is already waiting to be read in the
+    /// same turn of the loop.
     pub(super) fn client_has_left(&mut self, net: &mut Sockets, job: JobId) -> bool {
         let Some(client) = self.jobs.get(&job).map(|job| job.client) else { return true };
         let Some(conn) = net.conn(client) else { return true };
@@ -262,7 +274,7 @@
         has_left
     }
 
-    /// Ends connections whose peers do not end them, or do not send a complete request in time.
+    /// Closes connections whose peers neither close them nor send a complete request in time.
     pub(super) fn sweep_clients(&mut self, net: &mut Sockets, now_ms: f64) {
         if self.clients.next_sweep_ms > now_ms {
             return;
@@ -290,8 +302,8 @@
         self.clients.next_sweep_ms = if is_needed { now_ms + SWEEP_INTERVAL_MS } else { f64::INFINITY };
     }
 
-    /// Closes what clients hold without a request, so that they go elsewhere. Guards against closing a new connection before
-    /// its first callback has been read.
+    /// Closes idle connections of clients, so that they connect elsewhere. New connections are spared for
+    /// `MIN_IDLE_BEFORE_CLOSE_MS`, since their first callback may not have been read yet.
     pub(super) fn close_idle(&mut self, net: &mut Sockets) {
         let idle_before_ms = self.core.clock().now() - MIN_IDLE_BEFORE_CLOSE_MS;
         let is_closable = |client: &Client| {
@@ -299,7 +311,7 @@
         };
         let closable = self.clients.connections.iter().filter(|(_, client)| is_closable(client));
         for id in closable.map(|(&id, _)| id).collect::<Vec<_>>() {
-            // What has come by now is read first, and rejected.
+            // Data that has already arrived is read first, and its request rejected.
             self.on_client_ready(net, id);
             let is_empty = net.conn(id).is_none_or(|conn| conn.tx.is_empty() && conn.rx.is_empty());
             if is_empty && self.clients.connections.get(&id).is_some_and(Client::is_idle) {
@@ -308,8 +320,9 @@
         }
     }
 
-    /// The last turn of a stop, with no job open: what waits in the backlog is accepted, since it counts as taken, and what
-    /// has come is rejected; then every connection is ended gently. Guards against an exit that resets them.
+    /// Runs the final step of a stop, with no job open: accepts the connections in the backlog, whose clients
+    /// consider themselves connected, rejects the requests that have arrived, and closes every connection
+    /// gracefully. Exiting without this would reset them.
     pub(super) fn close_all(&mut self, net: &mut Sockets) {
         self.core.reject_new_jobs();
         self.close_listener_when_empty(net);
@@ -321,20 +334,21 @@
         }
     }
 
-    /// Ends a connection between requests: this side at once, the whole of it once the peer has ended its own. Guards against
-    /// bytes that cross the closing: left unread they would reset the connection, and a response under way with it. What is
-    /// read from now on is not answered nor sent on, so that its client sends it elsewhere.
+    /// Closes a connection between requests: the write side at once, the rest when the peer has closed its
+    /// side. Bytes that the peer sends meanwhile must be read, since unread bytes would reset the connection
+    /// and lose a response in flight. They are neither answered nor processed, so that the client retries
+    /// elsewhere.
     fn close_gracefully(&mut self, net: &mut Sockets, id: ConnId) {
         self.start_closing(net, id);
         self.on_client_ready(net, id);
     }
 
-    /// From now on nothing is taken on a connection, which ends once all is written.
+    /// Stops processing requests on a connection, which is closed once all responses are written.
     pub(super) fn start_closing(&mut self, net: &mut Sockets, id: ConnId) {
         if let Some(conn) = net.conn(id) {
             conn.closing = true;
         }
-        // Its peer is to take its response in time as well.
+        // The peer must also read its response in time.
         let now_ms = self.core.clock().now();
         if let Some(client) = self.clients.get_mut(id) {
             client.read_deadline_ms = Some(now_ms + READ_TIMEOUT_MS);
--- a/src/frontend/http/config.rs
+++ b/src/frontend/http/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of this frontend: the file that `LB_CONFIG` names.
+//! Configuration of the HTTP frontend, read from the file that `LB_CONFIG` names.
 
 use std::net::SocketAddr;
 
@@ -11,67 +11,67 @@
 use crate::net::Budget;
 use crate::settings::{SettingsError, Site};
 
-/// Descriptors counted on where the configuration names no limit.
+/// File descriptors assumed where the configuration sets no limit.
 const DEFAULT_SOCKETS: f64 = 1024.0;
-/// Memory counted on where the configuration names none, in megabytes.
+/// Memory assumed where the configuration sets no limit, in megabytes.
 const DEFAULT_MEMORY_MB: f64 = 32.0;
 
-/// Why the configuration cannot be used.
+/// The reason why a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// It has no settings.
+    /// The field `settings` is missing.
     #[error("no `settings`")]
     NoSettings,
-    /// Its settings do not read.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Its seed does not read.
-    #[error("`seed` is no hexadecimal number: {0}")]
+    /// The seed is not a hexadecimal number.
+    #[error("`seed` is not a hexadecimal number: {0}")]
     Seed(String),
-    /// So few descriptors cannot serve.
+    /// The limit on file descriptors is too low to serve.
     #[error("{0} sockets are too few")]
     TooFewSockets(f64),
-    /// An address does not read.
-    #[error("`{name}` is no address: {found}")]
+    /// A field is not a valid socket address.
+    #[error("`{name}` is not a socket address: {found}")]
     Address {
-        /// Its field.
+        /// The name of the field.
         name: &'static str,
-        /// What the file says.
+        /// The value in the file.
         found: String,
     },
-    /// The list as last held does not read.
+    /// The endpoint list in the file is invalid.
     #[error(transparent)]
     List(#[from] ListError),
 }
 
-/// All that the file says.
+/// The parsed configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The settings.
+    /// The settings, classes, kinds and zones.
     pub site: Site,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// What may be open.
+    /// Limits on connections, jobs and memory.
     pub budget: Budget,
-    /// Where clients connect, if it says so.
+    /// The address at which to listen for clients, if the file sets one.
     pub listen: Option<SocketAddr>,
-    /// Where discovery is, if it says so.
+    /// The address of the discovery service, if the file sets one.
     pub discovery: Option<SocketAddr>,
-    /// The endpoint list as last held.
-    pub known_list: EndpointList,
+    /// The endpoint list that the process starts with, as it was last known.
+    pub initial_list: EndpointList,
 }
 
 impl Config {
-    /// Reads the file's text; `reserved` descriptors are another frontend's.
+    /// Parses the configuration. `reserved` is the number of file descriptors that other frontends need.
     ///
     /// # Errors
-    /// Where a part of it is missing or does not read, or the descriptors are too few.
+    /// If a part is missing or invalid, or too few descriptors are left.
     pub fn read(config: &JsonValue, reserved: usize) -> Result<Config, ConfigError> {
         let site = Site::read(field(config, "settings").ok_or(ConfigError::NoSettings)?)?;
         let seed = text(config, "seed").unwrap_or("0");
         let seed = u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed(seed.to_string()))?;
         let budget = read_budget(config, reserved)?;
-        let known_list = match field(config, "known") {
+        let initial_list = match field(config, "known") {
             Some(list) => read_list(list, &site)?,
             None => {
                 EndpointList { version: 0, lines: Vec::<ListedEndpoint>::new(), scope: ListScope::Complete }
@@ -79,16 +79,16 @@
         };
         let listen = read_address(config, "listen")?;
         let discovery = read_address(config, "discovery")?;
-        Ok(Config { site, seed, budget, listen, discovery, known_list })
+        Ok(Config { site, seed, budget, listen, discovery, initial_list })
     }
 }
 
-/// What may be open by the limits of the file and of the system.
+/// Derives the budget from the limits in the file and the system's limit on open files.
 fn read_budget(config: &JsonValue, reserved: usize) -> Result<Budget, ConfigError> {
     let limit = |name| field(config, "limits").and_then(|limits| number(limits, name));
     let sockets = limit("sockets").unwrap_or(DEFAULT_SOCKETS);
     let memory_mb = limit("memory_mb").unwrap_or(DEFAULT_MEMORY_MB);
-    // What the system gives may be less than what the file names.
+    // The system's limit may be lower than the one in the file.
     let system = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize);
     let available = (sockets as usize).min(system).saturating_sub(reserved);
     Budget::from_limits(available, memory_mb)
--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -1,14 +1,15 @@
-//! The platform's frontend: HTTP/1.1 with clients, endpoints and discovery. It owns their connections and what requests
-//! looked like on the wire; jobs, endpoints and decisions are the core's. It decides nothing.
+//! HTTP/1.1 frontend of the platform: serves clients, connects to endpoints and watches discovery. It owns
+//! the connections and the wire form of each request. Jobs, endpoints and all decisions belong to the core;
+//! this module carries them out.
 //!
-//! | file | what it does |
+//! | file | contents |
 //! | --- | --- |
-//! | `clients` | client connections: accepted, bounded, swept, ended |
-//! | `requests`, `responses` | what comes on them, and what goes back |
+//! | `clients` | accepting, limiting, sweeping and closing client connections |
+//! | `requests`, `responses` | reading requests and writing responses |
 //! | `policy_gate` | whether a request may be started, and in which partition |
 //! | `upstream` | connections to endpoints |
-//! | `attempts`, `probes`, `callbacks` | what is sent to endpoints, and what they tell |
-//! | `upgrade_link`, `state_handover` | links between the processes of an upgrade, and what one leaves to the other |
+//! | `attempts`, `probes`, `callbacks` | requests to endpoints, and the callbacks that endpoints send |
+//! | `upgrade_link`, `state_handover` | links between the processes of an upgrade, and the state that the old process saves for the new one |
 
 mod attempts;
 mod callbacks;
@@ -43,17 +44,19 @@
 use policy_gate::PolicyGate;
 use upstream::{AttemptId, Upstreams};
 
-/// Time between two looks for idle connections while clients are sent away, in milliseconds.
+/// Interval between two passes that close idle connections while clients are evacuated, in milliseconds.
 const EVACUATION_INTERVAL_MS: f64 = 100.0;
-/// Within which a process that starts says that clients may come, whatever its list, in milliseconds. Nine in ten of those that
-/// start are to be ready within 10 s, and within 6 s on short days, as they come with few dispatchers.
+/// Time after its start at which a process reports ready even without a usable list, in milliseconds, in a
+/// large fleet. Nine in ten starting processes are to be ready within 10 s, and within 6 s on short days,
+/// since few dispatchers serve then.
 const MAX_LARGE_FLEET_START_MS: f64 = 9_000.0;
-/// The same where dispatchers are few.
+/// Same limit as `MAX_LARGE_FLEET_START_MS`, for a small fleet.
 const MAX_START_MS: f64 = 5_500.0;
-/// Time between two looks whether all is finished once the last call of a stop is past, in milliseconds.
+/// Interval between two checks whether a stop is complete, once new requests are no longer accepted, in
+/// milliseconds.
 const STOP_INTERVAL_MS: f64 = 20.0;
 
-/// What a job's request looked like on the wire.
+/// The wire form of the client request behind a job.
 struct ClientJob {
     client: ConnId,
     id: Rc<str>,
@@ -62,42 +65,43 @@
     body: Vec<u8>,
 }
 
-/// The frontend.
+/// The platform's HTTP frontend.
 pub struct HttpFrontend {
     core: Core,
     clients: Clients,
     upstreams: Upstreams,
     discovery: Discovery,
     jobs: FxHashMap<JobId, ClientJob>,
-    /// Jobs by the jobs_by_request_id that their clients gave them.
+    /// Open jobs, by the request ID that the client chose.
     jobs_by_request_id: FxHashMap<Rc<str>, JobId>,
-    /// The processes beside this one at an upgrade.
+    /// Links to the other processes of an upgrade.
     links: Option<upgrade_link::UpgradeLinks>,
-    /// Whether requests may be started now, where a policy is shared.
+    /// Decides whether requests may be started; `None` where no policy is shared.
     gate: Option<Box<PolicyGate>>,
     shutdown: Option<Shutdown>,
-    /// Whether the last connections are being ended.
+    /// Whether the final close of all client connections has begun.
     is_closing_all: bool,
-    /// Whether the listener is to be closed and could not be emptied yet.
+    /// Whether the listener is due to be closed but its backlog could not be emptied yet.
     is_closing_listener: bool,
-    /// When the listener is closed whatever waits there, in milliseconds of the clock.
+    /// When the listener is closed even if its backlog is not empty, in milliseconds of the clock.
     listener_close_by_ms: Option<f64>,
-    /// Whether clients are sent away: `/up` says no, and connections are closed once they are idle.
+    /// Whether clients are being evacuated: `/up` responds 503, and connections are closed once they are
+    /// idle.
     evacuating: bool,
     /// When the process started, in milliseconds of the clock.
     started_at_ms: f64,
-    /// When to look next for connections that have become idle while clients are sent away.
+    /// When idle connections are closed next during an evacuation, in milliseconds of the clock.
     next_evacuation_ms: f64,
 }
 
 impl HttpFrontend {
-    /// A frontend on a listener that is open, with the list as last held.
+    /// Creates a frontend on an open listener, starting from the endpoint list in the configuration.
     pub fn new(config: Config, clock: Clock, listener: usize, discovery: SocketAddr) -> HttpFrontend {
-        let Config { site, seed, budget, known_list, .. } = config;
+        let Config { site, seed, budget, initial_list, .. } = config;
         let mut frontend = HttpFrontend {
             clients: Clients::new(listener, budget),
             upstreams: Upstreams::new(site.connection_idle_ms, budget.upstreams),
-            discovery: Discovery::new(discovery, config.discovery, known_list.version, seed),
+            discovery: Discovery::new(discovery, config.discovery, initial_list.version, seed),
             core: Core::new(site, seed, clock, budget.jobs),
             jobs: FxHashMap::default(),
             jobs_by_request_id: FxHashMap::default(),
@@ -111,21 +115,21 @@
             started_at_ms: 0.0,
             next_evacuation_ms: f64::INFINITY,
         };
-        frontend.core.restore_list(known_list.lines);
+        frontend.core.restore_list(initial_list.lines);
         frontend.started_at_ms = frontend.core.clock().now();
         frontend.discovery.start(frontend.started_at_ms, &frontend.core.site().settings);
         frontend
     }
 
-    /// Checks whether a configuration that was read again can be taken over without a restart.
+    /// Checks whether a newly read configuration can be applied without a restart.
     ///
     /// # Errors
-    /// Where it names other classes, kinds or zones.
+    /// If it has other classes, kinds or zones than the configuration in force.
     pub fn check_compatible(&self, config: &Config) -> Result<(), IncompatibleSettings> {
         self.core.check_compatible(&config.site)
     }
 
-    /// Takes over a compatible configuration: its settings and limits, and the discovery service that it names.
+    /// Applies a compatible configuration: its settings, its limits and the discovery service that it names.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.clients.budget = config.budget;
         self.upstreams.reconfigure(config.site.connection_idle_ms, config.budget.upstreams);
@@ -139,28 +143,28 @@
         self.carry_out(net);
     }
 
-    /// Its core.
+    /// Returns the frontend's core.
     pub fn core(&self) -> &Core {
         &self.core
     }
 
-    /// Its core, to be steered.
+    /// Returns the frontend's core for modification.
     pub fn core_mut(&mut self) -> &mut Core {
         &mut self.core
     }
 
-    /// Its listener.
+    /// Returns the index of the frontend's listener.
     pub fn listener(&self) -> usize {
         self.clients.listener
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether this frontend owns the connection.
     pub fn owns(&self, conn: ConnId) -> bool {
         let is_link = self.links.as_ref().is_some_and(|links| links.owns(conn));
         is_link || self.clients.owns(conn) || self.upstreams.owns(conn) || self.discovery.owns(conn)
     }
 
-    /// A connection can be read or written, came up or broke.
+    /// Handles a connection that became readable or writable, was established, or failed.
     pub fn on_ready(&mut self, net: &mut Sockets, conn: ConnId) {
         if self.clients.owns(conn) {
             self.on_client_ready(net, conn);
@@ -176,14 +180,16 @@
         self.carry_out(net);
     }
 
-    /// Carries out what the core has decided, until nothing follows from it any more.
+    /// Carries out the core's commands and reads requests that clients have already sent, until neither is
+    /// left.
     fn carry_out(&mut self, net: &mut Sockets) {
         loop {
             if let Some(command) = self.core.next_command() {
                 self.carry_out_command(net, command);
             } else if let Some(conn) = self.clients.answered.pop() {
-                // A client that was answered may have sent its next request already. Read in this loop and not from within
-                // the answer: a peer that sends many at once must not nest calls.
+                // An answered client may already have sent its next request. It is read in this loop rather
+                // than from within the answer, so that a client that pipelines many requests does not cause
+                // deep recursion.
                 self.on_client_ready(net, conn);
             } else {
                 return;
@@ -207,10 +213,11 @@
         }
     }
 
-    /// Tells the core what discovery has brought.
+    /// Passes a discovery update on to the core, and closes idle connections to endpoints that restarted or
+    /// moved.
     fn on_discovery_update(&mut self, net: &mut Sockets, update: Option<DiscoveryUpdate>) {
-        let renewed = update.map(|update| update.apply(&mut self.core));
-        for endpoint in renewed.unwrap_or_default() {
+        let restarted = update.map(|update| update.apply(&mut self.core));
+        for endpoint in restarted.unwrap_or_default() {
             self.drop_idle(net, endpoint);
         }
         if let Some(wait_ms) = self.discovery.take_started_call() {
@@ -218,15 +225,15 @@
         }
     }
 
-    /// Whether it serves by a list that may be acted on, or has waited for one as long as a start may take: a process that
-    /// says no for longer is taken for one that failed.
+    /// Whether the process has a list that attempts may rely on, or has waited for one as long as a start may
+    /// take. A process that reports "not ready" for longer would be treated as failed.
     pub fn has_usable_list(&self) -> bool {
         let limit_ms =
             if self.core.site().settings.is_large_fleet() { MAX_LARGE_FLEET_START_MS } else { MAX_START_MS };
         self.core.list_status().allows_attempts || self.core.clock().now() >= self.started_at_ms + limit_ms
     }
 
-    /// What operators see of the list.
+    /// Returns the list figures shown to operators.
     pub fn list_figures(&self) -> ListFigures {
         let status = self.core.list_status();
         let counters = self.core.counters();
@@ -241,7 +248,7 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Runs all work that is due.
     pub fn tick(&mut self, net: &mut Sockets) {
         self.core.tick();
         for conn in std::mem::take(&mut self.clients.deferred) {
@@ -259,7 +266,8 @@
         self.sweep_gate(net, now_ms);
         self.sweep_links(net, now_ms);
         if self.evacuating && !self.has_stopped_accepting() && now_ms >= self.next_evacuation_ms {
-            // New connections are left alone a while, lest a first callback be cut off: look again for them.
+            // New connections are not closed at once, so that a first callback on them is not lost; this pass
+            // closes the ones that have become idle since.
             self.close_idle(net);
             self.carry_out(net);
             self.next_evacuation_ms = now_ms + EVACUATION_INTERVAL_MS;
@@ -267,12 +275,13 @@
         if self.has_stopped_accepting() {
             self.core.reject_new_jobs();
             self.close_idle(net);
-            // What was read there may have ended a job: it is answered before the program looks whether all is finished.
+            // Reading those connections may have ended a job; it is answered before the caller checks whether
+            // the stop is complete.
             self.carry_out(net);
         }
     }
 
-    /// When `tick` is to be called next.
+    /// Returns when `tick` must be called next, in milliseconds of the clock.
     pub fn next_deadline(&self) -> f64 {
         let router_ms = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let evacuation_ms = if self.evacuating { self.next_evacuation_ms } else { f64::INFINITY };
@@ -291,7 +300,8 @@
         .fold(f64::INFINITY, f64::min)
     }
 
-    /// When a stop goes on: at its last call, and past it again and again until all is finished.
+    /// Returns when a stop needs its next `tick`: at the time at which new requests are no longer accepted,
+    /// and every `STOP_INTERVAL_MS` after that, or while the listener is still to be closed.
     fn stop_deadline(&self) -> f64 {
         let Some(shutdown) = self.shutdown else { return f64::INFINITY };
         let now_ms = self.core.clock().now();
@@ -302,7 +312,7 @@
         }
     }
 
-    /// Sends clients away, or takes them again. What is open is finished, and answered with a close.
+    /// Starts or ends an evacuation. Open requests are finished and answered with `Connection: close`.
     pub fn evacuate(&mut self, net: &mut Sockets, on: bool) {
         self.evacuating = on;
         if on {
@@ -312,13 +322,15 @@
         }
     }
 
-    /// Whether clients are being sent away, by an operator or since the program stops.
+    /// Whether clients are told to go elsewhere, because of an operator's evacuation or because the stop no
+    /// longer accepts requests.
     fn is_evacuating_or_stopping(&self) -> bool {
         self.evacuating || self.has_stopped_accepting()
     }
 
-    /// Begins to stop. Where a successor listens at the same address, nothing new is accepted: what waits in the backlog is
-    /// taken first, lest it be reset, and clients are sent away as by `evacuate`.
+    /// Begins to stop. If a successor listens at the same address, this process stops accepting connections:
+    /// it first accepts those in its backlog, since closing the listener would reset them, and then evacuates
+    /// its clients.
     pub fn stop(&mut self, net: &mut Sockets, has_successor: bool) {
         if self.shutdown.is_some() {
             return;
@@ -330,13 +342,13 @@
         }
     }
 
-    /// Whether a stop is past its last call: nothing new is taken any more.
+    /// Whether the process is stopping and no longer accepts new requests.
     pub fn has_stopped_accepting(&self) -> bool {
         self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.accepts_until_ms)
     }
 
-    /// Whether all that was taken is answered, written as far as peers read, and every connection ended as far as peers end
-    /// theirs.
+    /// Whether the stop is complete: all accepted requests are answered, and every connection is closed or
+    /// its peer has had its time to read and close.
     pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
         if !self.has_stopped_accepting() || self.core.open_jobs() > 0 || self.gate_deadline() < f64::INFINITY
         {
--- a/src/frontend/http/policy_gate.rs
+++ b/src/frontend/http/policy_gate.rs
@@ -1,5 +1,5 @@
-//! The policy gate: whether requests may be started now, in which partition, and what waits until they may. Where no policy
-//! is shared there is none, and nothing is asked.
+//! The policy gate: decides whether requests may be started, selects their partition and holds them until
+//! they may be started. It exists only where a policy is shared.
 
 use std::collections::VecDeque;
 
@@ -11,80 +11,82 @@
 use crate::net::ConnId;
 use crate::net::http::Message;
 
-/// Requests that may wait at the gate: one for so many jobs that there may be.
+/// Ratio of the job limit to the maximum number of requests held at the gate.
 const JOBS_PER_WAITING_REQUEST: usize = 4;
-/// How long a request waits at the gate at most, in milliseconds: what a change of policy may take, and then some.
+/// Maximum time that a request is held at the gate, in milliseconds: a little more than a change of policy
+/// may take.
 const MAX_GATE_WAIT_MS: f64 = 2000.0;
-/// Time between two looks at what waits, in milliseconds.
+/// Interval between two checks of the held requests, in milliseconds.
 const SWEEP_INTERVAL_MS: f64 = 10.0;
-/// The part of its own time that a request waits at the gate at most: then its client is told while it still listens.
+/// Maximum fraction of its own deadline for which a request is held at the gate, so that its client is still
+/// there to receive the rejection.
 const GATE_WAIT_FRACTION: f64 = 0.8;
 
-/// A request that waits. Times are milliseconds of the clock.
+/// A request held at the gate. Times are in milliseconds of the clock.
 struct WaitingRequest {
     conn: ConnId,
     arrived_at_ms: f64,
-    /// When it is rejected.
+    /// When the request is rejected.
     deadline_ms: f64,
     message: Message,
 }
 
-/// The gate.
+/// State of the policy gate.
 #[derive(Default)]
 pub(super) struct PolicyGate {
     policy: Option<Policy>,
-    /// The partition of the endpoints for each of the policy's.
+    /// The core's partition of endpoints for each partition of the policy.
     partitions: Vec<PartitionId>,
-    /// Whether a change of policy is being made.
+    /// Whether requests are held because a policy change is in progress.
     is_paused: bool,
     /// Until when requests may be started, in milliseconds of `boot_ms`.
     serve_until_ms: f64,
     waiting: VecDeque<WaitingRequest>,
     next_sweep_ms: f64,
-    /// Requests that waited.
+    /// Number of requests that were held.
     pub(super) waited: u64,
-    /// Requests that were rejected, since they waited too long or were too many.
+    /// Number of requests rejected because they were held too long or too many were held.
     pub(super) rejected: u64,
 }
 
 impl PolicyGate {
-    /// Whether a request may be started now. The clock is read for each: a process that was frozen or suspended must not start
-    /// what came before on the lease that it had then.
+    /// Whether a request may be started now. The clock is read for each request: a process that was frozen or
+    /// suspended must not start earlier requests under a lease that has expired meanwhile.
     fn is_open(&self) -> bool {
         !self.is_paused && boot_ms() < self.serve_until_ms
     }
 }
 
-/// Where a request goes.
+/// Where the policy sends a request.
 pub(super) enum RouteDecision {
     /// To the endpoints of a partition.
     Partition(PartitionId),
-    /// Nowhere: its partition has no endpoint, and the policy says to reject it.
+    /// Nowhere: the partition has no endpoint, and the policy says to reject the request.
     Reject,
 }
 
 impl HttpFrontend {
-    /// From now on requests are started only as the fleet's policy allows.
+    /// Enables the gate: from now on requests are started only as the shared policy allows.
     pub fn enable_policy_gate(&mut self) {
         self.gate = Some(Box::default());
     }
 
-    /// Whether clients may come: there is no gate, or the lease to serve holds.
+    /// Whether clients may connect: there is no gate, or the lease to serve is valid.
     pub(super) fn gate_is_open(&self) -> bool {
         self.gate.as_ref().is_none_or(|gate| boot_ms() < gate.serve_until_ms)
     }
 
-    /// Checks a policy against what is known here; it is not taken over.
+    /// Checks a policy against this dispatcher's settings and endpoints, without applying it.
     ///
     /// # Errors
-    /// All that is wrong with it here.
+    /// All reasons why the policy cannot be used here.
     pub fn check(&self, text: &str) -> Result<Policy, Vec<PolicyError>> {
         let policy = Policy::read(text, self.core.site())?;
         let without_endpoints = policy.nobody(|selector| self.core.has_ready_endpoint(selector));
         if without_endpoints.is_empty() { Ok(policy) } else { Err(without_endpoints) }
     }
 
-    /// Holds what comes in from now on, or lets it go on.
+    /// Starts or ends the pause in which new requests are held.
     pub fn set_paused(&mut self, net: &mut Sockets, is_paused: bool) {
         if let Some(gate) = &mut self.gate {
             gate.is_paused = is_paused;
@@ -92,7 +94,7 @@
         self.release_waiting(net);
     }
 
-    /// Requests may be started until then, in milliseconds of `boot_ms`.
+    /// Sets the time until which requests may be started, in milliseconds of `boot_ms`.
     pub fn serve_until(&mut self, net: &mut Sockets, until_ms: f64) {
         if let Some(gate) = &mut self.gate {
             gate.serve_until_ms = until_ms;
@@ -100,7 +102,7 @@
         self.release_waiting(net);
     }
 
-    /// Starts no request any more, and rejects those that wait.
+    /// Closes the gate, and has the requests that it holds rejected.
     pub fn close_gate(&mut self) {
         let now_ms = self.core.clock().now();
         if let Some(gate) = &mut self.gate {
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Takes over a policy that is decided. What was taken before goes on in the partitions that it was kept to.
+    /// Applies a decided policy. Jobs that were accepted before stay in the partitions that they were
+    /// assigned to.
     pub fn apply_policy(&mut self, text: &str) {
         let policy = match Policy::read(text, self.core.site()) {
             Ok(policy) => policy,
@@ -121,8 +124,8 @@
         }
     }
 
-    /// A policy in force does not fit: it was checked before, and the settings have changed since. Nothing is started
-    /// without it.
+    /// Handles a policy in force that does not fit the settings: it was checked before, and the settings have
+    /// changed since. No request is started without a policy.
     fn disable_policy(&mut self, errors: &[PolicyError]) {
         for error in errors {
             tracing::error!(%error, "policy in force does not fit the settings");
@@ -132,7 +135,8 @@
         }
     }
 
-    /// Gives a request back that may be started now. If not it waits, or is rejected where too many do.
+    /// Returns the request if it may be started now. Otherwise holds it, or rejects it if too many are held
+    /// or the process is stopping.
     pub(super) fn pass_gate(&mut self, net: &mut Sockets, id: ConnId, message: Message) -> Option<Message> {
         let now_ms = self.core.clock().now();
         let Some(gate) = self.gate.as_mut().filter(|gate| !gate.is_open()) else { return Some(message) };
@@ -156,7 +160,7 @@
         None
     }
 
-    /// Where a request goes under the policy in force.
+    /// Selects the partition of a request under the policy in force.
     pub(super) fn route(&self, class: usize, message: &Message) -> RouteDecision {
         let Some((gate, policy)) = self.gate.as_ref().and_then(|gate| Some((gate, gate.policy.as_ref()?)))
         else {
@@ -184,7 +188,7 @@
         chosen.map_or(RouteDecision::Reject, |at| RouteDecision::Partition(gate.partitions[at]))
     }
 
-    /// Lets what waits go on, in the order in which it came, if the gate is open.
+    /// Submits the held requests in order of arrival while the gate is open.
     fn release_waiting(&mut self, net: &mut Sockets) {
         loop {
             let gate = self.gate.as_mut().filter(|gate| gate.is_open());
@@ -196,7 +200,8 @@
         self.carry_out(net);
     }
 
-    /// A request that waits no more, if its client is still there.
+    /// Ends the waiting state of a held request's client. Returns the request if the client is still
+    /// connected.
     fn stop_waiting(&mut self, conn: ConnId, message: Message) -> Option<Message> {
         let client = self.clients.get_mut(conn).filter(|client| client.is_waiting)?;
         client.is_waiting = false;
@@ -204,7 +209,7 @@
         Some(message)
     }
 
-    /// Looks whether the gate is open again, and rejects what has waited too long.
+    /// Rejects requests that were held too long, and submits the others if the gate is open again.
     pub(super) fn sweep_gate(&mut self, net: &mut Sockets, now_ms: f64) {
         let is_due = |gate: &PolicyGate| !gate.waiting.is_empty() && gate.next_sweep_ms <= now_ms;
         let Some(gate) = self.gate.as_mut().filter(|gate| is_due(gate)) else { return };
@@ -221,7 +226,7 @@
         self.release_waiting(net);
     }
 
-    /// When `sweep_gate` is to be called next.
+    /// Returns when `sweep_gate` must be called next, in milliseconds of the clock.
     pub(super) fn gate_deadline(&self) -> f64 {
         let gate = self.gate.as_ref().filter(|gate| !gate.waiting.is_empty());
         gate.map_or(f64::INFINITY, |gate| gate.next_sweep_ms)
--- a/src/frontend/http/requests.rs
+++ b/src/frontend/http/requests.rs
@@ -1,4 +1,5 @@
-//! What clients send: requests are read from their connections, told apart by their paths, and become jobs.
+//! Requests from clients: reads them from their connections, dispatches them by path and submits jobs to the
+//! core.
 
 use std::rc::Rc;
 
@@ -13,24 +14,25 @@
 use crate::net::{ConnId, head};
 use crate::routing::JobId;
 
-/// Bytes of a refused request that are read at once, lest they keep its client from its response.
+/// Maximum number of bytes of a rejected request that are discarded in one turn; beyond that the connection
+/// is dropped. They are discarded so that the client reads its response.
 const MAX_DRAINED_BYTES: usize = 16 << 20;
-/// Requests read from a connection before others have their turn.
+/// Maximum number of requests read from one connection before other connections are served.
 const MAX_REQUESTS_PER_TURN: usize = 64;
-/// Longest id of a request that can stand in a path.
+/// Maximum length of a request ID, which must fit into a path.
 const MAX_ID_BYTES: usize = 128;
-/// Headers that are said anew to an endpoint, or answered here. All others but those of one hop pass on: what a client and
-/// an endpoint agree on, such as a key that drops repeats, is theirs.
+/// Headers that are replaced in the request to an endpoint, or handled here. All others except hop-by-hop
+/// headers are forwarded, since clients and endpoints may have agreed on them, such as an idempotency key.
 const REWRITTEN_HEADERS: [&str; 4] = ["host", "expect", "req-id", "req-deadline"];
 
-/// Whether there may be more to read on a connection in this turn.
+/// Whether to continue reading a connection in this turn.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Continue,
     Done,
 }
 
-/// What a connection has been read in this turn.
+/// The part of its turn that a connection has used.
 #[derive(Default)]
 struct TurnUsage {
     drained_bytes: usize,
@@ -38,13 +40,13 @@
 }
 
 impl HttpFrontend {
-    /// A client's connection can be read or written, or has ended.
+    /// Handles a client connection that became readable or writable, or was closed.
     pub(super) fn on_client_ready(&mut self, net: &mut Sockets, id: ConnId) {
         let mut turn = TurnUsage::default();
         while self.read_client(net, id, &mut turn) == Progress::Continue {}
     }
 
-    /// Reads once from a client's connection.
+    /// Performs one read step on a client connection.
     fn read_client(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUsage) -> Progress {
         let Some(conn) = net.conn(id) else { return Progress::Done };
         conn.pump();
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Counts a request of this turn. Guards against one client that sends without end and keeps all others waiting.
+    /// Counts one request against the connection's turn. Without this limit, a client that sends continuously
+    /// would starve all others.
     fn charge_turn(&mut self, id: ConnId, turn: &mut TurnUsage) -> Progress {
         turn.requests += 1;
         if turn.requests <= MAX_REQUESTS_PER_TURN {
@@ -76,8 +79,9 @@
         Progress::Done
     }
 
-    /// Reads what still comes on a connection that is being closed, and throws it away. Guards against a client that is still
-    /// sending what was refused: unread, it would never be told of it; read without a bound, it would keep the loop.
+    /// Reads and discards data on a connection that is being closed. Without this, a client still sending a
+    /// rejected request would not receive the rejection. The amount is limited, so that one client does not
+    /// block the loop.
     fn drain_closing(
         &mut self,
         net: &mut Sockets,
@@ -100,9 +104,9 @@
         if unread == 0 { Progress::Done } else { Progress::Continue }
     }
 
-    /// Leaves what comes while a client waits for its answer in its buffer. Guards against an end that is not seen behind more
-    /// than can be held: a client that sends so much before it has its answer is read to its end, and its connection is not
-    /// used again.
+    /// Leaves data that arrives while a client waits for its answer in the receive buffer. If the buffer is
+    /// full, the client's close could not be seen behind the data, so the data is discarded and the
+    /// connection is closed after the answer.
     fn read_ahead(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUsage) -> Progress {
         let (Some(conn), Some(client)) = (net.conn(id), self.clients.connections.get(&id)) else {
             return Progress::Done;
@@ -118,7 +122,7 @@
         self.charge_turn(id, turn)
     }
 
-    /// Reads a request, if all of it has come.
+    /// Reads a request if it has arrived completely.
     fn read_request(&mut self, net: &mut Sockets, id: ConnId) -> Progress {
         let Some(conn) = net.conn(id) else { return Progress::Done };
         let read = http::read_request(&mut conn.rx);
@@ -147,7 +151,7 @@
         Progress::Continue
     }
 
-    /// A complete request has come.
+    /// Dispatches a complete request by method and path.
     fn on_request(&mut self, net: &mut Sockets, id: ConnId, message: Message) {
         let path = message.target.split('?').next().unwrap_or("").to_string();
         match (message.method.as_str(), path.as_str()) {
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Whether clients may come here.
+    /// Responds to `GET /up`, by which clients check whether they may connect here.
     fn on_health_check(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
         let (status, body) = if self.is_evacuating_or_stopping() || !self.gate_is_open() {
             (503, "evacuating\n")
@@ -176,7 +180,7 @@
         self.respond(net, id, status, &process, body.as_bytes(), close);
     }
 
-    /// A process of an upgrade tells that this connection is its link to this one.
+    /// Handles a request by which another process of an upgrade marks this connection as its link.
     fn on_upgrade_link(&mut self, net: &mut Sockets, id: ConnId, message: &Message) {
         if let Some(client) = self.clients.get_mut(id) {
             (client.sends_callbacks, client.is_upgrade_link, client.has_sent_request) = (true, true, true);
@@ -201,13 +205,14 @@
             CallbackResult::Accepted => 204,
             CallbackResult::Unknown if self.forward_callback(net, id, &message.body, asked) => return,
             CallbackResult::Unknown if asked.is_some() => 410,
-            // Nobody knows its job: its sender would only try again.
+            // No process knows the job; the sender would only retry, so it is told that the callback was
+            // accepted.
             CallbackResult::Unknown => 204,
         };
         self.respond(net, id, status, &[], b"", message.close);
     }
 
-    /// A request for a job has come; it goes on at once where the policy gate does not hold it.
+    /// Handles a request for a job: submits it now unless the policy gate holds it.
     fn on_job_request(&mut self, net: &mut Sockets, id: ConnId, message: Message) {
         if let Some(message) = self.pass_gate(net, id, message) {
             let now_ms = self.core.clock().now();
@@ -215,7 +220,7 @@
         }
     }
 
-    /// Hands a request to the core that came at a time.
+    /// Validates a request that arrived at `arrived_at_ms` and submits it to the core.
     pub(super) fn submit(&mut self, net: &mut Sockets, id: ConnId, message: Message, arrived_at_ms: f64) {
         let close = message.close;
         let path = message.target.split('?').next().unwrap_or("");
@@ -253,7 +258,7 @@
         }
     }
 
-    /// Keeps of an admitted request what its attempts are to say.
+    /// Stores the parts of an admitted request that its attempts need.
     fn on_admitted(
         &mut self,
         net: &mut Sockets,
@@ -278,8 +283,9 @@
     }
 }
 
-/// Sets the deadline of a request of which `unread` bytes have come. Guards against cutting off a client that writes slowly
-/// or in pieces but goes on: only silence, or a request that takes far too long, ends it.
+/// Sets the read deadline of a request of which `unread` bytes have arrived. A client that sends slowly or in
+/// pieces is kept as long as it makes progress; only silence, or a request that takes longer than
+/// `REQUEST_TIMEOUT_MS`, ends it.
 fn extend_read_deadline(client: &mut Client, unread: usize, now_ms: f64) {
     match client.partial_request {
         Some(PartialRequest { since_ms, seen_bytes }) if unread > seen_bytes => {
@@ -295,7 +301,7 @@
     }
 }
 
-/// Whether an id can stand in a path, as it must to cancel an attempt.
+/// Whether a request ID can be part of a path, which the request that cancels an attempt requires.
 fn is_request_id(id: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'/' | b'?' | b'#' | b'%');
     (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(is_allowed)
--- a/src/frontend/http/responses.rs
+++ b/src/frontend/http/responses.rs
@@ -1,4 +1,4 @@
-//! What clients get: final answers of jobs, and responses to all else.
+//! Responses to clients: final answers of jobs, and responses to all other requests.
 
 use super::{ClientJob, HttpFrontend};
 use crate::core::FinalAnswer;
@@ -8,7 +8,7 @@
 use crate::routing::JobId;
 
 impl HttpFrontend {
-    /// Forgets what a job's request looked like.
+    /// Removes a job's client request and returns it.
     pub(super) fn forget_job(&mut self, job: JobId) -> Option<ClientJob> {
         let client_job = self.jobs.remove(&job)?;
         self.jobs_by_request_id.remove(&client_job.id);
@@ -18,7 +18,7 @@
         Some(client_job)
     }
 
-    /// Gives a job its final answer.
+    /// Sends a job's final answer to its client.
     pub(super) fn answer(&mut self, net: &mut Sockets, job: JobId, answer: FinalAnswer) {
         let Some(ClientJob { client: id, .. }) = self.forget_job(job) else { return };
         let now_ms = self.core.clock().now();
@@ -30,7 +30,7 @@
         self.clients.answered.push(id);
     }
 
-    /// Rejects a request that the core has not seen, with a time to come back.
+    /// Rejects a request that was not passed to the core, with a `Retry-After` header.
     pub(super) fn reject(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
         let retry_after_ms = self.core.site().max_retry_after_ms;
         self.respond_with_answer(net, id, FinalAnswer::Rejected { retry_after_ms }, close);
@@ -54,12 +54,13 @@
         }
     }
 
-    /// Responds with a status alone, and closes the connection.
+    /// Responds with a status and an empty body, and closes the connection.
     pub(super) fn respond_and_close(&mut self, net: &mut Sockets, id: ConnId, status: u16) {
         self.respond(net, id, status, &[], b"", true);
     }
 
-    /// Responds to a client. A client that does not read its responses is cut off when its buffer is full.
+    /// Responds to a client. The connection is dropped if the response does not fit its write buffer, because
+    /// the client does not read its responses.
     pub(super) fn respond(
         &mut self,
         net: &mut Sockets,
@@ -78,12 +79,14 @@
         }
     }
 
-    /// Whether a connection is closed after a response whatever its client wants.
+    /// Whether the server closes a connection after a response even if its client wants to keep it alive.
     fn closes_after(&self, net: &mut Sockets, id: ConnId, status: u16) -> bool {
         let client = self.clients.connections.get(&id);
-        // A client sent away is closed once answered; callbacks of endpoints go on.
+        // An evacuated client's connection is closed once it is answered; connections that carry endpoints'
+        // callbacks stay open.
         let is_sent_away = self.evacuating && client.is_some_and(|client| !client.sends_callbacks);
-        // A link stays to the end: the process at its other end could not open another.
+        // An upgrade link stays open until the process ends: the process at its other end could not open
+        // another one.
         let is_ending = self.has_stopped_accepting() && client.is_none_or(|client| !client.is_upgrade_link);
         let is_last = net.conn(id).is_some_and(|conn| conn.closes_after_answer);
         is_last || is_sent_away || is_ending || matches!(status, 400 | 413 | 501)
--- a/src/frontend/http/state_handover.rs
+++ b/src/frontend/http/state_handover.rs
@@ -1,6 +1,7 @@
-//! What the old process of an upgrade leaves to the new one in files: its warm state once, and the list that it follows again
-//! and again until discovery has answered the new one. The new process asks for each over its link (`upgrade_link`). A process
-//! that ends leaves its list once more, unasked: from then on it watches no more.
+//! Files in which the old process of an upgrade saves its state for the new one: the warm state once, and the
+//! endpoint list repeatedly until discovery has answered the new process. The new process asks for each over
+//! its link (see `upgrade_link`). A process that exits saves its list once more without being asked, since it
+//! no longer watches discovery from then on.
 
 use std::path::Path;
 
@@ -14,7 +15,7 @@
 use crate::lifecycle::warm_state::{MAX_WARM_STATE_BYTES, StoredEndpoint, WarmStateError, WarmStateFile};
 use crate::routing::{Endpoint, EndpointId, EndpointStatus, PredecessorList};
 
-/// Why there is no warm state of the process before.
+/// The reason why the predecessor's warm state cannot be used.
 #[derive(Debug, Error)]
 enum WarmStateUnavailable {
     #[error(transparent)]
@@ -24,7 +25,7 @@
 }
 
 impl HttpFrontend {
-    /// Leaves what this process knows for the one that replaces it.
+    /// Saves the state of this process for the one that replaces it.
     pub(super) fn save_warm_state(&self) {
         let Some(links) = &self.links else { return };
         let endpoints = self.core.endpoints().listed();
@@ -38,14 +39,14 @@
         let usable_ms = self.core.list_usable_for_ms() as u64;
         let is_watched = !self.discovery.is_stopped();
         let handover = ListHandover { pid: file.pid, usable_ms, is_watched };
-        let left = handover::write_warm_state(links.note(), file.pid, &file.encode())
+        let saved = handover::write_warm_state(links.note(), file.pid, &file.encode())
             .and_then(|()| handover::write_list_handover(links.note(), handover));
-        if let Err(e) = left {
-            crate::say(format_args!("the next process starts cold: {e}"));
+        if let Err(e) = saved {
+            crate::say(format_args!("the next process starts cold: cannot save the warm state: {e}"));
         }
     }
 
-    /// Leaves the list for the last time, where a process is beside this one: nothing can be told to this one any more.
+    /// Stops watching discovery and saves the list for the last time, if another process is running.
     pub(super) fn save_final_list(&mut self, net: &mut Sockets) {
         if self.links.as_ref().is_some_and(UpgradeLinks::has_peer) {
             self.discovery.stop(net);
@@ -54,9 +55,9 @@
         }
     }
 
-    /// Takes over what the process before has left by `left_at_ms`, or soon after. What is not there or cannot be used costs
-    /// one line in the log.
-    pub(super) fn restore_warm_state(&mut self, pid: u32, left_at_ms: f64) {
+    /// Restores the state that the predecessor saved at `saved_at_ms` or shortly after. If it is missing or
+    /// unusable, one line is logged and the process starts cold.
+    pub(super) fn restore_warm_state(&mut self, pid: u32, saved_at_ms: f64) {
         let Some(links) = &self.links else { return };
         let handover = handover::take_list_handover(links.note(), pid);
         match self.read_warm_state(links.note(), pid) {
@@ -64,44 +65,44 @@
                 let lines = file.endpoints.into_iter().map(listed_endpoint).collect();
                 let is_restored = match handover {
                     Some(handover) => {
-                        let list = predecessor_list(handover, left_at_ms);
+                        let list = predecessor_list(handover, saved_at_ms);
                         self.core.restore_from_predecessor(lines, list, file.learned)
                     }
                     None => self.core.restore_warm_state(lines, file.learned),
                 };
                 if !is_restored {
-                    crate::say("a cold start: what the process before has learned cannot be true here");
+                    crate::say("a cold start: the warm state of the previous process is not valid here");
                 }
             }
             Err(e) => {
-                crate::say(format_args!("a cold start, without what the process before knows: {e}"));
+                crate::say(format_args!("a cold start, without the warm state of the previous process: {e}"));
             }
         }
     }
 
-    /// Takes over the list that the process before has left again by `left_at_ms`, or soon after, where it has.
-    pub(super) fn restore_list(&mut self, pid: u32, left_at_ms: f64) {
+    /// Restores the list that the predecessor saved again at `saved_at_ms` or shortly after, if there is one.
+    pub(super) fn restore_list(&mut self, pid: u32, saved_at_ms: f64) {
         let Some(links) = &self.links else { return };
         let Some(handover) = handover::take_list_handover(links.note(), pid) else { return };
         let Ok(file) = self.read_warm_state(links.note(), pid) else { return };
         let lines = file.endpoints.into_iter().map(listed_endpoint).collect();
-        self.core.on_predecessor_list(lines, predecessor_list(handover, left_at_ms));
+        self.core.on_predecessor_list(lines, predecessor_list(handover, saved_at_ms));
     }
 
-    /// Names by which what was learned is counted.
+    /// Returns the names of classes, kinds and zones, which the indices in the warm state refer to.
     fn warm_state_names(&self) -> Vec<String> {
         let site = self.core.site();
         let classes = site.client_classes.iter().map(|class| &class.name);
         classes.chain(&site.kinds).chain(&site.zones).cloned().collect()
     }
 
-    /// Removes what the process before has left, as nothing more of it is wanted. What another process has left there since
-    /// stays.
+    /// Removes the files that the predecessor saved, once they are no longer needed. Files that another
+    /// process has saved there since are kept.
     pub(super) fn remove_saved_state(&self, pid: u32) {
         let Some(links) = &self.links else { return };
         handover::take_list_handover(links.note(), pid);
-        let left = self.read_warm_state(links.note(), pid);
-        if matches!(left, Ok(_) | Err(WarmStateUnavailable::Refused(WarmStateError::Stale(_)))) {
+        let saved = self.read_warm_state(links.note(), pid);
+        if matches!(saved, Ok(_) | Err(WarmStateUnavailable::Refused(WarmStateError::Stale(_)))) {
             handover::remove_warm_state(links.note());
         }
     }
@@ -113,9 +114,9 @@
     }
 }
 
-fn predecessor_list(handover: ListHandover, left_at_ms: f64) -> PredecessorList {
+fn predecessor_list(handover: ListHandover, saved_at_ms: f64) -> PredecessorList {
     let ListHandover { usable_ms, is_watched, .. } = handover;
-    PredecessorList { left_at: micros(left_at_ms), usable_for: micros(usable_ms as f64), is_watched }
+    PredecessorList { left_at: micros(saved_at_ms), usable_for: micros(usable_ms as f64), is_watched }
 }
 
 fn stored_endpoint(line: &ListedEndpoint) -> StoredEndpoint {
--- a/src/frontend/http/tests.rs
+++ b/src/frontend/http/tests.rs
@@ -1,4 +1,4 @@
-//! What headers of clients say.
+//! Tests for the parsers of request headers.
 
 use super::headers::{parse_duration_ms, parse_slots, parse_work_ms};
 
@@ -13,6 +13,6 @@
     assert_eq!(parse_slots("slots=nan"), None);
     assert_eq!(parse_work_ms("480000"), Some(480.0));
     for odd in ["", "0", "-3", "nan", "inf", "1e300", "480ms", "99999999999999"] {
-        assert_eq!(parse_work_ms(odd), None, "{odd} is no hint");
+        assert_eq!(parse_work_ms(odd), None, "{odd} is not a valid hint");
     }
 }
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -1,10 +1,11 @@
-//! The links between the processes of an upgrade, on sockets: callbacks that reached the wrong process are forwarded over
-//! them, and the new process asks the old one for what it knows (`state_handover`). Which process is asked is decided by
-//! `crate::lifecycle::callback_forwarding`.
+//! Links between the processes of an upgrade, on sockets. A process forwards callbacks over them that reached
+//! it but belong to another process, and the new process asks the old one for its state (see
+//! `state_handover`). `crate::lifecycle::callback_forwarding` decides which process is asked.
 //!
-//! A link is a connection to the address that all processes share. The kernel deals it to one of them: who answers `GET /up`
-//! names itself, and a link that came back to this process is opened anew. The older process keeps its end of a link until it
-//! ends, though it has stopped listening by then.
+//! A link is a connection to the address that all processes listen at, so the kernel chooses which process
+//! accepts it. The response to `GET /up` names the process that was reached; a link that reached the wrong
+//! process is opened again. The older process keeps its end of a link until it exits, although it has stopped
+//! listening by then.
 
 mod connection;
 
@@ -22,48 +23,49 @@
 
 use connection::{LinkRequest, LinkState, RESPONSE_TIMEOUT_MS, UpgradeLink};
 
-/// Header in which a process names itself.
+/// Header in which a process states its process ID.
 pub(super) const PROCESS_HEADER: &str = "Lb-Process";
-/// Header in which a callback that is forwarded names who has been asked.
+/// Header that lists the processes already asked about a forwarded callback.
 pub(super) const ASKED_HEADER: &str = "lb-asked";
-/// Header by which the process that replaces another asks for its warm state.
+/// Header by which the new process asks its predecessor for the warm state.
 pub(super) const WARM_STATE_HEADER: &str = "lb-memory";
-/// What it asks for: all that the other process knows.
+/// Value of `WARM_STATE_HEADER` that asks for the whole warm state.
 pub(super) const WANTS_WARM_STATE: &str = "wanted";
-/// The list alone, again.
+/// Value of `WARM_STATE_HEADER` that asks for the endpoint list again.
 pub(super) const WANTS_LIST: &str = "list";
-/// Least time between two looks at the handover note, in milliseconds.
+/// Minimum time between two reads of the handover note, in milliseconds.
 const NOTE_INTERVAL_MS: f64 = 100.0;
-/// Time between an answer of the process before and the next request for its list, in milliseconds: several in the grace within
-/// which a drain must be followed that was told to it.
+/// Time between a response of the predecessor and the next request for its list, in milliseconds. Several
+/// requests fit into the grace period within which a drain that only the predecessor was told about must be
+/// followed.
 const LIST_INTERVAL_MS: f64 = 400.0;
-/// Most processes that a callback names.
+/// Maximum number of process IDs read from `ASKED_HEADER`.
 const MAX_ASKED_PROCESSES: usize = 4;
 
-/// The links.
+/// All upgrade links of this process.
 pub(super) struct UpgradeLinks {
     forwarder: CallbackForwarder,
-    /// The address that all processes share.
+    /// The address that all processes listen at.
     address: SocketAddr,
-    /// The handover note of the processes at that address.
+    /// Path of the handover note for that address.
     note: PathBuf,
     links: Vec<UpgradeLink>,
     next_note_ms: f64,
-    /// Callbacks that another process has taken.
+    /// Number of callbacks that another process accepted.
     forwarded: u64,
     /// The process that this one replaces, until its warm state has been read.
     predecessor: Option<u32>,
-    /// The process that this one replaces, while the list that it follows is wanted.
+    /// The process that this one replaces, while this one still needs its endpoint list.
     list_source: Option<ListSource>,
 }
 
-/// A process whose list is asked for again and again.
+/// A process whose endpoint list is requested repeatedly.
 #[derive(Clone, Copy)]
 struct ListSource {
     pid: u32,
-    /// When it is asked next, in milliseconds: not before it has answered.
+    /// When the next request is sent, in milliseconds; infinite while a response is outstanding.
     ask_at_ms: f64,
-    /// What it leaves now was left after this, in milliseconds.
+    /// When its last response arrived, in milliseconds: any list that it saves from now on is newer.
     answered_at_ms: f64,
 }
 
@@ -85,12 +87,12 @@
         self.forwarder.own_pid()
     }
 
-    /// The handover note, beside which files are left.
+    /// Returns the path of the handover note, next to which the state files are stored.
     pub fn note(&self) -> &Path {
         &self.note
     }
 
-    /// Whether another process is beside this one.
+    /// Whether another process of this dispatcher is running.
     pub fn has_peer(&self) -> bool {
         self.forwarder.peers().next().is_some()
     }
@@ -99,7 +101,7 @@
         self.links.iter().any(|link| link.conn == conn)
     }
 
-    /// When to look at them again.
+    /// Returns when the links need attention next, in milliseconds.
     pub fn next_deadline(&self) -> f64 {
         let awaiting = self.links.iter().filter(|link| link.awaits_response());
         let list_ms = self.list_source.map_or(f64::INFINITY, |source| source.ask_at_ms);
@@ -118,7 +120,7 @@
 }
 
 impl HttpFrontend {
-    /// Sets the links up at the address that was listened at, beside a process that was there before.
+    /// Enables the links at the listening address, and opens one to the predecessor, if there is one.
     pub fn start_upgrade_links(
         &mut self,
         net: &mut Sockets,
@@ -132,25 +134,28 @@
         self.carry_out_forwarding(net, first);
     }
 
-    /// Whether the link to the process before is ready, so that that one may stop listening.
+    /// Whether the link to the predecessor is ready, so that the predecessor may stop listening. True if
+    /// there is no predecessor.
     pub fn has_reached_predecessor(&self) -> bool {
         let is_opening = |links: &UpgradeLinks| links.predecessor.is_some_and(|pid| links.is_opening(pid));
         !self.links.as_ref().is_some_and(is_opening)
     }
 
-    /// Callbacks that reached this process and were taken by another.
+    /// Returns the number of callbacks that reached this process and were accepted by another.
     pub fn forwarded_callbacks(&self) -> u64 {
         self.links.as_ref().map_or(0, |links| links.forwarded)
     }
 
-    /// A process beside this one has opened a link: it is known from now on, whatever its note says.
+    /// Handles a link that another process opened: the process is known from now on, whatever the handover
+    /// note says.
     pub(super) fn on_link_opened_by(&mut self, net: &mut Sockets, pid: &str) {
         let pid = pid.trim().parse().ok().filter(|&pid| handover::is_alive(pid));
         let action = pid.and_then(|pid| self.links.as_mut()?.forwarder.on_peer_seen(pid));
         self.carry_out_forwarding(net, action);
     }
 
-    /// A callback whose job this process does not know. False where nobody is beside it that may know it.
+    /// Forwards a callback whose job this process does not know. Returns false if no other process is running
+    /// that may know it.
     pub(super) fn forward_callback(
         &mut self,
         net: &mut Sockets,
@@ -179,7 +184,7 @@
         true
     }
 
-    /// Carries out what the forwarder wants.
+    /// Carries out the forwarder's actions.
     fn carry_out_forwarding(
         &mut self,
         net: &mut Sockets,
@@ -209,7 +214,7 @@
         }
     }
 
-    /// Responds to a callback that waited.
+    /// Responds to a callback that waited for another process.
     fn respond_to_callback(&mut self, net: &mut Sockets, from: ConnId, status: u16) {
         let Some(client) = self.clients.get_mut(from).filter(|client| client.is_waiting) else { return };
         client.is_waiting = false;
@@ -230,7 +235,7 @@
         net.write(conn, &http::write_request("GET", "/up", &[links.host_header()], None));
     }
 
-    /// Something came over a link, or it broke.
+    /// Handles a link that received data or failed.
     pub(super) fn on_link_ready(&mut self, net: &mut Sockets, id: ConnId) {
         loop {
             let Some(conn) = net.conn(id) else { return };
@@ -279,7 +284,7 @@
         }
     }
 
-    /// Asks a process for its list after a while, unless discovery has answered this one.
+    /// Schedules the next request for a process's list, unless discovery has already answered this process.
     fn schedule_list_request(&mut self, pid: u32) {
         let now_ms = self.core.clock().now();
         let is_wanted = !self.core.has_read_list();
@@ -291,7 +296,7 @@
         }
     }
 
-    /// Asks for the list of the process before where that is due, and no more once discovery has answered this one.
+    /// Requests the predecessor's list when that is due, and stops once discovery has answered this process.
     fn sweep_list_source(&mut self, net: &mut Sockets, now_ms: f64) {
         let is_wanted = !self.core.has_read_list();
         let Some(links) = &mut self.links else { return };
@@ -306,7 +311,7 @@
         links.write_list_request(net, now_ms, pid);
     }
 
-    /// The process that a link has reached has named itself.
+    /// Handles the first response on a link, in which the process that was reached names itself.
     fn on_link_reached(&mut self, net: &mut Sockets, id: ConnId, pid: u32, message: &Message) {
         let now_ms = self.core.clock().now();
         let Some(links) = &mut self.links else { return };
@@ -326,7 +331,7 @@
         let Some(links) = &mut self.links else { return };
         let Some(at) = links.links.iter().position(|link| link.conn == id) else { return };
         let pid = links.links.remove(at).pid;
-        // It may have ended, and left its list for the last time.
+        // The process may have exited, and saved its list for the last time.
         if let Some(source) = links.list_source.take_if(|source| source.pid == pid)
             && !self.core.has_read_list()
         {
@@ -338,7 +343,7 @@
         self.carry_out_forwarding(net, actions);
     }
 
-    /// Gives up links whose processes are silent.
+    /// Handles links whose processes have not responded in time.
     pub(super) fn sweep_links(&mut self, net: &mut Sockets, now_ms: f64) {
         self.sweep_list_source(net, now_ms);
         let Some(links) = &self.links else { return };
@@ -358,7 +363,8 @@
 }
 
 impl UpgradeLinks {
-    /// Looks who is there: processes that have gone are forgotten, and one that the note names is met.
+    /// Updates the set of known processes: removes those that have exited, and adds the one that the handover
+    /// note names.
     fn find_peers(&mut self) -> Vec<ForwardingAction> {
         let gone: Vec<u32> = self.forwarder.peers().filter(|&pid| !handover::is_alive(pid)).collect();
         let lost = gone.into_iter().flat_map(|pid| self.forwarder.on_link_lost(pid, false));
@@ -368,7 +374,7 @@
         actions
     }
 
-    /// Writes a callback to a process whose link is up.
+    /// Forwards a callback to a process whose link is established.
     fn write_callback(&mut self, net: &mut Sockets, now_ms: f64, pid: u32, body: &[u8], asked: &[u32]) {
         let asked: Vec<String> = asked.iter().map(u32::to_string).collect();
         let headers = [self.host_header(), (ASKED_HEADER, asked.join(","))];
@@ -378,7 +384,7 @@
         link.write(net, now_ms, LinkRequest::Callback, &bytes);
     }
 
-    /// Asks a process for its list, over a link that is up.
+    /// Requests a process's list over an established link.
     fn write_list_request(&mut self, net: &mut Sockets, now_ms: f64, pid: u32) {
         let own_pid = self.forwarder.own_pid().to_string();
         let headers = [self.host_header(), (ASKED_HEADER, own_pid), (WARM_STATE_HEADER, WANTS_LIST.into())];
@@ -388,7 +394,7 @@
         link.write(net, now_ms, LinkRequest::List { sent_at_ms: now_ms }, &bytes);
     }
 
-    /// Tells a process that a connection is a link, before it closes idle ones.
+    /// Tells a process that a connection is a link, so that it does not close it as idle.
     fn introduce(&mut self, net: &mut Sockets, now_ms: f64, id: ConnId, pid: u32) {
         let wants_warm_state = if self.predecessor == Some(pid) { WANTS_WARM_STATE } else { "" };
         let headers = [
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: opened or taken out of the pool, and what each is used for. What is sent on them is written in
+//! Connections to endpoints: opens them, reuses idle ones and handles their events. Requests are written in
 //! `attempts` and `probes`.
 
 mod table;
@@ -18,20 +18,21 @@
     AttemptId, AttemptState, ConnectionUse, MAX_CANCEL_TRIES, RESPONSE_TIMEOUT_MS, Upstreams, WritePermission,
 };
 
-/// How long a connection is not used after an attempt was declined on it, in milliseconds. A second copy of such a response,
-/// some milliseconds late, would say of the next job that it never ran.
+/// How long a connection is not reused after an attempt was declined on it, in milliseconds. A duplicate of
+/// such a response that arrives some milliseconds late would be taken to say that the next job never ran.
 const COOL_DOWN_MS: f64 = 50.0;
 
 impl HttpFrontend {
-    /// An endpoint's address, as its connections are opened and its requests are addressed.
+    /// Returns an endpoint's address, which is also the value of the `Host` header.
     pub(super) fn address(&self, endpoint: EndpointId) -> String {
         self.core.endpoints().get(endpoint).map(|line| line.address.clone()).unwrap_or_default()
     }
 
-    /// A connection to an endpoint: an idle one that is intact, or a new one.
+    /// Returns a connection to an endpoint: an idle one that is still open, or a new one.
     ///
     /// # Errors
-    /// Where there is none: that proves that nothing was sent, and says whether the endpoint is to blame.
+    /// If no connection could be opened. Nothing was sent then; the outcome says whether the endpoint is to
+    /// blame.
     pub(super) fn acquire(
         &mut self,
         net: &mut Sockets,
@@ -47,14 +48,15 @@
             let id = pooled.conn;
             let is_open = net.conn(id).is_some_and(|conn| conn.is_fresh());
             self.upstreams.pool.on_looked_at(endpoint, pooled.idle_ms, is_open);
-            // Guards against a connection that the peer has closed: a request written there would be lost.
+            // The peer may have closed the idle connection; a request written to it would be lost.
             if is_open {
                 self.reuse(id, endpoint, purpose, 0.0);
                 return Ok(id);
             }
             self.close_upstream(net, id);
         }
-        // A rest of some milliseconds, once for each endpoint, is less than a new connection costs both sides.
+        // Delaying the write by some milliseconds, once for each endpoint, costs less than a new connection
+        // costs both sides.
         if let Some((id, write_after_ms)) = self.upstreams.pool.take_unproven(endpoint, now_ms) {
             if net.conn(id).is_some_and(|conn| conn.is_fresh()) {
                 self.reuse(id, endpoint, purpose, write_after_ms);
@@ -65,7 +67,8 @@
         self.open_upstream(net, endpoint, purpose)
     }
 
-    /// Uses a connection that was idle, once it has rested.
+    /// Assigns an idle connection to a new purpose. `write_after_ms` is the time before which nothing may be
+    /// written, or 0.
     fn reuse(&mut self, id: ConnId, endpoint: EndpointId, purpose: ConnectionUse, write_after_ms: f64) {
         let deadline_ms = if write_after_ms > 0.0 { write_after_ms } else { f64::INFINITY };
         let connection = UpstreamConnection {
@@ -79,10 +82,10 @@
         self.upstreams.connections.insert(id, connection);
     }
 
-    /// A new connection to an endpoint.
+    /// Opens a new connection to an endpoint.
     ///
     /// # Errors
-    /// As `acquire`.
+    /// As for `acquire`.
     pub(super) fn open_upstream(
         &mut self,
         net: &mut Sockets,
@@ -91,7 +94,8 @@
     ) -> Result<ConnId, Outcome> {
         let now_ms = self.core.clock().now();
         if self.upstreams.connections.len() >= self.upstreams.max_connections {
-            // Guards against endpoints that are held to have failed as all connections here are in use.
+            // Running out of connections here must not count as a failure of the endpoint, so the oldest idle
+            // connection is closed.
             let idle = self.upstreams.pool.oldest().ok_or(Outcome::NotSent)?;
             self.close_upstream(net, idle);
         }
@@ -122,7 +126,7 @@
         }
     }
 
-    /// A connection to an endpoint can be read or written, came up or broke.
+    /// Handles an endpoint's connection that became readable or writable, was established, or failed.
     pub(super) fn on_upstream_ready(&mut self, net: &mut Sockets, id: ConnId) {
         let now_ms = self.core.clock().now();
         let Some(conn) = net.conn(id) else { return };
@@ -140,13 +144,14 @@
             connection.mark_connected(now_ms);
         }
         let has_ended = conn.eof || conn.broken;
-        // What came before a break counts; a complete response is one. What a reset cut off is none.
+        // A complete response that arrived before the connection failed counts; one that a reset cut off does
+        // not.
         let message = http::read_response(&mut conn.rx, conn.eof && !conn.broken);
         let has_stray_bytes = !conn.rx.is_empty();
         let is_written = !conn.connecting && conn.tx.is_empty();
         let purpose = connection.purpose;
         if let (ConnectionUse::Attempt(attempt), true) = (purpose, is_written) {
-            // An attempt counts once its last byte has gone to the socket.
+            // An attempt counts as sent once its last byte was written to the socket.
             self.core.on_request_sent(attempt.job, attempt.number);
         }
         match message {
@@ -158,12 +163,13 @@
                 self.on_response(net, id, &message, is_reusable);
             }
             Ok(None) if !has_ended => {}
-            // An end, bytes that nobody asked for, or a response that does not read.
+            // The connection was closed, sent unexpected bytes or sent a malformed response.
             _ => self.on_upstream_broken(net, id, is_written),
         }
     }
 
-    /// A complete response has come: its connection can be used again, or is closed, and what it says is taken.
+    /// Handles a complete response: returns its connection to the pool or closes it, and processes the
+    /// response.
     fn on_response(&mut self, net: &mut Sockets, id: ConnId, message: &Message, is_reusable: bool) {
         let now_ms = self.core.clock().now();
         let Some(connection) = self.upstreams.connections.get_mut(&id) else { return };
@@ -183,9 +189,7 @@
         }
         match purpose {
             ConnectionUse::Cancelling(attempt) => self.on_cancelled(net, attempt),
-            ConnectionUse::Probe { connected_at_ms, .. } => {
-                self.on_probe_response(endpoint, connected_at_ms, message)
-            }
+            ConnectionUse::Probe { open_at_ms, .. } => self.on_probe_response(endpoint, open_at_ms, message),
             ConnectionUse::Attempt(attempt) => self.on_attempt_response(attempt, message),
             ConnectionUse::Draining
             | ConnectionUse::Idle
@@ -194,7 +198,7 @@
         }
     }
 
-    /// A connection broke. An attempt whose last byte was not written never ran.
+    /// Handles a failed connection. An attempt whose last byte was not written never ran.
     fn on_upstream_broken(&mut self, net: &mut Sockets, id: ConnId, is_written: bool) {
         let Some(connection) = self.upstreams.connections.get(&id) else { return };
         let UpstreamConnection { endpoint, purpose, was_pooled, .. } = *connection;
@@ -210,8 +214,8 @@
                 let outcome = if is_written { Outcome::Reset } else { Outcome::Unreachable };
                 self.end_unserved(attempt, outcome, LoadReport::default());
             }
-            // Guards against a healthy endpoint that is held to have failed: a connection that broke after it was idle
-            // tells nothing of its endpoint, and a probe does no harm twice.
+            // A failure of a connection that had been idle says nothing about the endpoint, and a probe can
+            // safely be repeated. Without the retry a healthy endpoint could be regarded as failed.
             ConnectionUse::Probe { started_at_ms, .. }
                 if was_pooled && now_ms < started_at_ms + RESPONSE_TIMEOUT_MS =>
             {
@@ -226,7 +230,7 @@
         }
     }
 
-    /// Gives up what has taken too long: to connect, to answer a probe, or to be idle.
+    /// Handles connections past their deadline: to connect, to answer a probe, or to be idle.
     pub(super) fn sweep_upstreams(&mut self, net: &mut Sockets) {
         let now_ms = self.core.clock().now();
         if self.upstreams.next_deadline() <= now_ms {
@@ -257,12 +261,13 @@
                 }
                 self.on_upstream_ready(net, id);
             }
-            // An attempt has a time limit only while it connects, so that nothing of it was written.
+            // An attempt has a deadline only while its connection is being established, so nothing of it was
+            // written.
             _ => self.on_upstream_broken(net, id, false),
         }
     }
 
-    /// Closes idle connections to an endpoint that has moved or was started again.
+    /// Closes the idle connections to an endpoint that has moved or restarted.
     pub(super) fn drop_idle(&mut self, net: &mut Sockets, endpoint: EndpointId) {
         while let Some(id) = self.upstreams.pool.take_any(endpoint) {
             self.close_upstream(net, id);
@@ -270,7 +275,7 @@
     }
 }
 
-/// Whether a response says that the attempt was declined, and never ran.
+/// Whether a response says that the endpoint declined the attempt and never ran it.
 pub(super) fn declines(message: &Message) -> bool {
     matches!(message.status, 503 | 504) && message.header("srv-declined") == Some("1")
 }
--- a/src/frontend/http/upstream/table.rs
+++ b/src/frontend/http/upstream/table.rs
@@ -1,4 +1,4 @@
-//! Which connections to endpoints there are, what each is used for, and which attempts are out on them.
+//! Table of the connections to endpoints, their current use, and the attempts that are open on them.
 
 use std::rc::Rc;
 
@@ -7,40 +7,44 @@
 use crate::net::{ConnId, Pool};
 use crate::routing::{EndpointId, JobId};
 
-/// How long an endpoint may take to answer a probe, or the call that cancels an attempt, in milliseconds.
+/// How long an endpoint may take to respond to a probe, or to the request that cancels an attempt, in
+/// milliseconds.
 pub(in crate::frontend::http) const RESPONSE_TIMEOUT_MS: f64 = 500.0;
-/// How long a response that nobody needs is waited for, so that its connection can be used again, in milliseconds.
+/// How long to wait for a response that is no longer needed, so that its connection can be reused, in
+/// milliseconds.
 const DRAIN_TIMEOUT_MS: f64 = 2000.0;
-/// How often the cancelling of an attempt is tried again whose `DELETE` had no response.
+/// Maximum number of requests to cancel one attempt, if `DELETE` requests get no response.
 pub(in crate::frontend::http) const MAX_CANCEL_TRIES: u32 = 3;
 
-/// An attempt: its job, and its number within the job.
+/// Identifies an attempt by its job and its number within the job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(in crate::frontend::http) struct AttemptId {
     pub job: JobId,
     pub number: usize,
 }
 
-/// What a connection is used for.
+/// The current use of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::frontend::http) enum ConnectionUse {
     Idle,
-    /// For an attempt that is not written yet: its connection has to come up, or an older attempt to be cancelled first.
+    /// Assigned to an attempt that is not written yet: the connection must be established or an older attempt
+    /// cancelled first.
     Assigned(AttemptId),
-    /// For an attempt that is written.
+    /// Carries an attempt whose request is written.
     Attempt(AttemptId),
-    /// For a probe.
+    /// Carries a probe.
     Probe {
-        /// Since when it was wanted, in milliseconds.
+        /// When the probe was requested, in milliseconds.
         started_at_ms: f64,
-        /// Since when its connection has been up, in milliseconds.
-        connected_at_ms: f64,
+        /// When its connection was established, in milliseconds.
+        open_at_ms: f64,
     },
-    /// For a response that nobody needs.
+    /// Awaits a response that is no longer needed.
     Draining,
-    /// For the call that cancels an attempt, until its response: written alone, it may go to nobody.
+    /// Awaits the response to the `DELETE` that cancels an attempt. Without a response the `DELETE` may not
+    /// have reached the endpoint.
     Cancelling(AttemptId),
-    /// For nothing, since an attempt has just been declined on it.
+    /// Not in use, because an attempt was just declined on it.
     CoolingDown,
 }
 
@@ -48,36 +52,38 @@
 pub(in crate::frontend::http) struct UpstreamConnection {
     pub endpoint: EndpointId,
     pub purpose: ConnectionUse,
-    /// When it is given up, in milliseconds.
+    /// When the connection is given up, in milliseconds.
     pub deadline_ms: f64,
-    /// Whether it has been idle in the pool.
+    /// Whether the connection was taken from the pool.
     pub was_pooled: bool,
-    /// Whether it has been seen to come up.
+    /// Whether the connection is known to be established.
     pub is_connected: bool,
-    /// Its end may be on the way until this time, in milliseconds: its attempt waits. 0: it does not.
+    /// The attempt on a reused connection is not written before this time, in milliseconds, because the peer
+    /// may be closing the connection; 0 if there is no such wait.
     pub write_after_ms: f64,
 }
 
 /// An attempt that has not ended.
 pub(in crate::frontend::http) struct AttemptState {
     pub endpoint: EndpointId,
-    /// Its connection until the job was taken, none after.
+    /// The attempt's connection; `None` once the endpoint has accepted the job.
     pub conn: Option<ConnId>,
     pub request_id: Rc<str>,
-    /// Where its connection leads.
+    /// The address to which the connection was opened.
     pub address: String,
-    /// How often it was tried in vain to cancel it, where the next attempt waits for that.
+    /// Number of failed requests to cancel the attempt; `None` unless the next attempt waits for the
+    /// cancellation.
     pub cancel_tries: Option<u32>,
 }
 
-/// Whether the next attempt of a job may be written, where no two may be open together.
+/// Whether the next attempt of a job may be written, where no two may be open at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::frontend::http) enum WritePermission {
-    /// It may.
+    /// It may be written now.
     Granted,
-    /// Not yet: the attempt before it is being cancelled.
+    /// Not yet: the previous attempt is being cancelled.
     Pending,
-    /// It may not: the attempt before it could not be cancelled.
+    /// It may not be written: the previous attempt could not be cancelled.
     Denied,
 }
 
@@ -99,7 +105,7 @@
         }
     }
 
-    /// Takes over another idle time and another bound.
+    /// Applies a new idle time and a new limit on connections.
     pub fn reconfigure(&mut self, connection_idle_ms: f64, max_connections: usize) {
         self.pool.set_idle_limit(connection_idle_ms);
         self.max_connections = max_connections;
@@ -109,19 +115,20 @@
         self.connections.contains_key(&conn)
     }
 
-    /// Gives a connection up at this time, in milliseconds.
+    /// Sets the time at which a connection is given up, in milliseconds.
     pub fn set_deadline(&mut self, conn: ConnId, deadline_ms: f64) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.deadline_ms = deadline_ms;
         }
     }
 
-    /// What a connection is used for.
+    /// Returns the current use of a connection.
     pub fn purpose(&self, conn: ConnId) -> Option<ConnectionUse> {
         self.connections.get(&conn).map(|connection| connection.purpose)
     }
 
-    /// Whether a connection proved itself before: it was in the pool, or has come up without a time limit.
+    /// Whether a connection was known to work before: it came from the pool, or no longer has a time limit to
+    /// connect.
     pub fn was_connected_before(&self, conn: ConnId) -> bool {
         let is_known = |connection: &UpstreamConnection| {
             connection.was_pooled || connection.deadline_ms == f64::INFINITY
@@ -129,17 +136,17 @@
         self.connections.get(&conn).is_none_or(is_known)
     }
 
-    /// Whether a connection was taken out of the pool.
+    /// Whether a connection was taken from the pool.
     pub fn was_pooled(&self, conn: ConnId) -> bool {
         self.connections.get(&conn).is_some_and(|connection| connection.was_pooled)
     }
 
-    /// Whether the attempt on a connection waits as its end may be on the way.
+    /// Whether the attempt on a connection waits because the peer may be closing the connection.
     pub fn is_write_delayed(&self, conn: ConnId) -> bool {
         self.connections.get(&conn).is_some_and(|connection| connection.write_after_ms > 0.0)
     }
 
-    /// An attempt is being written on a connection.
+    /// Records that an attempt is written on a connection.
     pub fn start_attempt(&mut self, conn: ConnId, attempt: AttemptId) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.purpose = ConnectionUse::Attempt(attempt);
@@ -148,7 +155,7 @@
         }
     }
 
-    /// A connection's response is not needed any more, but for the next use of the connection.
+    /// Records that a connection's response is only awaited in order to reuse the connection.
     pub fn start_draining(&mut self, conn: ConnId, now_ms: f64) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.purpose = ConnectionUse::Draining;
@@ -156,7 +163,8 @@
         }
     }
 
-    /// Whether the next attempt of a job may go, by the attempts of it that are being cancelled.
+    /// Returns whether the next attempt of a job may be written, given which of its attempts are being
+    /// cancelled.
     pub fn write_permission(&self, job: JobId) -> WritePermission {
         let of_job = self.attempts.iter().filter(|(id, _)| id.job == job);
         match of_job.filter_map(|(_, attempt)| attempt.cancel_tries).max() {
@@ -166,20 +174,21 @@
         }
     }
 
-    /// Forgets what a job that is over was still cancelling.
+    /// Removes the attempts of a finished job that were still being cancelled.
     pub fn forget_cancelling(&mut self, job: JobId) {
         self.attempts.retain(|id, attempt| id.job != job || attempt.cancel_tries.is_none());
     }
 
-    /// When to look at them again.
+    /// Returns the earliest deadline of all connections, in milliseconds.
     pub fn next_deadline(&self) -> f64 {
         self.connections.values().map(|connection| connection.deadline_ms).fold(f64::INFINITY, f64::min)
     }
 }
 
 impl UpstreamConnection {
-    /// The connection is seen to be up. Guards against a connection that came up within the write of its request, as on
-    /// loopback: seen up only by the state of the socket, it kept its time limit to connect.
+    /// Records that the connection is established. This includes connections established within the first
+    /// write, as happens on loopback; relying on the socket state alone would keep their time limit to
+    /// connect.
     pub fn mark_connected(&mut self, now_ms: f64) {
         if std::mem::replace(&mut self.is_connected, true) {
             return;
@@ -187,7 +196,7 @@
         match &mut self.purpose {
             ConnectionUse::Draining => self.deadline_ms = now_ms + DRAIN_TIMEOUT_MS,
             ConnectionUse::Cancelling(_) => self.deadline_ms = now_ms + RESPONSE_TIMEOUT_MS,
-            ConnectionUse::Probe { connected_at_ms, .. } => *connected_at_ms = now_ms,
+            ConnectionUse::Probe { open_at_ms, .. } => *open_at_ms = now_ms,
             ConnectionUse::Idle
             | ConnectionUse::CoolingDown
             | ConnectionUse::Assigned(_)
--- a/src/frontend/list_reader.rs
+++ b/src/frontend/list_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the endpoint list, or its changes, as discovery and configurations write it.
+//! Parses the endpoint list, or changes to it, in the format that discovery and configuration files share.
 
 use thiserror::Error;
 
@@ -7,43 +7,43 @@
 use crate::routing::{Endpoint, EndpointId, EndpointStatus};
 use crate::settings::Site;
 
-/// The list, or its changes, as discovery tells it.
+/// The endpoint list, or changes to it.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// Its lines.
+    /// The endpoints in it.
     pub lines: Vec<ListedEndpoint>,
-    /// How much of the list the lines are.
+    /// Whether the lines are the complete list or changes.
     pub scope: ListScope,
 }
 
-/// Why a list does not read.
+/// The reason why a list is rejected.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// It is no JSON.
+    /// The text is not valid JSON.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// It has no version.
-    #[error("the list has no seq")]
+    /// The version is missing.
+    #[error("the endpoint list has no field `seq`")]
     NoVersion,
-    /// One of its lines has no name.
-    #[error("a line of the list has no host")]
+    /// An endpoint's name is missing.
+    #[error("an entry of the endpoint list has no field `host`")]
     NoName,
 }
 
-/// Reads a list or its changes from their text.
+/// Parses a list or its changes from JSON text.
 ///
 /// # Errors
-/// Where the text is no JSON, or as [`read_list`] says.
+/// If the text is not JSON, or for the reasons of [`read_list`].
 pub(super) fn parse_list(body: &[u8], site: &Site) -> Result<EndpointList, ListError> {
     read_list(&json::parse(body)?, site)
 }
 
-/// Reads a list or its changes.
+/// Parses a list or its changes from a JSON value.
 ///
 /// # Errors
-/// Where it has no version, or a line has no name. What else a line lacks has a default.
+/// If the version or an endpoint's name is missing. All other missing fields have defaults.
 pub fn read_list(list: &JsonValue, site: &Site) -> Result<EndpointList, ListError> {
     let version = number(list, "seq").ok_or(ListError::NoVersion)? as u64;
     let lines =
@@ -54,7 +54,7 @@
 
 fn read_line(line: &JsonValue, site: &Site) -> Result<ListedEndpoint, ListError> {
     let name = text(line, "host").ok_or(ListError::NoName)?;
-    // A name that the settings do not have gets the number after all of theirs.
+    // A name that is not in the settings gets the index after the last known one.
     let index = |names: &[String], name: Option<&str>| {
         names.iter().position(|known| Some(known.as_str()) == name).unwrap_or(names.len()) as u16
     };
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,5 +1,5 @@
-//! The frontends, and the gateway that joins them to the sockets. A frontend speaks one wire protocol, and owns a core, its
-//! connections and what its wire needs beside that.
+//! The frontends, and the gateway that connects them to the sockets. Each frontend implements one wire
+//! protocol and owns a core, its connections and the state that its protocol needs.
 
 pub mod console;
 pub mod discovery;
@@ -17,5 +17,5 @@
 pub use files::{Configs, Files};
 pub use gateway::Gateway;
 
-/// The sockets of the gateway.
+/// The network layer, with the gateway as the handler of its events.
 pub type Sockets = crate::net::Net<Gateway>;
--- a/src/frontend/operator.rs
+++ b/src/frontend/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: TOML, with a table for each frontend; unknown keys are rejected.
+//! The operator's file: TOML with a table for each frontend. Unknown keys are rejected.
 
 use std::path::Path;
 
@@ -8,45 +8,46 @@
 use super::{fleet, streaming};
 use crate::json::JsonValue;
 
-/// Why the file cannot be used.
+/// The reason why the operator's file is rejected.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{file}: {cause}")]
     Read {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The I/O error.
         cause: std::io::Error,
     },
-    /// It is no TOML, or has a key or a value that does not belong there; the text shows where.
+    /// The file is not valid TOML, or has an unknown key or an invalid value. The error text shows the
+    /// position.
     #[error("{file}: {cause}")]
     Parse {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// Where, and what was expected.
+        /// The position, and what was expected there.
         cause: toml::de::Error,
     },
-    /// Its figures do not fit.
+    /// Values of the table `stream` are invalid.
     #[error("{file}: {}", list(.errors))]
     Stream {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// All that is wrong.
+        /// All errors found.
         errors: Vec<streaming::ConfigError>,
     },
-    /// Its fleet's table does not fit.
+    /// The tables `fleet` and `rollout` are invalid.
     #[error("{file}: {}", list(.errors))]
     Fleet {
-        /// Its path.
+        /// The path of the file.
         file: String,
-        /// All that is wrong.
+        /// All errors found.
         errors: Vec<fleet::ConfigError>,
     },
-    /// It has no frontend's table.
-    #[error("{file}: neither [fleet], [gearman], [stream] nor `console`: there is nothing to set up")]
+    /// The file sets nothing up.
+    #[error("{file}: none of [fleet], [gearman], [stream] and `console` is set")]
     Empty {
-        /// Its path.
+        /// The path of the file.
         file: String,
     },
 }
@@ -55,15 +56,15 @@
     errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// What the file sets up.
+/// The parsed operator's file.
 pub struct OperatorConfig {
-    /// Gearman's table, as its frontend reads it.
+    /// The table `gearman`, in the form that the Gearman frontend parses.
     pub gearman: Option<JsonValue>,
-    /// The stream front's.
+    /// The configuration of the streaming frontend.
     pub stream: Option<streaming::Config>,
-    /// The fleet's table.
+    /// The configuration of the fleet.
     pub fleet: Option<fleet::Config>,
-    /// The operators' console, if the file names its address.
+    /// The console's address, if the file sets one.
     pub console: Option<std::net::SocketAddr>,
 }
 
@@ -77,7 +78,7 @@
     rollout: Option<fleet::RolloutTable>,
 }
 
-/// The keys that Gearman's table may have; its front reads their values.
+/// The keys allowed in the table `gearman`; the Gearman frontend parses their values.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[expect(dead_code, reason = "read to refuse other keys and types")]
@@ -120,10 +121,10 @@
     workers: Option<Vec<String>>,
 }
 
-/// Reads the file, and checks all of it but what Gearman's front checks itself.
+/// Reads and checks the operator's file. The Gearman frontend checks the values of its own table later.
 ///
 /// # Errors
-/// Where the file cannot be read, is no TOML, or has a table that is not valid.
+/// If the file cannot be read, is not TOML, or has an invalid table.
 pub fn read(path: &Path) -> Result<OperatorConfig, FileError> {
     let file = path.display().to_string();
     let text =
@@ -157,7 +158,8 @@
     })
 }
 
-/// A value of TOML as one of JSON; a date becomes its text. The parser of TOML bounds its nesting.
+/// Converts a TOML value to JSON; a date becomes a string. The recursion is bounded because the TOML parser
+/// limits the nesting.
 fn json(value: toml::Value) -> JsonValue {
     match value {
         toml::Value::String(text) => JsonValue::String(text),
--- a/src/frontend/operator/tests.rs
+++ b/src/frontend/operator/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `operator`.
+//! Tests for `operator`.
 
 use super::*;
 
@@ -30,7 +30,7 @@
     assert_eq!(both.to_string().lines().count(), 2, "{both}");
 }
 
-/// The files that are given as examples read, and their policy too.
+/// The example files under `deploy`, and the policy that one of them names, must parse.
 #[test]
 fn the_deploy_files_parse() {
     for (file, text) in [
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -293,7 +293,7 @@
     pub fn stop(&mut self) {
         let span = self.config.table.stop_s * 1e3;
         self.cut_at_ms = self.cut_at_ms.min(self.now() + span);
-        self.shutdown.get_or_insert_with(|| Shutdown::within(&mut self.core, span));
+        self.shutdown.get_or_insert_with(|| Shutdown::begin_with_kill_after(&mut self.core, span));
     }
 
     /// Whether it is past its last call.
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -111,5 +111,5 @@
     let config = config(256, nobody(), &[]).replacen('{', r#"{"console": "here", "#, 1);
     let (ended_well, log) = Program::start(Some(&config), None).wait();
     assert!(!ended_well);
-    assert_eq!(log.trim(), "micabeam: `console` is no address: here", "{log}");
+    assert_eq!(log.trim(), "micabeam: `console` is not a socket address: here", "{log}");
 }
