--- a/src/frontend/discovery/call_timing.rs
+++ b/src/frontend/discovery/call_timing.rs
@@ -27,8 +27,8 @@
 /// until its wait is over. Discovery processes the calls of all dispatchers in about 8 s, however many there
 /// are, so watches take a third of its time at most.
 const MAX_WATCH_WAIT_MS: f64 = 20_000.0;
-/// In a large fleet, waits grow with the number of dispatchers, so that together they start one call for
-/// every so many calls that discovery can process.
+/// In a large fleet, waits grow with the number of dispatchers, so that the watches of all dispatchers start
+/// one call for every `WAITS_PER_POLL` calls that discovery can process.
 const WAITS_PER_POLL: f64 = 3.0;
 
 /// Returns how long a call may wait for changes, in milliseconds.
--- a/src/frontend/discovery/tests.rs
+++ b/src/frontend/discovery/tests.rs
@@ -21,7 +21,7 @@
 
 /// A call for the list that this process cannot send must not count as in flight.
 ///
-/// After an outage, a dispatcher was found to send requests to a server 2 s after the server's removal had to
+/// After an outage, a dispatcher kept sending requests to a server for 2 s after the server's removal had to
 /// be followed. The failure was reported before the start of the call, so a call counted as in flight that
 /// was never sent. 2.5 s later it counted as a long poll accepted by discovery, and the list as watched.
 /// Found by the soak with seed 771204 and logging of discovery: `call not made call_ms=0`, then `attempts by
