--- a/src/frontend/http/requests.rs
+++ b/src/frontend/http/requests.rs
@@ -1,4 +1,5 @@
-//! What clients send: requests are read from their connections, told apart by their paths, and become jobs.
+//! Requests from clients: reads them from their connections, dispatches them by path and submits jobs to the
+//! core.
 
 use std::rc::Rc;
 
@@ -13,39 +14,40 @@
 use crate::net::{ConnId, head};
 use crate::routing::JobId;
 
-/// Bytes of a refused request that are read at once, lest they keep its client from its response.
+/// Maximum number of bytes of a rejected request that are discarded in one turn; beyond that the connection
+/// is dropped. They are discarded so that the client reads its response.
 const MAX_DRAINED_BYTES: usize = 16 << 20;
-/// Requests read from a connection before others have their turn.
+/// Maximum number of requests read from one connection before other connections are served.
 const MAX_REQUESTS_PER_TURN: usize = 64;
-/// Longest id of a request that can stand in a path.
+/// Maximum length of a request ID, which must fit into a path.
 const MAX_ID_BYTES: usize = 128;
-/// Headers that are said anew to an endpoint, or answered here. All others but those of one hop pass on: what a client and
-/// an endpoint agree on, such as a key that drops repeats, is theirs.
+/// Headers that are replaced in the request to an endpoint, or handled here. All others except hop-by-hop
+/// headers are forwarded, since clients and endpoints may have agreed on them, such as an idempotency key.
 const REWRITTEN_HEADERS: [&str; 4] = ["host", "expect", "req-id", "req-deadline"];
 
-/// Whether there may be more to read on a connection in this turn.
+/// Whether to continue reading a connection in this turn.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Continue,
     Done,
 }
 
-/// What a connection has been read in this turn.
+/// The part of its turn that a connection has used.
 #[derive(Default)]
-struct TurnUse {
+struct TurnUsage {
     drained_bytes: usize,
     requests: usize,
 }
 
 impl HttpFrontend {
-    /// A client's connection can be read or written, or has ended.
+    /// Handles a client connection that became readable or writable, or was closed.
     pub(super) fn on_client_ready(&mut self, net: &mut Sockets, id: ConnId) {
-        let mut turn = TurnUse::default();
+        let mut turn = TurnUsage::default();
         while self.read_client(net, id, &mut turn) == Progress::Continue {}
     }
 
-    /// Reads once from a client's connection.
-    fn read_client(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUse) -> Progress {
+    /// Performs one read step on a client connection.
+    fn read_client(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUsage) -> Progress {
         let Some(conn) = net.conn(id) else { return Progress::Done };
         conn.pump();
         let has_ended = conn.eof || conn.broken;
@@ -60,14 +62,15 @@
         if client.is_busy() {
             return self.read_ahead(net, id, turn);
         }
-        match self.count_turn(id, turn) {
+        match self.charge_turn(id, turn) {
             Progress::Continue => self.read_request(net, id),
             Progress::Done => Progress::Done,
         }
     }
 
-    /// Counts a request of this turn. Guards against one client that sends without end and keeps all others waiting.
-    fn count_turn(&mut self, id: ConnId, turn: &mut TurnUse) -> Progress {
+    /// Counts one request against the connection's turn. Without this limit, a client that sends continuously
+    /// would starve all others.
+    fn charge_turn(&mut self, id: ConnId, turn: &mut TurnUsage) -> Progress {
         turn.requests += 1;
         if turn.requests <= MAX_REQUESTS_PER_TURN {
             return Progress::Continue;
@@ -76,14 +79,15 @@
         Progress::Done
     }
 
-    /// Reads what still comes on a connection that is being closed, and throws it away. Guards against a client that is still
-    /// sending what was refused: unread, it would never be told of it; read without a bound, it would keep the loop.
+    /// Reads and discards data on a connection that is being closed. Without this, a client still sending a
+    /// rejected request would not receive the rejection. The amount is limited, so that one client does not
+    /// block the loop.
     fn drain_closing(
         &mut self,
         net: &mut Sockets,
         id: ConnId,
         has_ended: bool,
-        turn: &mut TurnUse,
+        turn: &mut TurnUsage,
     ) -> Progress {
         let Some(conn) = net.conn(id) else { return Progress::Done };
         let (unread, is_written) = (conn.rx.len(), conn.tx.is_empty());
@@ -100,10 +104,10 @@
         if unread == 0 { Progress::Done } else { Progress::Continue }
     }
 
-    /// Leaves what comes while a client waits for its answer in its buffer. Guards against an end that is not seen behind more
-    /// than can be held: a client that sends so much before it has its answer is read to its end, and its connection is not
-    /// used again.
-    fn read_ahead(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUse) -> Progress {
+    /// Leaves data that arrives while a client waits for its answer in the receive buffer. If the buffer is
+    /// full, the client's close could not be seen behind the data, so the data is discarded and the
+    /// connection is closed after the answer.
+    fn read_ahead(&mut self, net: &mut Sockets, id: ConnId, turn: &mut TurnUsage) -> Progress {
         let (Some(conn), Some(client)) = (net.conn(id), self.clients.connections.get(&id)) else {
             return Progress::Done;
         };
@@ -115,10 +119,10 @@
         }
         conn.rx.consume(unread);
         conn.closes_after_answer = true;
-        self.count_turn(id, turn)
+        self.charge_turn(id, turn)
     }
 
-    /// Reads a request, if all of it has come.
+    /// Reads a request if it has arrived completely.
     fn read_request(&mut self, net: &mut Sockets, id: ConnId) -> Progress {
         let Some(conn) = net.conn(id) else { return Progress::Done };
         let read = http::read_request(&mut conn.rx);
@@ -126,7 +130,7 @@
         let now_ms = self.core.clock().now();
         if let Some(client) = self.clients.get_mut(id) {
             if let Ok(None) = &read {
-                expect_rest(client, unread, now_ms);
+                extend_read_deadline(client, unread, now_ms);
             } else {
                 (client.read_deadline_ms, client.partial_request) = (None, None);
             }
@@ -147,11 +151,11 @@
         Progress::Continue
     }
 
-    /// A complete request has come.
+    /// Dispatches a complete request by method and path.
     fn on_request(&mut self, net: &mut Sockets, id: ConnId, message: Message) {
         let path = message.target.split('?').next().unwrap_or("").to_string();
         match (message.method.as_str(), path.as_str()) {
-            ("GET", "/up") => self.on_up(net, id, message.close),
+            ("GET", "/up") => self.on_health_check(net, id, message.close),
             ("GET", "/v1/seam") => self.on_upgrade_link(net, id, &message),
             ("GET", "/counters") => {
                 let text = self.core.counters().to_string();
@@ -163,9 +167,9 @@
         }
     }
 
-    /// Whether clients may come here.
-    fn on_up(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
-        let (status, body) = if self.sends_clients_away() || !self.gate_is_open() {
+    /// Responds to `GET /up`, by which clients check whether they may connect here.
+    fn on_health_check(&mut self, net: &mut Sockets, id: ConnId, close: bool) {
+        let (status, body) = if self.is_evacuating_or_stopping() || !self.gate_is_open() {
             (503, "evacuating\n")
         } else if !self.has_usable_list() {
             (503, "waiting for the list\n")
@@ -176,18 +180,18 @@
         self.respond(net, id, status, &process, body.as_bytes(), close);
     }
 
-    /// A process of an upgrade tells that this connection is its link to this one.
+    /// Handles a request by which another process of an upgrade marks this connection as its link.
     fn on_upgrade_link(&mut self, net: &mut Sockets, id: ConnId, message: &Message) {
         if let Some(client) = self.clients.get_mut(id) {
             (client.sends_callbacks, client.is_upgrade_link, client.has_sent_request) = (true, true, true);
         }
         let wanted = message.header(upgrade_link::WARM_STATE_HEADER);
         if matches!(wanted, Some(upgrade_link::WANTS_WARM_STATE | upgrade_link::WANTS_LIST)) {
-            self.leave_warm_state();
+            self.save_warm_state();
         }
         self.respond(net, id, 204, &[], b"", message.close);
         if let Some(pid) = message.header(upgrade_link::ASKED_HEADER) {
-            self.on_linked_by(net, pid);
+            self.on_link_opened_by(net, pid);
         }
     }
 
@@ -198,16 +202,17 @@
         let asked = message.header(upgrade_link::ASKED_HEADER);
         let status = match self.on_callback(&message.body) {
             CallbackResult::Malformed => 400,
-            CallbackResult::Taken => 204,
+            CallbackResult::Accepted => 204,
             CallbackResult::Unknown if self.forward_callback(net, id, &message.body, asked) => return,
             CallbackResult::Unknown if asked.is_some() => 410,
-            // Nobody knows its job: its sender would only try again.
+            // No process knows the job; the sender would only retry, so it is told that the callback was
+            // accepted.
             CallbackResult::Unknown => 204,
         };
         self.respond(net, id, status, &[], b"", message.close);
     }
 
-    /// A request for a job has come; it goes on at once where the policy gate does not hold it.
+    /// Handles a request for a job: submits it now unless the policy gate holds it.
     fn on_job_request(&mut self, net: &mut Sockets, id: ConnId, message: Message) {
         if let Some(message) = self.pass_gate(net, id, message) {
             let now_ms = self.core.clock().now();
@@ -215,7 +220,7 @@
         }
     }
 
-    /// Hands a request to the core that came at a time.
+    /// Validates a request that arrived at `arrived_at_ms` and submits it to the core.
     pub(super) fn submit(&mut self, net: &mut Sockets, id: ConnId, message: Message, arrived_at_ms: f64) {
         let close = message.close;
         let path = message.target.split('?').next().unwrap_or("");
@@ -228,8 +233,9 @@
             Some(text) => parse_duration_ms(text),
             None => Some(self.core.site().client_classes[class].max_wait_ms),
         };
-        let request_id =
-            message.header("req-id").filter(|id| is_request_id(id) && !self.ids.contains_key(*id));
+        let request_id = message
+            .header("req-id")
+            .filter(|id| is_request_id(id) && !self.jobs_by_request_id.contains_key(*id));
         let (Some(wait_ms), Some(request_id)) = (wait_ms, request_id) else {
             return self.respond(net, id, 400, &[], b"Req-Id or Req-Deadline does not read\n", close);
         };
@@ -252,7 +258,7 @@
         }
     }
 
-    /// Keeps of an admitted request what its attempts are to say.
+    /// Stores the parts of an admitted request that its attempts need.
     fn on_admitted(
         &mut self,
         net: &mut Sockets,
@@ -266,7 +272,7 @@
         let passed_on = head::onward(&message.headers).filter(|(name, _)| !is_rewritten(name));
         let headers = passed_on.cloned().collect();
         let (target, body) = (message.target, message.body);
-        self.ids.insert(Rc::clone(&request_id), job);
+        self.jobs_by_request_id.insert(Rc::clone(&request_id), job);
         self.jobs.insert(job, ClientJob { client: id, id: request_id, target, headers, body });
         if let Some(conn) = net.conn(id).filter(|_| message.close) {
             conn.closes_after_answer = true;
@@ -277,9 +283,10 @@
     }
 }
 
-/// Sets the deadline of a request of which `unread` bytes have come. Guards against cutting off a client that writes slowly
-/// or in pieces but goes on: only silence, or a request that takes far too long, ends it.
-fn expect_rest(client: &mut Client, unread: usize, now_ms: f64) {
+/// Sets the read deadline of a request of which `unread` bytes have arrived. A client that sends slowly or in
+/// pieces is kept as long as it makes progress; only silence, or a request that takes longer than
+/// `REQUEST_TIMEOUT_MS`, ends it.
+fn extend_read_deadline(client: &mut Client, unread: usize, now_ms: f64) {
     match client.partial_request {
         Some(PartialRequest { since_ms, seen_bytes }) if unread > seen_bytes => {
             let deadline_ms = (now_ms + READ_TIMEOUT_MS).min(since_ms + REQUEST_TIMEOUT_MS);
@@ -294,7 +301,7 @@
     }
 }
 
-/// Whether an id can stand in a path, as it must to cancel an attempt.
+/// Whether a request ID can be part of a path, which the request that cancels an attempt requires.
 fn is_request_id(id: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'/' | b'?' | b'#' | b'%');
     (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(is_allowed)
--- a/src/main.rs
+++ b/src/main.rs
@@ -143,7 +143,7 @@
     clock: &Clock,
 ) -> Option<OwnNote> {
     let path = handover::note_path(&std::env::temp_dir(), address);
-    let predecessor = handover::process_beside(&path, std::process::id());
+    let predecessor = handover::live_peer(&path, std::process::id());
     let note = leave_note(&path, clock);
     if let Some(fleet) = fleet {
         fleet.attach_core(frontend.core_mut());
@@ -151,7 +151,7 @@
             frontend.enable_policy_gate();
         }
     }
-    frontend.join(net, address, path, predecessor);
+    frontend.start_upgrade_links(net, address, path, predecessor);
     note
 }
 
