--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -335,7 +335,7 @@
                 self.pause_worst = self.pause_worst.max(now - since.unwrap_or(now));
             }
             rollout::Effect::Apply(policy, _) => dispatcher.front.version = policy.version,
-            rollout::Effect::Serve(until) => {
+            rollout::Effect::ServeUntil(until) => {
                 self.note_lapse(member);
                 let dispatcher = &mut self.members[usize::from(member)];
                 dispatcher.front.until = until;
--- a/src/control_plane/mod.rs
+++ b/src/control_plane/mod.rs
@@ -14,7 +14,7 @@
 use crate::zones::{self, FailoverSettings, ZoneFailover, ZoneLoad};
 
 /// How long after the leader's term rose what is known here to be decided counts as current, in milliseconds.
-const CURRENT_TERM_MS: f64 = 1000.0;
+const MAX_TERM_AGE_MS: f64 = 1000.0;
 
 /// What a control plane is built from.
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
     /// Whether what is known here to be decided is current: a leader has confirmed its majority lately.
     pub fn follows_leader(&self, now: f64) -> bool {
         let (term, term_raised_ms) = (self.node.term(), self.node.term_raised_ms());
-        term.leader().is_some() && now - term_raised_ms < CURRENT_TERM_MS
+        term.leader().is_some() && now - term_raised_ms < MAX_TERM_AGE_MS
     }
 
     /// The state of this member in changes of policy, where a policy is shared.
@@ -164,7 +164,7 @@
         while let Some(event) = self.node.next_event() {
             self.dispatch(now, event);
         }
-        self.zones.follow(now, &self.node);
+        self.zones.apply_newest_decision(now, &self.node);
     }
 
     fn dispatch(&mut self, now: f64, event: NodeEvent) {
@@ -172,7 +172,7 @@
             NodeEvent::Message { topic: zones::TOPIC, from, bytes, .. } => {
                 self.zones.receive(now, &self.node, from, &bytes);
             }
-            NodeEvent::Decided { topic: zones::TOPIC } => self.zones.follow(now, &self.node),
+            NodeEvent::Decided { topic: zones::TOPIC } => self.zones.apply_newest_decision(now, &self.node),
             NodeEvent::Message { topic: rollout::TOPIC, from, incarnation, bytes } => {
                 if let Some(rollout) = &mut self.rollout {
                     rollout.receive(now, &mut self.node, from, incarnation, &bytes);
@@ -180,7 +180,7 @@
             }
             NodeEvent::Decided { topic: rollout::TOPIC } | NodeEvent::Document(_) => {
                 if let Some(rollout) = &mut self.rollout {
-                    rollout.follow(now, &mut self.node);
+                    rollout.apply_newest_decision(now, &mut self.node);
                 }
             }
             // Of a module that is not set up here.
--- a/src/control_plane/tests/failover.rs
+++ b/src/control_plane/tests/failover.rs
@@ -6,7 +6,7 @@
 fn a_dead_zone_is_closed_by_all_within_three_seconds_and_reopened() {
     let mut cluster = settled_cluster(1);
     cluster.dead_zones[1] = true;
-    let took = cluster.wait_for(3000.0, "closed by all", |c| c.is_closed(1, &ALL));
+    let took = cluster.wait_for(3000.0, "closed by all", |c| c.is_closed(1, &ALL_MEMBERS));
     assert!(took > 600.0, "not at the first failure: {took}");
     assert!(
         cluster
@@ -16,38 +16,40 @@
     );
     cluster.run(1000.0);
     cluster.dead_zones[1] = false;
-    cluster.wait_for(15_000.0, "open to all", |c| ALL.iter().all(|m| c.state(*m, 1) == ZoneState::Open));
+    cluster
+        .wait_for(15_000.0, "open to all", |c| ALL_MEMBERS.iter().all(|m| c.state(*m, 1) == ZoneState::Open));
 }
 
 /// Its endpoints and dispatchers are alive, but nothing from them reaches the others.
 #[test]
 fn a_partitioned_zone_is_closed_outside_and_serves_on_inside() {
     let mut cluster = settled_cluster(2);
-    cluster.split(&AB, &C);
-    cluster.wait_for(3500.0, "closed outside", |c| c.is_closed(2, &AB));
+    cluster.split(&ZONES_0_AND_1_MEMBERS, &ZONE_2_MEMBERS);
+    cluster.wait_for(3500.0, "closed outside", |c| c.is_closed(2, &ZONES_0_AND_1_MEMBERS));
     cluster.run(14_000.0);
-    for inside in C {
+    for inside in ZONE_2_MEMBERS {
         let view = cluster.nodes[&inside].zones().view().unwrap();
         assert_eq!((view.status, view.shares[2]), (AgreementStatus::Isolated, 1000));
     }
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     cluster.wait_for(3000.0, "heard again", |c| {
-        C.iter().all(|m| c.nodes[m].zones().view().unwrap().status == AgreementStatus::Following)
+        ZONE_2_MEMBERS.iter().all(|m| c.nodes[m].zones().view().unwrap().status == AgreementStatus::Following)
     });
-    cluster.wait_for(20_000.0, "open to all", |c| ALL.iter().all(|m| c.state(*m, 2) == ZoneState::Open));
+    cluster
+        .wait_for(20_000.0, "open to all", |c| ALL_MEMBERS.iter().all(|m| c.state(*m, 2) == ZoneState::Open));
 }
 
 /// Guards against a single unreachable dispatcher that closes a zone for the others.
 #[test]
 fn a_single_partitioned_dispatcher_changes_nothing_for_the_others() {
     let mut cluster = settled_cluster(3);
-    let others: Vec<MemberId> = ALL.into_iter().filter(|m| *m != 2).collect();
+    let others: Vec<MemberId> = ALL_MEMBERS.into_iter().filter(|m| *m != 2).collect();
     cluster.split(&[2], &others);
     cluster.run(20_000.0);
-    assert!(cluster.decided.is_empty(), "{:?}", cluster.decided);
+    assert!(cluster.decided_tables.is_empty(), "{:?}", cluster.decided_tables);
     assert_eq!(cluster.nodes[&2].zones().view().unwrap().status, AgreementStatus::Isolated);
     assert!(!cluster.nodes[&0].node().alive()[2]);
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     cluster.wait_for(4000.0, "back", |c| {
         c.nodes[&0].node().alive()[2] && c.nodes[&2].node().alive().iter().all(|up| *up)
     });
@@ -56,22 +58,23 @@
 #[test]
 fn packet_loss_delays_and_breaks_nothing() {
     let mut cluster = settled_cluster(7);
-    (cluster.loss, cluster.delays) = (0.3, true);
+    (cluster.loss_rate, cluster.has_delays) = (0.3, true);
     cluster.run(10_000.0);
-    assert!(cluster.decided.is_empty(), "loss alone closes nothing: {:?}", cluster.decided);
+    assert!(cluster.decided_tables.is_empty(), "loss alone closes nothing: {:?}", cluster.decided_tables);
     cluster.dead_zones[0] = true;
-    cluster.wait_for(8000.0, "closed by all", |c| c.is_closed(0, &ALL));
+    cluster.wait_for(8000.0, "closed by all", |c| c.is_closed(0, &ALL_MEMBERS));
 }
 
 #[test]
 fn clock_skew_changes_nothing() {
-    let mut cluster = Cluster::with(8, 5000.0);
+    let mut cluster = Cluster::with_clock_skew(8, 5000.0);
     cluster.run(4000.0);
-    assert!(cluster.decided.is_empty());
+    assert!(cluster.decided_tables.is_empty());
     cluster.dead_zones[2] = true;
-    cluster.wait_for(3000.0, "closed by all", |c| c.is_closed(2, &ALL));
+    cluster.wait_for(3000.0, "closed by all", |c| c.is_closed(2, &ALL_MEMBERS));
     cluster.dead_zones[2] = false;
-    cluster.wait_for(15_000.0, "open to all", |c| ALL.iter().all(|m| c.state(*m, 2) == ZoneState::Open));
+    cluster
+        .wait_for(15_000.0, "open to all", |c| ALL_MEMBERS.iter().all(|m| c.state(*m, 2) == ZoneState::Open));
 }
 
 /// A process that is killed and started under its name is known again, by its later incarnation.
--- a/src/control_plane/tests/frames.rs
+++ b/src/control_plane/tests/frames.rs
@@ -45,7 +45,7 @@
     assert_eq!(node.receive(1e6, 1, &update), Ok(()), "whether it can be decoded is for its module");
     assert_eq!(node.receive(1e6, 1, &update), Ok(()), "late or twice");
     assert_eq!(node.node().counters().stale, 1);
-    assert_eq!(node.zones().newest().epoch, 0);
+    assert_eq!(node.zones().newest_decision().epoch, 0);
 }
 
 proptest! {
@@ -64,6 +64,6 @@
             }
         }
         node.tick(2e6, 0, |_| ZoneLoad::default());
-        prop_assert_eq!(node.zones().newest().epoch, 0);
+        prop_assert_eq!(node.zones().newest_decision().epoch, 0);
     }
 }
--- a/src/control_plane/tests/leadership.rs
+++ b/src/control_plane/tests/leadership.rs
@@ -12,7 +12,7 @@
     cluster.dead_zones[zone] = true;
     cluster.run(900.0);
     cluster.kill(leader);
-    let rest: Vec<MemberId> = ALL.into_iter().filter(|m| *m != leader).collect();
+    let rest: Vec<MemberId> = ALL_MEMBERS.into_iter().filter(|m| *m != leader).collect();
     cluster.wait_for(4000.0, "closed by the rest", |c| c.is_closed(zone, &rest));
     cluster.start(leader);
     cluster.wait_for(4000.0, "the one that was killed follows", |c| c.is_closed(zone, &[leader]));
@@ -27,7 +27,7 @@
     cluster.frozen.insert(leader);
     cluster.run(3000.0);
     cluster.dead_zones[zone] = true;
-    let rest: Vec<MemberId> = ALL.into_iter().filter(|m| *m != leader).collect();
+    let rest: Vec<MemberId> = ALL_MEMBERS.into_iter().filter(|m| *m != leader).collect();
     cluster.wait_for(4000.0, "closed by the rest", |c| c.is_closed(zone, &rest));
     cluster.run(3000.0);
     cluster.frozen.clear();
@@ -43,24 +43,30 @@
 #[test]
 fn without_a_majority_nothing_is_decided_and_dispatchers_serve_on() {
     let mut cluster = settled_cluster(6);
-    cluster.split(&A, &[3, 4, 5, 6, 7, 8]);
+    cluster.split(&ZONE_0_MEMBERS, &[3, 4, 5, 6, 7, 8]);
     cluster.wait_for(4000.0, "the three voters close the zone they cannot hear", |c| {
         c.is_closed(0, &[3, 4, 5, 6, 7, 8])
     });
-    assert!(A.iter().all(|m| cluster.state(*m, 0) == ZoneState::Open), "the two have decided nothing");
-    cluster.split(&B, &C);
+    assert!(
+        ZONE_0_MEMBERS.iter().all(|m| cluster.state(*m, 0) == ZoneState::Open),
+        "the two have decided nothing"
+    );
+    cluster.split(&ZONE_1_MEMBERS, &ZONE_2_MEMBERS);
     cluster.run(2000.0);
-    let newest = cluster.decided.keys().max().copied();
+    let newest = cluster.decided_tables.keys().max().copied();
     cluster.run(15_000.0);
-    assert_eq!(cluster.decided.keys().max().copied(), newest);
+    assert_eq!(cluster.decided_tables.keys().max().copied(), newest);
     assert!(cluster.nodes.values().all(|n| n.zones().view().unwrap().status == AgreementStatus::Isolated));
     assert!(
-        B.iter().chain(&C).all(|m| cluster.nodes[m].zones().view().unwrap().shares[0] == 0),
+        ZONE_1_MEMBERS
+            .iter()
+            .chain(&ZONE_2_MEMBERS)
+            .all(|m| cluster.nodes[m].zones().view().unwrap().shares[0] == 0),
         "stays closed to them"
     );
-    cluster.cut.clear();
+    cluster.cut_links.clear();
     cluster.wait_for(30_000.0, "open to all", |c| {
-        (0..ZONES).all(|z| ALL.iter().all(|m| c.state(*m, z) == ZoneState::Open))
+        (0..ZONES).all(|z| ALL_MEMBERS.iter().all(|m| c.state(*m, z) == ZoneState::Open))
     });
 }
 
@@ -68,14 +74,14 @@
 fn all_restarted_at_once_go_on_from_their_disks() {
     let mut cluster = settled_cluster(9);
     cluster.dead_zones[0] = true;
-    cluster.wait_for(3000.0, "closed by all", |c| c.is_closed(0, &ALL));
-    let epoch = cluster.decided.keys().max().copied().unwrap();
-    ALL.iter().for_each(|m| cluster.kill(*m));
+    cluster.wait_for(3000.0, "closed by all", |c| c.is_closed(0, &ALL_MEMBERS));
+    let epoch = cluster.decided_tables.keys().max().copied().unwrap();
+    ALL_MEMBERS.iter().for_each(|m| cluster.kill(*m));
     cluster.in_transit.clear();
     cluster.run(100.0);
-    ALL.iter().for_each(|m| cluster.start(*m));
-    cluster.wait_for(4000.0, "closed again", |c| c.is_closed(0, &ALL));
-    assert!(cluster.nodes.values().all(|n| n.zones().newest().epoch >= epoch));
+    ALL_MEMBERS.iter().for_each(|m| cluster.start(*m));
+    cluster.wait_for(4000.0, "closed again", |c| c.is_closed(0, &ALL_MEMBERS));
+    assert!(cluster.nodes.values().all(|n| n.zones().newest_decision().epoch >= epoch));
 }
 
 proptest! {
@@ -88,45 +94,45 @@
         let mut cluster = Cluster::new(seed);
         cluster.run(3000.0);
         for _ in 0..8 {
-            let member = cluster.draws.u16(..9);
-            match cluster.draws.u8(..9) {
+            let member = cluster.rng.u16(..9);
+            match cluster.rng.u8(..9) {
                 0 | 1 => cluster.kill(member),
                 2 => drop(cluster.frozen.insert(member)),
                 3 => cluster.frozen.clear(),
                 4 => cluster.dead_zones[usize::from(member) / MEMBERS_PER_ZONE] ^= true,
                 5 => {
-                    let other = cluster.draws.u16(..9);
-                    cluster.cut.insert((member, other));
+                    let other = cluster.rng.u16(..9);
+                    cluster.cut_links.insert((member, other));
                 }
                 6 => {
-                    let zone: Vec<MemberId> = ALL.into_iter().filter(|m| m / 3 == member / 3).collect();
-                    let rest: Vec<MemberId> = ALL.into_iter().filter(|m| m / 3 != member / 3).collect();
+                    let zone: Vec<MemberId> = ALL_MEMBERS.into_iter().filter(|m| m / 3 == member / 3).collect();
+                    let rest: Vec<MemberId> = ALL_MEMBERS.into_iter().filter(|m| m / 3 != member / 3).collect();
                     cluster.split(&zone, &rest);
                 }
-                7 => cluster.loss = 0.3 - cluster.loss,
-                _ => cluster.cut.clear(),
+                7 => cluster.loss_rate = 0.3 - cluster.loss_rate,
+                _ => cluster.cut_links.clear(),
             }
-            let ms = cluster.draws.u64(100..4000);
+            let ms = cluster.rng.u64(100..4000);
             cluster.run(ms as f64);
-            for m in ALL {
-                if !cluster.nodes.contains_key(&m) && cluster.draws.bool() {
+            for m in ALL_MEMBERS {
+                if !cluster.nodes.contains_key(&m) && cluster.rng.bool() {
                     cluster.start(m);
                 }
             }
         }
-        cluster.cut.clear();
+        cluster.cut_links.clear();
         cluster.frozen.clear();
-        (cluster.loss, cluster.dead_zones) = (0.0, [false; ZONES]);
-        for m in ALL {
+        (cluster.loss_rate, cluster.dead_zones) = (0.0, [false; ZONES]);
+        for m in ALL_MEMBERS {
             if !cluster.nodes.contains_key(&m) {
                 cluster.start(m);
             }
         }
         cluster.wait_for(90_000.0, "all open and all agree", |c| {
-            let epoch = c.nodes[&0].zones().newest().epoch;
+            let epoch = c.nodes[&0].zones().newest_decision().epoch;
             c.nodes.values().all(|n| {
-                let open = n.zones().newest().table.zones.iter().all(|zone| zone.state == ZoneState::Open);
-                n.zones().newest().epoch == epoch && open && n.zones().view().is_some_and(|v| v.status == AgreementStatus::Following)
+                let open = n.zones().newest_decision().table.zones.iter().all(|zone| zone.state == ZoneState::Open);
+                n.zones().newest_decision().epoch == epoch && open && n.zones().view().is_some_and(|v| v.status == AgreementStatus::Following)
             })
         });
     }
--- a/src/control_plane/tests/mod.rs
+++ b/src/control_plane/tests/mod.rs
@@ -30,40 +30,40 @@
     frozen: BTreeSet<MemberId>,
     disks: BTreeMap<MemberId, Vec<u8>>,
     in_transit: Vec<(f64, u64, MemberId, MemberId, Vec<u8>)>,
-    sent: u64,
-    cut: BTreeSet<(MemberId, MemberId)>,
-    loss: f64,
+    sent_count: u64,
+    cut_links: BTreeSet<(MemberId, MemberId)>,
+    loss_rate: f64,
     dead_zones: [bool; ZONES],
-    draws: fastrand::Rng,
+    rng: fastrand::Rng,
     /// The table of each epoch.
-    decided: BTreeMap<u64, ZoneTable>,
-    epochs: BTreeMap<MemberId, u64>,
+    decided_tables: BTreeMap<u64, ZoneTable>,
+    member_epochs: BTreeMap<MemberId, u64>,
     /// Clocks of members are apart by so much.
     clock_skew: f64,
-    delays: bool,
+    has_delays: bool,
 }
 
 impl Cluster {
     fn new(seed: u64) -> Cluster {
-        Cluster::with(seed, 0.0)
+        Cluster::with_clock_skew(seed, 0.0)
     }
 
-    fn with(seed: u64, clock_skew: f64) -> Cluster {
+    fn with_clock_skew(seed: u64, clock_skew: f64) -> Cluster {
         let mut cluster = Cluster {
             now: 1e6,
             nodes: BTreeMap::new(),
             frozen: BTreeSet::new(),
             disks: BTreeMap::new(),
             in_transit: Vec::new(),
-            sent: 0,
-            cut: BTreeSet::new(),
-            loss: 0.0,
+            sent_count: 0,
+            cut_links: BTreeSet::new(),
+            loss_rate: 0.0,
             dead_zones: [false; ZONES],
-            draws: fastrand::Rng::with_seed(seed),
-            decided: BTreeMap::new(),
-            epochs: BTreeMap::new(),
+            rng: fastrand::Rng::with_seed(seed),
+            decided_tables: BTreeMap::new(),
+            member_epochs: BTreeMap::new(),
             clock_skew,
-            delays: false,
+            has_delays: false,
         };
         (0..(ZONES * MEMBERS_PER_ZONE) as MemberId).for_each(|member| cluster.start(member));
         cluster
@@ -73,25 +73,25 @@
         self.now + f64::from(member) * self.clock_skew
     }
 
-    fn start(&mut self, own: MemberId) {
-        let now = self.clock(own);
+    fn start(&mut self, member: MemberId) {
+        let now = self.clock(member);
         let fleet = fleet::NodeConfig {
             cluster: "test".into(),
             generation: 1,
             members: members(),
-            member_id: own,
+            member_id: member,
             incarnation: now as u64,
-            seed: self.draws.u64(..),
+            seed: self.rng.u64(..),
         };
         let config =
             ControlPlaneConfig { fleet, zones: ZONES, failover: FailoverSettings::default(), rollout: None };
         let persisted = self
             .disks
-            .get(&own)
+            .get(&member)
             .map(|bytes| vote_file::read(bytes, 1).unwrap().persisted)
             .unwrap_or_default();
-        self.nodes.insert(own, ControlPlane::new(config, persisted, now).unwrap());
-        self.epochs.remove(&own);
+        self.nodes.insert(member, ControlPlane::new(config, persisted, now).unwrap());
+        self.member_epochs.remove(&member);
     }
 
     fn kill(&mut self, member: MemberId) {
@@ -103,7 +103,7 @@
     fn split(&mut self, one: &[MemberId], other: &[MemberId]) {
         for a in one {
             for b in other {
-                self.cut.extend([(*a, *b), (*b, *a)]);
+                self.cut_links.extend([(*a, *b), (*b, *a)]);
             }
         }
     }
@@ -126,12 +126,12 @@
             for effect in node.take_effects() {
                 match effect {
                     Effect::Node(fleet::Effect::Send { to, bytes }) => {
-                        if self.cut.contains(&(member, to)) || self.draws.f64() < self.loss {
+                        if self.cut_links.contains(&(member, to)) || self.rng.f64() < self.loss_rate {
                             continue;
                         }
-                        self.sent += 1;
-                        let delay = if self.delays { self.draws.u64(0..40) } else { 0 };
-                        self.in_transit.push((now + 1.0 + delay as f64, self.sent, member, to, bytes));
+                        self.sent_count += 1;
+                        let delay = if self.has_delays { self.rng.u64(0..40) } else { 0 };
+                        self.in_transit.push((now + 1.0 + delay as f64, self.sent_count, member, to, bytes));
                     }
                     Effect::Node(fleet::Effect::Write(write)) => {
                         match write {
@@ -142,9 +142,9 @@
                         self.nodes.get_mut(&member).unwrap().on_written(clock, true);
                     }
                     Effect::Zones(zones::Effect::Decided(zones::TableChange { epoch, table, .. })) => {
-                        let first = self.decided.entry(epoch).or_insert_with(|| table.clone());
+                        let first = self.decided_tables.entry(epoch).or_insert_with(|| table.clone());
                         assert_eq!(*first, table, "two decisions of epoch {epoch}");
-                        let known = self.epochs.insert(member, epoch).unwrap_or(0);
+                        let known = self.member_epochs.insert(member, epoch).unwrap_or(0);
                         assert!(epoch > known, "member {member} went from epoch {known} to {epoch}");
                     }
                     Effect::Zones(zones::Effect::View(_)) | Effect::Rollout(_) => {}
@@ -161,9 +161,9 @@
         let own = members()[usize::from(member)].zone;
         let node = self.nodes.get_mut(&member).unwrap();
         let shares = node.zones().view().map_or(vec![1000; ZONES], |view| view.shares.clone());
-        let is_local = self.draws.u16(..1000) < shares[own];
+        let is_local = self.rng.u16(..1000) < shares[own];
         let others: Vec<usize> = (0..ZONES).filter(|z| *z != own && shares[*z] > 0).collect();
-        let zone = match others.get(self.draws.usize(..others.len().max(1))) {
+        let zone = match others.get(self.rng.usize(..others.len().max(1))) {
             Some(other) if !is_local => *other,
             _ if is_local => own,
             _ => return,
@@ -191,7 +191,7 @@
     }
 
     fn state(&self, member: MemberId, zone: usize) -> ZoneState {
-        self.nodes[&member].zones().newest().table.zones[zone].state
+        self.nodes[&member].zones().newest_decision().table.zones[zone].state
     }
 
     fn is_closed(&self, zone: usize, members: &[MemberId]) -> bool {
@@ -203,11 +203,11 @@
     }
 }
 
-const A: [MemberId; 3] = [0, 1, 2];
-const B: [MemberId; 3] = [3, 4, 5];
-const C: [MemberId; 3] = [6, 7, 8];
-const ALL: [MemberId; 9] = [0, 1, 2, 3, 4, 5, 6, 7, 8];
-const AB: [MemberId; 6] = [0, 1, 2, 3, 4, 5];
+const ZONE_0_MEMBERS: [MemberId; 3] = [0, 1, 2];
+const ZONE_1_MEMBERS: [MemberId; 3] = [3, 4, 5];
+const ZONE_2_MEMBERS: [MemberId; 3] = [6, 7, 8];
+const ALL_MEMBERS: [MemberId; 9] = [0, 1, 2, 3, 4, 5, 6, 7, 8];
+const ZONES_0_AND_1_MEMBERS: [MemberId; 6] = [0, 1, 2, 3, 4, 5];
 
 fn settled_cluster(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(seed);
@@ -216,7 +216,7 @@
     cluster.run(3000.0);
     assert!(all(&cluster), "and go on knowing");
     assert_eq!(cluster.nodes.values().filter(|n| n.node().is_leader()).count(), 1);
-    assert!(cluster.decided.is_empty(), "calm decides nothing");
+    assert!(cluster.decided_tables.is_empty(), "calm decides nothing");
     assert!(cluster.nodes.values().all(|n| n.zones().view().unwrap().status == AgreementStatus::Following));
     cluster
 }
--- a/src/frontend/fleet/figures.rs
+++ b/src/frontend/fleet/figures.rs
@@ -59,7 +59,7 @@
 
 fn render_agreement(figures: &mut Figures, control_plane: &ControlPlane) {
     let node = control_plane.node();
-    let epoch = control_plane.zones().newest().epoch;
+    let epoch = control_plane.zones().newest_decision().epoch;
     let view = control_plane.zones().view();
     let status = view.map_or(AgreementStatus::Stale, |view| view.status) as u8;
     let alive = node.alive().iter().filter(|alive| **alive).count();
@@ -89,7 +89,7 @@
     }
     let help = "What dispatchers saw of a zone in the last second; at voters.";
     figures.labelled_gauge("lb_fleet_evidence", help, &seen);
-    let table = &zones.newest().table;
+    let table = &zones.newest_decision().table;
     let labels = || zone_names.iter().map(|zone| format!("{{zone=\"{}\"}}", escape(zone)));
     let states: Vec<_> =
         labels().zip(&table.zones).map(|(label, zone)| (label, f64::from(zone.state as u8))).collect();
--- a/src/frontend/fleet/policy_changes.rs
+++ b/src/frontend/fleet/policy_changes.rs
@@ -67,7 +67,7 @@
             Effect::Apply(_, bytes) => {
                 self.pending_policy_commands.push_back(PolicyCommand::Apply { text: text(bytes) });
             }
-            Effect::Serve(until_ms) => {
+            Effect::ServeUntil(until_ms) => {
                 let until = self.clock.to_boot(until_ms);
                 self.pending_policy_commands.push_back(PolicyCommand::ServeUntil(until));
             }
--- a/src/rollout/coordinator.rs
+++ b/src/rollout/coordinator.rs
@@ -1,58 +1,60 @@
-//! The leader's part: which members may hold a lease, which have accepted what is staged, which have paused, and when a
-//! change is decided.
+//! The coordinator: the leader's role in a rollout. It tracks which members may hold a lease, which have accepted the
+//! staged version and which have paused, and it proposes the decisions.
 //!
-//! A coordinator lives from when its node begins to lead until it leads no more. `Rollout` calls it at each tick and with
-//! each message of a member; it keeps nothing on disk, and a new leader asks all members anew.
+//! A coordinator exists only while its node is the leader. `Rollout` calls it on each tick and for each message from a
+//! member. It persists nothing: a new leader collects the state of all members again.
 //!
 //! | phase | event | message or proposal | next phase |
 //! | --- | --- | --- | --- |
-//! | any | nothing is staged in the log | stages the lowest version that a member wants | checking |
-//! | any | another version is staged than before | | checking |
+//! | any | nothing is staged in the log | proposes to stage the lowest version that a member wants | checking |
+//! | any | a different version is staged than before | | checking |
 //! | checking | a member rejects the version | proposes to give it up | deciding |
-//! | checking | all that may serve have accepted it lately | `Pause` to all | pausing |
-//! | checking | a lease and [`VALIDATION_TIMEOUT_MS`] passed | proposes to give it up | deciding |
-//! | pausing | all that may serve have paused | proposes to put it in force | deciding |
-//! | pausing | `pause_ms` passed | `Resume` to all, no new pause for [`PAUSE_BACKOFF_MS`] | checking |
+//! | checking | all members that may serve have recently confirmed that they accept it | `Pause` to all | pausing |
+//! | checking | a full lease and [`VALIDATION_TIMEOUT_MS`] have passed | proposes to give it up | deciding |
+//! | pausing | all members that may serve have paused | proposes to put it in force | deciding |
+//! | pausing | `pause_ms` has passed | `Resume` to all, no new pause for [`PAUSE_BACKOFF_MS`] | checking |
 //! | deciding | the log has the decision | | checking |
 //!
-//! A proposal that the node does not take leaves the phase as it is, and is tried again at the next tick. The
-//! transitions stand in [`Coordinator::tick`] and the methods `while_…` that it calls.
+//! If the node does not accept a proposal, the phase stays the same and the next tick tries again. The transitions are
+//! implemented in [`Coordinator::tick`] and the `tick_…` methods that it calls.
 
 use super::message::{LeaseRequest, Message, Pause};
 use super::{PolicyDecision, PolicyVersion, RolloutSettings, TOPIC};
 use crate::fleet::{FleetNode, MemberId};
 
-/// How long members have to fetch and check a document, on top of what leases may take, in milliseconds.
+/// Time that members have to fetch and check a document, in addition to the duration of a lease, in milliseconds.
 const VALIDATION_TIMEOUT_MS: f64 = 3000.0;
-/// How long after a pause that not all members confirmed the next one may start, in milliseconds.
+/// Delay before the next pause after a pause that not all members confirmed, in milliseconds.
 const PAUSE_BACKOFF_MS: f64 = 200.0;
-/// A member without a heartbeat for this long is waited for before a pause, not during it, in milliseconds.
+/// Maximum age of a member's last heartbeat, in milliseconds, for the member to count as ready to pause. The leader
+/// waits for a silent member before the pause starts, so that requests are not paused during that wait.
 const MAX_READY_AGE_MS: f64 = 200.0;
-/// How long after a member's heartbeat the version that it wants counts, in milliseconds.
+/// How long after a member's last heartbeat the version that it proposed is considered, in milliseconds.
 const WANTED_LIFETIME_MS: f64 = 2000.0;
-/// Most members that a reason names: it is bounded by [`super::MAX_REASON_BYTES`].
+/// Maximum number of members listed in a reason, whose length is limited by [`super::MAX_REASON_BYTES`].
 const MAX_NAMED_MEMBERS: usize = 32;
-/// A lease that has less than this left is not granted, in milliseconds: the wire form has whole ones.
+/// Minimum remaining duration of a granted lease, in milliseconds. The wire format carries whole milliseconds.
 const MIN_LEASE_MS: f64 = 1.0;
 
-/// What the leader knows of a member. Times are milliseconds of the leader's clock.
+/// The leader's knowledge of one member. Times are in milliseconds of the leader's clock.
 #[derive(Clone, Debug)]
 struct MemberState {
-    /// The incarnation of its present process.
+    /// The incarnation of the member's current process.
     incarnation: u64,
-    /// When the lease that this leader granted to the present process is over for sure.
+    /// The time when the lease that this leader granted to the current process has certainly expired.
     lease_until_ms: f64,
-    /// The same for processes before it.
+    /// The time when the leases that this leader granted to earlier processes of the member have certainly expired.
     earlier_lease_until_ms: f64,
     last_request_at_ms: f64,
     last_request: LeaseRequest,
-    /// The present process has left the fleet's address and may serve until its lease is over.
+    /// Whether the current process has announced that it leaves but continues to serve until its lease expires.
     serves_after_leaving: bool,
 }
 
 impl MemberState {
-    /// Notes which process a message is from. It sends from the member's address, which an earlier process gives up only
-    /// when it ends, or after it has announced that it leaves.
+    /// Records the incarnation of the process that sent a message. A process keeps the member's address until it ends
+    /// or has announced that it leaves. So when a newer incarnation sends from that address, the earlier process can
+    /// still hold a lease only if it announced that it would continue to serve.
     fn observe_incarnation(&mut self, now: f64, incarnation: u64) {
         if incarnation <= self.incarnation {
             return;
@@ -63,30 +65,32 @@
         (self.incarnation, self.lease_until_ms, self.serves_after_leaving) = (incarnation, now, false);
     }
 
-    /// Whether the member has accepted a version, and was heard of recently enough to be paused.
+    /// Returns whether the member has accepted `version` and its last heartbeat is recent enough to start a pause.
     fn is_ready(&self, now: f64, version: u64) -> bool {
         self.last_request.accepts(version) && now - self.last_request_at_ms <= MAX_READY_AGE_MS
     }
 
-    /// Whether the member has paused.
+    /// Returns whether the member has confirmed `pause`.
     fn has_paused(&self, pause: Pause) -> bool {
         self.last_request.paused == Some(pause)
     }
 }
 
-/// What the coordinator waits for.
+/// The phase of a rollout, which determines what the coordinator waits for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// All that may serve are to accept what is staged.
+    /// Waiting until all members that may serve have accepted the staged version. Also the phase when nothing is
+    /// staged.
     Checking,
-    /// All that may serve are to pause.
+    /// Waiting until all members that may serve have paused.
     Pausing { pause: Pause, since_ms: f64 },
-    /// The log is to decide what was proposed: the change under a pause, or that it is given up.
+    /// Waiting until the log has decided the proposal: to put the version in force (with a pause) or to give it up
+    /// (without one).
     Deciding { pause: Option<Pause> },
 }
 
 impl Phase {
-    /// The pause that members are to keep.
+    /// Returns the pause that members must observe in this phase, if any.
     fn pause(self) -> Option<Pause> {
         match self {
             Phase::Pausing { pause, .. } => Some(pause),
@@ -96,33 +100,36 @@
     }
 }
 
-/// A staged version, and since when this leader coordinates it, in milliseconds.
+/// A staged version, and the time when this leader started to coordinate it, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct StagedVersion {
     policy: PolicyVersion,
     since_ms: f64,
 }
 
-/// The leader's part, from when it begins to lead until it leads no more.
+/// The rollout coordinator of the leader. It exists only while its node is the leader.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     settings: RolloutSettings,
     members: Vec<MemberState>,
-    /// What is staged, or was proposed to be.
+    /// The version that is staged, or that this leader has proposed to stage.
     staged: Option<StagedVersion>,
     phase: Phase,
-    /// Pauses that were asked for.
+    /// The number of pauses that this coordinator has started.
     attempts: u64,
+    /// The earliest time at which the next pause may start, in milliseconds.
     next_pause_ms: f64,
-    /// All that the log had when this leader began is decided, and known here.
+    /// Whether this leader knows that all entries that were in the log when it became the leader are decided.
     log_is_committed: bool,
-    /// When the leases that earlier leaders granted are over for sure, in milliseconds.
+    /// The time when all leases granted by earlier leaders have certainly expired, in milliseconds.
     inherited_lease_until_ms: f64,
 }
 
 impl Coordinator {
-    /// A coordinator that begins to lead now. It knows of no lease, and takes every member for one that has a full one:
-    /// a lease counts from a round that a majority followed, and no round of an earlier leader began after this one led.
+    /// Creates the coordinator of a node that becomes the leader now. It does not know which leases earlier leaders
+    /// have granted, so it assumes that every member holds a full lease that starts now. This bound is safe: the
+    /// duration of a lease counts from the start of a heartbeat round that a majority followed, and no such round of an
+    /// earlier leader started after this node became the leader.
     pub fn new(settings: RolloutSettings, members: usize, now: f64) -> Coordinator {
         let member = MemberState {
             incarnation: 0,
@@ -144,7 +151,8 @@
         }
     }
 
-    /// Takes a member's heartbeat. It gets a lease for as long as this leader is sure to lead.
+    /// Handles a member's heartbeat. Grants a lease that ends `lease_ms` after the start of the last heartbeat round
+    /// that a majority followed: a successor of this leader waits that long before it has a change decided.
     pub(super) fn on_lease_request(
         &mut self,
         now: f64,
@@ -164,12 +172,13 @@
         if let Some(pause) = unconfirmed_pause {
             node.send_message(from, TOPIC, Message::Pause(pause).encode());
         }
-        // A proposal may be decided much later, as when a majority was away: until then only members that have paused get
-        // leases. The same for what an earlier leader may have proposed and the log still has.
+        // A proposal may be decided much later, for example after a majority was unreachable. While it is pending, only
+        // members that have paused get leases. No member gets a lease while an earlier leader's proposal may still be
+        // in the log undecided.
         self.log_is_committed |= node.log_is_committed();
         let may_miss_change = matches!(self.phase, Phase::Deciding { .. }) && unconfirmed_pause.is_some();
-        // A leader that was replaced, and knows of it, has no confirmed round: it must grant no lease on the strength of its
-        // successor's majority.
+        // A leader that knows it has been replaced has no confirmed round. It must not grant leases based on the
+        // majority that follows its successor.
         let Some(confirmed_round_ms) = node.last_confirmed_round() else { return };
         let duration_ms = self.settings.lease_ms - (now - confirmed_round_ms);
         if duration_ms < MIN_LEASE_MS || may_miss_change || !self.log_is_committed {
@@ -181,7 +190,8 @@
         node.send_message(from, TOPIC, grant.encode());
     }
 
-    /// A member's process leaves; it `serves` on until its lease is over, or gives the lease back.
+    /// Handles the announcement that a member's process leaves. If `serves`, it continues to serve until its lease
+    /// expires; otherwise its lease ends now.
     pub(super) fn on_leave(
         &mut self,
         now: f64,
@@ -202,30 +212,32 @@
         node.send_message(from, TOPIC, Message::Left.encode());
     }
 
-    /// Does what is due: the transitions that the head of this file lists.
+    /// Runs the transitions that are due; see the table in the module documentation.
     pub(super) fn tick(&mut self, now: f64, node: &mut FleetNode) {
         self.bound_inherited_leases(node);
         let decision = PolicyDecision::decode(node.newest_decision(TOPIC).body);
         let Some(policy) = decision.staged else {
-            return self.while_nothing_is_staged(now, node, decision);
+            return self.tick_idle(now, node, decision);
         };
-        // What another leader staged is taken over: all members are asked anew, and pauses for it do not count.
+        // Take over a version that another leader staged: start at the checking phase, and ignore pauses that the other
+        // leader started for it.
         if self.staged.unwrap_or_default().policy != policy {
             self.staged = Some(StagedVersion { policy, since_ms: now });
             self.phase = Phase::Checking;
         }
         match self.phase {
-            Phase::Checking => self.while_checking(now, node, decision, policy),
+            Phase::Checking => self.tick_checking(now, node, decision, policy),
             Phase::Pausing { pause, since_ms } => {
-                self.while_pausing(now, node, decision, policy, pause, since_ms);
+                self.tick_pausing(now, node, decision, policy, pause, since_ms);
             }
             Phase::Deciding { .. } => {}
         }
     }
 
-    /// Stages what members want: the lowest version first, so that of two that are wanted both come in force.
-    fn while_nothing_is_staged(&mut self, now: f64, node: &mut FleetNode, decision: PolicyDecision) {
-        // What was proposed to be staged may not be decided yet.
+    /// Proposes to stage a version that a member wants. The lowest version goes first, so that if members want two
+    /// versions, both are staged, one after the other.
+    fn tick_idle(&mut self, now: f64, node: &mut FleetNode, decision: PolicyDecision) {
+        // Keep a version that this leader has proposed to stage until the log has decided the proposal.
         self.staged = self.staged.filter(|staged| staged.policy.version > decision.highest);
         self.phase = Phase::Checking;
         let Some((member, policy)) = self.lowest_wanted(now, decision.highest) else { return };
@@ -237,8 +249,9 @@
         }
     }
 
-    /// Waits until all that may serve have accepted what is staged, and asks for a pause.
-    fn while_checking(
+    /// Starts a pause once all members that may serve have accepted the staged version. Proposes to give the version up
+    /// if a member rejects it or the time for the check is over.
+    fn tick_checking(
         &mut self,
         now: f64,
         node: &mut FleetNode,
@@ -264,8 +277,9 @@
         }
     }
 
-    /// Waits until all that may serve have paused, and proposes the change; not for longer than `pause_ms`.
-    fn while_pausing(
+    /// Proposes to put the version in force once all members that may serve have paused. Ends the pause if that takes
+    /// longer than `pause_ms`.
+    fn tick_pausing(
         &mut self,
         now: f64,
         node: &mut FleetNode,
@@ -276,12 +290,12 @@
     ) {
         let all_have_paused = self.awaited_members(now, |member| member.has_paused(pause)).next().is_none();
         if all_have_paused {
-            // Where it is not proposed nobody can decide it, and it is tried again.
+            // If the node does not accept the proposal, it cannot be decided, and the next tick tries again.
             if node.propose(now, TOPIC, decision.put_in_force(policy).encode()) {
                 self.phase = Phase::Deciding { pause: Some(pause) };
             }
         } else if now - since_ms > self.settings.pause_ms {
-            // Only this leader could have had the change decided under this pause, and it did not propose it.
+            // It is safe to resume: only this leader could propose the change under this pause, and it did not.
             self.send_to_all(node, &Message::Resume(pause));
             (self.phase, self.next_pause_ms) = (Phase::Checking, now + PAUSE_BACKOFF_MS);
         }
@@ -300,7 +314,8 @@
         }
     }
 
-    /// Learns when earlier leaders can have granted their last lease, once enough voters have answered.
+    /// Lowers the bound on inherited leases once a majority of voters has replied, which bounds when earlier leaders
+    /// can have granted their last lease.
     fn bound_inherited_leases(&mut self, node: &FleetNode) {
         if let Some(last_round_ms) = node.predecessors_last_round() {
             let bound_ms = last_round_ms + self.settings.full_lease_bound_ms();
@@ -308,7 +323,8 @@
         }
     }
 
-    /// Members that may serve and are not done, in order.
+    /// Returns the indexes of the members that the leader must wait for: those that may hold a lease and have not met
+    /// `is_done`. Leases from earlier leaders or to earlier processes count whatever `is_done` returns.
     fn awaited_members<'a>(
         &'a self,
         now: f64,
@@ -320,23 +336,24 @@
                 || member.earlier_lease_until_ms > now
                 || member.lease_until_ms > now && !is_done(member)
         };
-        (0..self.members.len()).filter(move |at| is_awaited(&self.members[*at]))
+        (0..self.members.len()).filter(move |index| is_awaited(&self.members[*index]))
     }
 
-    /// The first member that has rejected a version, and why.
+    /// Returns the first member that has rejected `version`, and its reason, as text.
     fn first_rejection(&self, version: u64) -> Option<String> {
         let mut members = self.members.iter().enumerate();
-        members.find_map(|(at, member)| {
+        members.find_map(|(index, member)| {
             let error = member.last_request.rejection(version)?;
-            Some(format!("member {at}: {error}"))
+            Some(format!("member {index}: {error}"))
         })
     }
 
-    /// The lowest version above `highest` that a member wants, and the member.
+    /// Returns the lowest version above `highest` that a member has recently proposed, and that member.
     fn lowest_wanted(&self, now: f64, highest: u64) -> Option<(MemberId, PolicyVersion)> {
         let members = self.members.iter().enumerate();
         let recent = members.filter(|(_, member)| now - member.last_request_at_ms < WANTED_LIFETIME_MS);
-        let wanted = recent.filter_map(|(at, member)| Some((at as MemberId, member.last_request.wanted?)));
+        let wanted =
+            recent.filter_map(|(index, member)| Some((index as MemberId, member.last_request.wanted?)));
         let newer = wanted.filter(|(_, policy)| policy.version > highest);
         newer.min_by_key(|(_, policy)| policy.version)
     }
--- a/src/rollout/message.rs
+++ b/src/rollout/message.rs
@@ -1,83 +1,85 @@
-//! What members send to one another about a change of policy, in `postcard`'s form: the order of fields and variants is
-//! the wire form.
+//! The messages of the rollout protocol. They are encoded with `postcard`, so the order of fields and variants
+//! determines the wire format.
 
 use serde::{Deserialize, Serialize};
 
 use super::PolicyVersion;
 use crate::consensus::LeaderTerm;
 
-/// A pause of incoming requests: of two the greater is the later.
+/// Identifies one pause of incoming requests. Pauses are ordered: a later pause compares greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Pause {
     pub(super) term: LeaderTerm,
-    /// Number of the pause within the term.
+    /// The number of the pause within the leadership of one coordinator.
     pub(super) attempt: u64,
-    /// The version that it is for.
+    /// The policy version that the pause is for.
     pub version: u64,
 }
 
-/// A member's answer about the staged version.
+/// The result of a member's check of the staged version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct CheckResult {
     /// The version that was checked.
     pub(super) version: u64,
-    /// Why the member cannot run it; none where it can.
+    /// The reason why the member cannot run the version, or `None` if it can.
     pub(super) error: Option<String>,
 }
 
-/// A member's heartbeat to the leader: its state, and the request for a lease.
+/// A member's heartbeat to the leader: reports the member's state and requests a lease.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct LeaseRequest {
-    /// Number of this request; a lease counts from when it was sent.
+    /// The number of this request. A lease starts at the time the request was sent, not when the grant arrives.
     pub(super) nonce: u64,
-    /// The newest decision that the member has carried out.
+    /// The epoch of the newest decision that the member has applied, or 0 if its newest known decision is not applied
+    /// yet.
     pub(super) epoch: u64,
-    /// The answer about the staged version.
+    /// The check result for the staged version, if the check has finished.
     pub(super) checked: Option<CheckResult>,
-    /// The pause that the member's frontends have confirmed.
+    /// The pause that the member's frontends have confirmed, if any.
     pub(super) paused: Option<Pause>,
-    /// A newer version that the member's operator wants.
+    /// The newer version that the member's operator has proposed, if any.
     pub(super) wanted: Option<PolicyVersion>,
 }
 
 impl LeaseRequest {
-    /// Whether the member can run this version.
+    /// Returns whether the member has checked and accepted this version.
     pub(super) fn accepts(&self, version: u64) -> bool {
         self.checked.as_ref().is_some_and(|checked| checked.version == version && checked.error.is_none())
     }
 
-    /// Why the member cannot run this version, if it has said so.
+    /// Returns the member's reason for rejecting this version, if it has rejected it.
     pub(super) fn rejection(&self, version: u64) -> Option<&str> {
         let checked = self.checked.as_ref().filter(|checked| checked.version == version)?;
         checked.error.as_deref()
     }
 }
 
-/// What members send to one another.
+/// A rollout message between a participant and the coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// To the leader: a heartbeat.
+    /// Participant to leader: a heartbeat that requests a lease.
     LeaseRequest(LeaseRequest),
-    /// From the leader: the answer to a heartbeat.
+    /// Leader to participant: grants the lease that a heartbeat requested.
     LeaseGrant {
-        /// The request that it answers.
+        /// The number of the request that this grant answers.
         nonce: u64,
-        /// How long the lease lasts from when that was sent, in milliseconds.
+        /// The duration of the lease, in milliseconds, from the time the request was sent.
         duration_ms: u32,
-        /// It counts at a member that has carried this decision out.
+        /// The epoch of the leader's newest decision. The lease is valid only if the member has applied this decision.
         epoch: u64,
     },
-    /// From the leader: pause incoming requests until the version is decided on or the leader resumes them.
+    /// Leader to participant: pause incoming requests until the version is decided on or the leader sends `Resume`.
     Pause(Pause),
-    /// From the leader: the pause is over, and nothing has changed.
+    /// Leader to participant: end the pause; the policy in force has not changed.
     Resume(Pause),
-    /// To the leader: this process asks for no lease any more. It keeps the fleet's address until the leader has
-    /// answered, so that a later process that sends from there without such a message before proves this one gone.
+    /// Participant to leader: this process requests no further leases. It keeps its fleet address until the leader has
+    /// acknowledged this message. Therefore, if a new process sends from the address and no `Leave` came before, the
+    /// earlier process has ended.
     Leave {
-        /// Whether it goes on serving until its lease is over; if not, the lease is given back.
+        /// Whether the process continues to serve until its lease expires. If false, the lease ends immediately.
         serves: bool,
     },
-    /// From the leader: it knows that the process leaves.
+    /// Leader to participant: acknowledges `Leave`.
     Left,
 }
 
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,26 +1,28 @@
-//! A change of policy that takes effect on all members or on none, free of I/O.
+//! Atomic policy rollout: a new policy version takes effect on all members of the fleet or on none. Performs no I/O.
 //!
-//! | file | what it owns |
+//! | file | responsibility |
 //! | --- | --- |
-//! | `coordinator` | the leader's part: leases, checks, pauses, and when a change is decided |
-//! | `participant` | every member's part: its lease, its check, its pause, and what it runs |
-//! | `participant_state` | the states of that part |
-//! | `message` | what the two send to each other |
+//! | `coordinator` | the leader's role: grants leases, collects check results and pauses, proposes decisions |
+//! | `participant` | every member's role: holds the lease, checks and applies policies, pauses requests |
+//! | `participant_state` | the state types of the participant |
+//! | `message` | the messages between coordinator and participant |
 //!
-//! The policy is a document that this module does not read: it has a version and a hash. The consensus's log has, under
-//! [`TOPIC`], what is in force and what is staged.
+//! A policy is an opaque document that is identified by a version and a hash. The consensus log records, under
+//! [`TOPIC`], which version is in force and which is staged.
 //!
-//! 1. A version that is staged is fetched and checked by every member that may serve.
-//! 2. When all have accepted it, all pause incoming requests.
-//! 3. When all have paused, the change is decided in the log.
-//! 4. Each member resumes its paused requests under the new version as it learns of the decision.
+//! 1. Every member that may serve fetches and checks the staged version.
+//! 2. Once all of them have accepted it, all pause incoming requests.
+//! 3. Once all of them have paused, the leader proposes to put the version in force, and the log decides it.
+//! 4. Each member that learns of the decision applies the new version and resumes its paused requests.
 //!
-//! A member serves only while it has a lease by its own clock, which counts suspended time. One that does not answer is
-//! waited for until its lease is over, so that a dead, frozen or partitioned member cannot go on under the old version.
-//! `docs/design/rollout.md` has the alternatives weighed.
+//! A member serves only while it holds a lease, measured by its own clock, which includes time that the process is
+//! suspended. The leader waits for an unresponsive member until that member's lease has expired, so a dead, frozen or
+//! partitioned member cannot continue to serve the old version after the change. `docs/design/rollout.md` compares the
+//! alternatives.
 //!
-//! The caller calls [`Rollout::tick`] and [`Rollout::follow`], hands in messages of [`TOPIC`], and carries out the
-//! effects of [`Rollout::participant`]. Times are milliseconds of the caller's clock.
+//! The caller calls [`Rollout::tick`] and [`Rollout::apply_newest_decision`], passes messages of [`TOPIC`] to
+//! [`Rollout::receive`], and carries out the effects of [`Rollout::participant`]. Times are in milliseconds of the
+//! caller's clock.
 
 mod coordinator;
 mod message;
@@ -41,22 +43,23 @@
 use crate::fleet::{DocumentHash, FleetNode, MemberId};
 use message::Message;
 
-/// The consensus's topic of policies.
+/// The consensus topic of policy decisions and rollout messages.
 pub const TOPIC: u8 = 2;
-/// Longest reason in a decision or a check result, in bytes: both must fit a datagram and a decision.
+/// Maximum length, in bytes, of a reason in a decision or of an error in a check result. A check result must fit in a
+/// datagram, and a reason in a decision.
 const MAX_REASON_BYTES: usize = 240;
-/// How fast another clock may run against this one.
+/// Maximum rate of another member's clock relative to this one.
 const MAX_CLOCK_RATE: f64 = 1.01;
-/// Allowance for reading two clocks and for rounding, in milliseconds.
+/// Allowance, in milliseconds, for the time between the readings of two clocks and for rounding.
 const CLOCK_SLACK_MS: f64 = 50.0;
 
-/// How changes are made. Times are in milliseconds.
+/// Settings of the rollout protocol. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutSettings {
-    /// How long a member serves without news, and so how long a change may have to wait for one that does not answer. It
-    /// is to be longer than a leader takes to be replaced.
+    /// The lease duration: how long a member continues to serve without contact to the leader, and therefore how long a
+    /// change may wait for an unresponsive member. Must exceed the time that it takes to replace a failed leader.
     pub lease_ms: f64,
-    /// How long requests may be paused for a change before the leader resumes them.
+    /// The maximum time that requests are paused for a change before the leader tells members to resume.
     pub pause_ms: f64,
 }
 
@@ -67,47 +70,49 @@
 }
 
 impl RolloutSettings {
-    /// After how long a lease of `duration_ms` by another clock is over for sure by this one, in milliseconds.
+    /// Returns the time on this clock, in milliseconds, after which a lease of `duration_ms` on another member's clock
+    /// has certainly expired.
     fn lease_bound_ms(&self, duration_ms: f64) -> f64 {
         duration_ms * MAX_CLOCK_RATE + CLOCK_SLACK_MS
     }
 
-    /// After how long any lease is over for sure, in milliseconds.
+    /// Returns the time, in milliseconds, after which a lease of full length has certainly expired.
     fn full_lease_bound_ms(&self) -> f64 {
         self.lease_bound_ms(self.lease_ms)
     }
 }
 
-/// A version and its document.
+/// A policy version and the hash that identifies its document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyVersion {
-    /// The version, as its document has it; 0: none was ever in force.
+    /// The version number from the document, or 0 if no policy has ever been in force.
     pub version: u64,
-    /// The hash of the document.
+    /// The hash of the policy document.
     pub hash: DocumentHash,
 }
 
-/// What became of the version that was staged last.
+/// The outcome of the most recently staged version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeOutcome {
-    /// The version.
+    /// The version that was staged.
     pub version: u64,
-    /// Whether it is in force; if not it was given up, for good.
+    /// Whether the version was put in force. If false, it was given up permanently.
     pub in_force: bool,
-    /// Why it was given up.
+    /// The reason why the version was given up. Empty if it was put in force.
     pub reason: String,
 }
 
-/// A decision of the log. The order of the fields is the stored form.
+/// A policy decision in the consensus log. The field order determines the encoding in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyDecision {
-    /// What is in force.
+    /// The version that is in force.
     pub policy: PolicyVersion,
-    /// What is staged, if anything is.
+    /// The staged version, if any.
     pub staged: Option<PolicyVersion>,
-    /// The highest version that was ever staged: none up to it is staged again, so that what was given up stays so.
+    /// The highest version that was ever staged. Only higher versions can be staged, so a version that was given up
+    /// is never retried.
     pub highest: u64,
-    /// What became of the last one.
+    /// The outcome of the most recently staged version, once decided.
     pub last: Option<ChangeOutcome>,
 }
 
@@ -117,7 +122,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a decision; bytes that cannot be read count as if nothing was decided.
+    /// Decodes a decision. Returns the default decision (nothing in force, nothing staged) if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> PolicyDecision {
         match postcard::take_from_bytes(bytes) {
             Ok((decision, [])) => decision,
@@ -125,26 +130,26 @@
         }
     }
 
-    /// The decision that puts the staged version in force.
+    /// Returns the decision that puts the staged version in force.
     fn put_in_force(self, staged: PolicyVersion) -> PolicyDecision {
         let last = ChangeOutcome { version: staged.version, in_force: true, reason: String::new() };
         PolicyDecision { policy: staged, staged: None, highest: self.highest, last: Some(last) }
     }
 
-    /// The decision that gives the staged version up.
+    /// Returns the decision that gives up the staged version for `reason`.
     fn give_up(self, staged: PolicyVersion, reason: &str) -> PolicyDecision {
         let reason = truncate_reason(reason);
         let last = ChangeOutcome { version: staged.version, in_force: false, reason };
         PolicyDecision { staged: None, last: Some(last), ..self }
     }
 
-    /// The decision that stages a version.
+    /// Returns the decision that stages `policy`.
     fn stage(self, policy: PolicyVersion) -> PolicyDecision {
         PolicyDecision { staged: Some(policy), highest: policy.version, ..self }
     }
 }
 
-/// The longest start of a reason that has at most [`MAX_REASON_BYTES`].
+/// Truncates a reason to at most [`MAX_REASON_BYTES`], at a character boundary.
 fn truncate_reason(reason: &str) -> String {
     let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
@@ -153,7 +158,7 @@
     reason[..end].to_string()
 }
 
-/// Rollouts at one member: the participant, and the coordinator while this node leads.
+/// The rollout state of one member: its participant, and a coordinator while this node is the leader.
 pub struct Rollout {
     settings: RolloutSettings,
     participant: Participant,
@@ -161,28 +166,30 @@
 }
 
 impl Rollout {
-    /// The state of a node that has just started.
+    /// Creates the state of a process that has just started. `process_nonce` must differ between processes of the same
+    /// member; see [`Participant::new`].
     pub fn new(settings: RolloutSettings, process_nonce: u64) -> Rollout {
         let participant = Participant::new(settings, process_nonce);
         Rollout { settings, participant, coordinator: None }
     }
 
-    /// The member's part.
+    /// Returns the participant of this member.
     pub fn participant(&mut self) -> &mut Participant {
         &mut self.participant
     }
 
-    /// The state of the member's part.
+    /// Returns the status of this member's participant.
     pub fn status(&self) -> ParticipantStatus {
         self.participant.status()
     }
 
-    /// Whether the leader knows that this process leaves, or its lease is over so that nobody needs to.
+    /// Returns whether this process can exit without delaying a change: the leader has acknowledged that it leaves, or
+    /// its lease has expired.
     pub fn has_left(&self, now: f64) -> bool {
         self.participant.has_left(now)
     }
 
-    /// Does what is due.
+    /// Creates or drops the coordinator as this node gains or loses leadership, and runs all work that is due.
     pub fn tick(&mut self, now: f64, node: &mut FleetNode) {
         if !node.is_leader() {
             self.coordinator = None;
@@ -195,13 +202,13 @@
         }
     }
 
-    /// Follows the newest decision that the node knows.
-    pub fn follow(&mut self, now: f64, node: &mut FleetNode) {
-        self.participant.follow(now, node);
+    /// Applies the newest policy decision that the node knows.
+    pub fn apply_newest_decision(&mut self, now: f64, node: &mut FleetNode) {
+        self.participant.apply_newest_decision(now, node);
     }
 
-    /// Takes a message of another member, or of this one to itself. Returns false where it cannot be read, or is of a
-    /// member that may not send it.
+    /// Handles a message from another member, or from this member to itself. Returns false if the message is malformed
+    /// or if the sender may not send it.
     pub fn receive(
         &mut self,
         now: f64,
@@ -224,7 +231,8 @@
                     coordinator.on_leave(now, node, from, incarnation, serves);
                 }
             }
-            // Only voters lead. An older message of another leader does no harm.
+            // Only voters can be leaders. A late message from an earlier leader is harmless: grants are matched by
+            // nonce, and pauses are ordered by leader term.
             Message::LeaseGrant { .. } | Message::Pause(_) | Message::Resume(_) | Message::Left => {
                 if !node.voters().contains(&from) {
                     return false;
@@ -232,7 +240,7 @@
                 self.participant.receive(now, &message);
             }
         }
-        // What has changed here is sent at once.
+        // Changed state is reported to the leader immediately.
         self.participant.tick(now, node);
         true
     }
--- a/src/rollout/participant.rs
+++ b/src/rollout/participant.rs
@@ -1,26 +1,27 @@
-//! A member's part in a change: its lease, its check of what is staged, its pause, and what it runs.
+//! The participant: a member's role in a rollout. It holds the member's lease, checks the staged version, pauses
+//! requests for a change, and tracks which version the member runs.
 //!
-//! The participant owns what the member knows and may do; the caller owns the disk, the frontends and the clock. It
-//! carries out all [`Effect`]s in order and answers those that ask for it (`on_…`). Times are milliseconds of the
-//! caller's clock.
+//! The participant holds only state; the caller owns the disk, the frontends and the clock. The caller carries out all
+//! [`Effect`]s in order and reports the result of `Save`, `Check` and `Pause` through the `on_…` methods. Times are in
+//! milliseconds of the caller's clock.
 //!
-//! Three state machines run beside each other:
+//! Three independent state machines:
 //!
-//! | document of the staged version | event | next state |
+//! | staged document | event | next state and effects |
 //! | --- | --- | --- |
-//! | missing | the node has it | saving: [`Effect::Save`], [`Effect::Check`] |
+//! | missing | the node has the document | saving: [`Effect::Save`], [`Effect::Check`] |
 //! | saving | `on_saved` without an error | saved |
-//! | any | another version is staged, or none | missing |
+//! | any | a different version is staged, or none | missing |
 //!
-//! | pause | event | next state |
+//! | pause | event | next state and effects |
 //! | --- | --- | --- |
-//! | running, requested, confirmed | a newer `Pause` for the staged version, which was accepted | requested: [`Effect::Pause`] |
+//! | running, requested, confirmed | a newer `Pause` for the staged version, which this member has accepted | requested: [`Effect::Pause`] |
 //! | requested | `on_paused` | confirmed |
-//! | requested, confirmed | `Resume`, or the version is decided on and carried out | running: [`Effect::Resume`] |
+//! | requested, confirmed | `Resume` for this pause, or the version is decided on and the decision applied | running: [`Effect::Resume`] |
 //!
-//! | membership | event | next state |
+//! | membership | event | next state and messages |
 //! | --- | --- | --- |
-//! | active | `leave` | leaving: `Leave` to the leader until it answers |
+//! | active | `leave` | leaving: repeats `Leave` to the leader until it is acknowledged |
 //! | leaving | `Left` | left |
 
 use std::collections::VecDeque;
@@ -33,64 +34,66 @@
 use crate::consensus::DecisionRef;
 use crate::fleet::{self, DocumentHash, FleetNode, MemberId};
 
-/// Time between two heartbeats to the leader while nothing changes, in milliseconds: eight in a lease of 2 s.
+/// The heartbeat interval in steady state, in milliseconds: eight heartbeats per lease of 2 s.
 const HEARTBEAT_MS: f64 = 250.0;
-/// The same while a change is made or the lease is over, in milliseconds: a lost message is soon made up for.
+/// The heartbeat interval, in milliseconds, during a change, without a lease or while leaving. It is short so that a
+/// lost message is soon replaced by the next one.
 const STAGED_HEARTBEAT_MS: f64 = 50.0;
-/// Heartbeats whose answer may still arrive: 3.2 s of the most frequent ones.
+/// Maximum number of heartbeats that can still be answered: covers 3.2 s at the shortest interval.
 const MAX_PENDING_REQUESTS: usize = 64;
 
-/// What is to be done. The caller carries out all of it, in order.
+/// An action for the caller, which carries out all effects in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write the document to disk, and answer with [`Participant::on_saved`].
+    /// Write the document to disk, then call [`Participant::on_saved`].
     Save(DocumentHash, Vec<u8>),
-    /// Check whether this process can run the document, and answer with [`Participant::on_checked`].
+    /// Check whether this process can run the policy document, then call [`Participant::on_checked`].
     Check(PolicyVersion, Vec<u8>),
-    /// Pause incoming requests from now on, and answer with [`Participant::on_paused`].
+    /// Pause incoming requests, then call [`Participant::on_paused`].
     Pause(Pause),
-    /// The pause is over: paused requests go on under what is in force.
+    /// End the pause: process the paused requests under the policy that is in force.
     Resume,
-    /// From now on this is in force.
+    /// Put this policy into effect.
     Apply(PolicyVersion, Vec<u8>),
-    /// Requests may be started until then, by the caller's clock.
-    Serve(f64),
-    /// The newest decision, for the log.
+    /// Allow new requests to start until this time, in milliseconds of the caller's clock.
+    ServeUntil(f64),
+    /// Log this decision, which is newer than all earlier ones.
     Decided(PolicyDecision),
 }
 
-/// A member's part.
+/// The rollout participant of one member.
 pub struct Participant {
     settings: RolloutSettings,
-    /// The newest decision that is known here, and its epoch.
+    /// The newest decision that this member knows.
     decision: PolicyDecision,
+    /// The epoch of `decision`.
     epoch: u64,
-    /// What it runs; none before it knows what is in force.
+    /// The version that this member runs, or `None` before the first version was applied.
     running: Option<PolicyVersion>,
     staged_document: StagedDocument,
-    /// Its answer about the staged version.
+    /// This member's check result for the staged version.
     checked: Option<CheckResult>,
     pause: PauseState,
-    /// The newest pause that a leader asked for or ended: older ones change nothing.
+    /// The newest pause that was accepted from a leader or ended by one. Messages about older pauses are ignored.
     latest_pause: Option<Pause>,
     lease_until_ms: f64,
-    /// Number of the newest heartbeat.
+    /// The number of the newest heartbeat.
     nonce: u64,
     pending_requests: VecDeque<PendingRequest>,
-    /// The leader at the last tick.
+    /// The leader as of the last tick.
     leader: Option<MemberId>,
     next_heartbeat_ms: f64,
-    /// The newer version that its operator wants.
+    /// The newer version that this member's operator has proposed and that has not been staged yet.
     wanted: Option<PolicyVersion>,
     membership: Membership,
     effects: Vec<Effect>,
 }
 
 impl Participant {
-    /// A member that knows nothing yet, and serves nothing.
+    /// Creates a participant that knows no decision and holds no lease, so it must not serve yet.
     ///
-    /// `process_nonce` differs from that of this member's earlier processes: heartbeats are numbered from a number drawn from
-    /// it, so that a late grant to an earlier process is no answer to one of this process.
+    /// `process_nonce` must differ from those of the member's earlier processes. It seeds the number of the first
+    /// heartbeat, so that a late grant to an earlier process does not match a heartbeat of this process.
     pub fn new(settings: RolloutSettings, process_nonce: u64) -> Participant {
         Participant {
             settings,
@@ -112,17 +115,17 @@
         }
     }
 
-    /// What is to be done since the last call, in order.
+    /// Returns the effects that were added since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// The operator's file has this version, in this document. The file that is in force is accepted and changes
-    /// nothing.
+    /// Proposes the policy of the operator's file to the fleet. Proposing the document that is already in force
+    /// succeeds and changes nothing.
     ///
     /// # Errors
     ///
-    /// Where a version as high was staged before, or the document is too long.
+    /// Returns an error if this version or a higher one has been staged before, or if the document is too long.
     pub fn propose(
         &mut self,
         now: f64,
@@ -141,8 +144,9 @@
         Ok(())
     }
 
-    /// Asks for no lease any more, and announces it to the leader, which [`Participant::has_left`] waits for. The process
-    /// `serves` on until its lease is over, or gives the lease back.
+    /// Stops requesting leases and announces this to the leader; [`Participant::has_left`] tells when that is done. If
+    /// `serves`, the process continues to serve until its lease expires; otherwise the leader ends the lease
+    /// immediately.
     pub fn leave(&mut self, now: f64, serves: bool) {
         if self.membership != Membership::Left {
             self.membership = Membership::Leaving { serves };
@@ -150,15 +154,16 @@
         self.next_heartbeat_ms = now;
     }
 
-    /// Whether the leader knows that this process leaves, or its lease is over so that nobody needs to.
+    /// Returns whether the leader has acknowledged that this process leaves, or the lease has expired so that no
+    /// acknowledgement is needed.
     pub fn has_left(&self, now: f64) -> bool {
         self.membership == Membership::Left || now >= self.lease_until_ms
     }
 
-    /// Does what is due.
+    /// Applies the newest decision, and sends a heartbeat or `Leave` to the leader if one is due.
     pub(super) fn tick(&mut self, now: f64, node: &mut FleetNode) {
-        self.follow(now, node);
-        // A new leader is asked for a lease at once: it does not know of the one that this member has.
+        self.apply_newest_decision(now, node);
+        // Request a lease from a new leader immediately: it does not know about the lease that this member holds.
         let leader_changed = self.leader != node.leader();
         self.leader = node.leader();
         if now < self.next_heartbeat_ms && !leader_changed {
@@ -195,8 +200,8 @@
         node.send_message(leader, TOPIC, Message::LeaseRequest(request).encode());
     }
 
-    /// Follows the newest decision that the node knows.
-    pub(super) fn follow(&mut self, now: f64, node: &mut FleetNode) {
+    /// Applies the newest decision that the node knows.
+    pub(super) fn apply_newest_decision(&mut self, now: f64, node: &mut FleetNode) {
         self.read_decision(now, node);
         self.apply_decided_policy(now, node);
         self.fetch_staged_document(now, node);
@@ -224,13 +229,17 @@
         self.effects.push(Effect::Decided(self.decision.clone()));
     }
 
-    /// Runs what is in force, once its document is here. Version 0 has none.
+    /// Applies the policy in force once its document is available. Version 0 has no document.
     fn apply_decided_policy(&mut self, now: f64, node: &mut FleetNode) {
         let policy = self.decision.policy;
         if self.runs_decided_policy() {
             return;
         }
-        let bytes = if policy.version == 0 { Some(Vec::new()) } else { document(now, node, &policy.hash) };
+        let bytes = if policy.version == 0 {
+            Some(Vec::new())
+        } else {
+            find_or_request_document(now, node, &policy.hash)
+        };
         if let Some(bytes) = bytes {
             self.running = Some(policy);
             self.next_heartbeat_ms = now;
@@ -242,7 +251,7 @@
     fn fetch_staged_document(&mut self, now: f64, node: &mut FleetNode) {
         if let Some(staged) = self.decision.staged
             && self.staged_document == StagedDocument::Missing
-            && let Some(bytes) = document(now, node, &staged.hash)
+            && let Some(bytes) = find_or_request_document(now, node, &staged.hash)
         {
             self.staged_document = StagedDocument::Saving;
             self.effects.push(Effect::Save(staged.hash, bytes.clone()));
@@ -250,12 +259,13 @@
         }
     }
 
-    /// Whether it runs what is in force as far as is known here.
+    /// Returns whether this member runs the policy that is in force by the newest decision it knows.
     fn runs_decided_policy(&self) -> bool {
         self.running == Some(self.decision.policy)
     }
 
-    /// Whether a version was decided on, and this member runs what followed from that.
+    /// Returns whether the staged version `version` was decided on (put in force or given up) and this member has
+    /// applied the result.
     fn has_carried_out(&self, version: u64) -> bool {
         self.runs_decided_policy() && !self.is_staged(version) && self.decision.highest >= version
     }
@@ -273,7 +283,8 @@
         self.effects.push(Effect::Resume);
     }
 
-    /// A document is on disk, or could not be written: what is staged is accepted only with its document on disk.
+    /// Reports that a document was written to disk, or why that failed. A failed write rejects the staged version: a
+    /// member accepts a version only if its document is on disk.
     pub fn on_saved(&mut self, hash: DocumentHash, error: Option<String>) {
         let Some(staged) = self.decision.staged.filter(|staged| staged.hash == hash) else { return };
         match error {
@@ -285,7 +296,7 @@
         }
     }
 
-    /// A version was checked; `error` is why this process cannot run it.
+    /// Reports that a version was checked. `error` is the reason why this process cannot run it, if any.
     pub fn on_checked(&mut self, now: f64, version: u64, error: Option<String>) {
         let is_answer = self.staged_document == StagedDocument::Saved || error.is_some();
         if self.is_staged(version) && is_answer && self.checked.is_none() {
@@ -295,7 +306,7 @@
         }
     }
 
-    /// The frontends have paused incoming requests.
+    /// Reports that the frontends have paused incoming requests.
     pub fn on_paused(&mut self, now: f64, pause: Pause) {
         if self.pause.pause() == Some(pause) {
             self.pause = PauseState::Confirmed(pause);
@@ -303,7 +314,7 @@
         }
     }
 
-    /// Takes a message of a leader.
+    /// Handles a message from a leader.
     pub(super) fn receive(&mut self, now: f64, message: &Message) {
         match *message {
             Message::LeaseGrant { nonce, duration_ms, epoch } => {
@@ -326,11 +337,11 @@
             return;
         };
         let until_ms = request.sent_at_ms + duration_ms.min(self.settings.lease_ms);
-        // A lease under a newer decision than the one that this member runs does not count.
+        // Ignore a lease that was granted under a newer decision than this member has applied.
         let is_current = self.epoch >= epoch && self.runs_decided_policy();
         if is_current && until_ms > self.lease_until_ms && until_ms > now {
             self.lease_until_ms = until_ms;
-            self.effects.push(Effect::Serve(until_ms));
+            self.effects.push(Effect::ServeUntil(until_ms));
         }
     }
 
@@ -338,7 +349,8 @@
         if self.latest_pause.is_some_and(|latest| pause <= latest) {
             return;
         }
-        // One that arrives before the decision that staged its version is sent again.
+        // A pause that arrives before the decision that stages its version is ignored here; the leader sends it again
+        // with the next heartbeat.
         if self.is_staged(pause.version) && self.accepts(pause.version) {
             self.latest_pause = Some(pause);
             self.pause = PauseState::Requested(pause);
@@ -346,7 +358,7 @@
         }
     }
 
-    /// The state of the member's part.
+    /// Returns the status of this participant.
     pub fn status(&self) -> ParticipantStatus {
         ParticipantStatus {
             version: self.running.map_or(0, |policy| policy.version),
@@ -359,11 +371,11 @@
     }
 }
 
-/// A document, which is asked for where it is not here.
-fn document(now: f64, node: &mut FleetNode, hash: &DocumentHash) -> Option<Vec<u8>> {
+/// Returns a document if this node has it, and requests it from the leader otherwise.
+fn find_or_request_document(now: f64, node: &mut FleetNode, hash: &DocumentHash) -> Option<Vec<u8>> {
     let document = node.document(hash);
     if document.is_none() {
-        // The leader had it before it staged the version.
+        // The leader has it: it stages a version only if it has the document.
         node.request_document(now, *hash, node.leader());
     }
     document.map(|bytes| bytes.to_vec())
--- a/src/rollout/participant_state.rs
+++ b/src/rollout/participant_state.rs
@@ -1,65 +1,65 @@
-//! The states that a participant's machines are in, what its operators see of them, and why it refuses a version. The
-//! transitions are in `participant`.
+//! The state types of a participant, its status for operators, and the errors of a proposal. The transitions between
+//! the states are in `participant`.
 
 use super::PolicyDecision;
 use super::message::Pause;
 use crate::fleet::MAX_DOCUMENT_BYTES;
 
-/// Why a version is not proposed.
+/// The reason why a proposed version is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// The version, or a higher one, was staged before.
-    #[error("version {version} was decided on before: a higher one is needed")]
+    /// This version or a higher one has been staged before.
+    #[error("version {version} is not higher than the last staged version: increase the version number")]
     NotNewer {
-        /// The version.
+        /// The refused version.
         version: u64,
     },
-    /// The document is longer than a fleet shares.
-    #[error("the policy is too long: {} KiB at most", MAX_DOCUMENT_BYTES >> 10)]
+    /// The document exceeds the maximum size of a shared document.
+    #[error("the policy document is too long: the limit is {} KiB", MAX_DOCUMENT_BYTES >> 10)]
     TooLong,
 }
 
-/// The state of a member's part, for its operators.
+/// The status of a participant, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParticipantStatus {
-    /// The version that it runs.
+    /// The version that this member runs, or 0 if it runs none.
     pub version: u64,
-    /// What is decided, as far as is known here.
+    /// The newest decision that this member knows.
     pub decision: PolicyDecision,
-    /// The epoch of the decision.
+    /// The epoch of `decision`.
     pub epoch: u64,
-    /// Whether incoming requests are to be paused.
+    /// Whether a pause of incoming requests has been requested or confirmed.
     pub is_paused: bool,
-    /// When its lease ends, in milliseconds.
+    /// The time when this member's lease expires, in milliseconds.
     pub lease_until_ms: f64,
-    /// The version that its operator wants and that is not decided on.
+    /// The version that this member's operator has proposed and that has not been staged yet.
     pub wanted: Option<u64>,
 }
 
-/// The document of the staged version, on this member's disk.
+/// Whether the document of the staged version is on this member's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StagedDocument {
-    /// It is not here, or nothing is staged.
+    /// This member does not have the document, or nothing is staged.
     Missing,
-    /// It was given out to be saved and checked.
+    /// The caller has been told to save and check the document.
     Saving,
-    /// It is on disk.
+    /// The document is on disk.
     Saved,
 }
 
 /// Whether incoming requests are paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PauseState {
-    /// They are not.
+    /// Incoming requests are not paused.
     Running,
-    /// The leader asked for a pause.
+    /// The leader has requested a pause, and the frontends have not confirmed it yet.
     Requested(Pause),
-    /// The frontends have paused.
+    /// The frontends have paused incoming requests.
     Confirmed(Pause),
 }
 
 impl PauseState {
-    /// The pause that was asked for, confirmed or not.
+    /// Returns the current pause, confirmed or not.
     pub(super) fn pause(self) -> Option<Pause> {
         match self {
             PauseState::Running => None,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The pause that the frontends have confirmed.
+    /// Returns the current pause if the frontends have confirmed it.
     pub(super) fn confirmed(self) -> Option<Pause> {
         match self {
             PauseState::Confirmed(pause) => Some(pause),
@@ -76,18 +76,19 @@
     }
 }
 
-/// Whether this process takes part in the fleet.
+/// Whether this process requests leases or leaves the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Membership {
-    /// It asks for leases.
+    /// The process requests leases.
     Active,
-    /// It asks for none any more; `serves` until its lease is over.
+    /// The process requests no more leases, and the leader has not acknowledged that yet. If `serves`, it continues to
+    /// serve until its lease expires.
     Leaving { serves: bool },
-    /// The leader knows that it leaves.
+    /// The leader has acknowledged that the process leaves.
     Left,
 }
 
-/// A heartbeat whose answer may still arrive.
+/// A heartbeat that may still be answered by a lease grant.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRequest {
     pub(super) nonce: u64,
--- a/src/rollout/wire_tests.rs
+++ b/src/rollout/wire_tests.rs
@@ -1,4 +1,4 @@
-//! Guards the wire form of the messages and decisions about changes of policy.
+//! Guards against changes of the wire format of rollout messages and policy decisions.
 
 use super::message::{CheckResult, LeaseRequest, Message, Pause};
 use super::{ChangeOutcome, PolicyDecision, PolicyVersion};
--- a/src/zones/capacity.rs
+++ b/src/zones/capacity.rs
@@ -21,14 +21,14 @@
     /// Attempts in flight of dispatchers whose own zone is open.
     base_load: Vec<f64>,
     /// Requests that would be open at the zone's dispatchers if none were rejected.
-    offered: Vec<f64>,
+    offered_load: Vec<f64>,
 }
 
 impl Capacity {
-    pub(super) fn of(now: f64, reports: &HealthReports, table: &ZoneTable) -> Capacity {
+    pub(super) fn from_reports(now: f64, reports: &HealthReports, table: &ZoneTable) -> Capacity {
         let zones = table.zones.len();
         let mut capacity =
-            Capacity { slots: vec![0.0; zones], base_load: vec![0.0; zones], offered: vec![0.0; zones] };
+            Capacity { slots: vec![0.0; zones], base_load: vec![0.0; zones], offered_load: vec![0.0; zones] };
         for digest in reports.fresh(now) {
             let home = usize::from(digest.zone);
             let home_is_open = table.zones.get(home).is_some_and(|zone| zone.state == ZoneState::Open);
@@ -37,7 +37,7 @@
                 capacity.base_load[zone] += if home_is_open { f64::from(sample.in_flight) } else { 0.0 };
             }
             if home < zones {
-                capacity.offered[home] += digest.offered();
+                capacity.offered_load[home] += digest.offered();
             }
         }
         capacity
@@ -45,7 +45,7 @@
 
     /// Whether a zone can be closed: half of all slots must stay open. Where the zone still does part of its work
     /// (`is_working`), the free slots of the others must also cover at least half of its offered load.
-    pub(super) fn can_fail_over(&self, table: &ZoneTable, zone: usize, is_working: bool) -> bool {
+    pub(super) fn can_close(&self, table: &ZoneTable, zone: usize, is_working: bool) -> bool {
         let stays_open = |other: &usize| *other != zone && table.zones[*other].state != ZoneState::Closed;
         let others = || (0..self.slots.len()).filter(stays_open);
         let all_slots: f64 = self.slots.iter().sum();
@@ -57,7 +57,7 @@
         } else {
             others().count() * 2 >= self.slots.len()
         };
-        half_stays_open && (!is_working || free_slots * 2.0 >= self.offered[zone])
+        half_stays_open && (!is_working || free_slots * 2.0 >= self.offered_load[zone])
     }
 
     /// Sets weight, admission share and `local_only` of each zone: what zones cannot take is split over the others by
@@ -94,14 +94,14 @@
 
     /// Load that zones cannot take because their share is not full.
     fn displaced_load(&self, table: &ZoneTable) -> f64 {
-        let zones = table.zones.iter().zip(&self.offered);
+        let zones = table.zones.iter().zip(&self.offered_load);
         zones.map(|(zone, offered)| offered * (1.0 - share_fraction(zone))).sum()
     }
 
     /// Whether a zone has capacity for all that its dispatchers are offered.
     fn is_local_only(&self, index: usize, zone: &ZoneDecision) -> bool {
         let bound = if zone.local_only { CROSS_ABOVE_UTILIZATION } else { LOCAL_BELOW_UTILIZATION };
-        self.offered[index] <= self.slots[index] * bound
+        self.offered_load[index] <= self.slots[index] * bound
     }
 }
 
--- a/src/zones/failover_controller.rs
+++ b/src/zones/failover_controller.rs
@@ -16,7 +16,7 @@
 //! | recovering | `step_ms` passed, health is not mixed | the next share; at the full share open |
 //!
 //! A zone may be closed when it has been down or unreachable for `close_after_ms` without a break, the others can carry
-//! on (`Capacity::can_fail_over`), and, where it may only be slow, at most half of the zones that are not closed are
+//! on (`Capacity::can_close`), and, where it may only be slow, at most half of the zones that are not closed are
 //! slow.
 
 use super::capacity::Capacity;
@@ -105,7 +105,7 @@
         let half_down = |zone: usize| zones_half_down.get(zone).copied().unwrap_or(false);
         let health: Vec<ZoneHealth> =
             (0..table.zones.len()).map(|zone| reports.health(now, zone, half_down(zone))).collect();
-        let capacity = Capacity::of(now, reports, table);
+        let capacity = Capacity::from_reports(now, reports, table);
         let mut next = table.clone();
         self.advance_states(now, &mut next, &health, &capacity);
         capacity.spread_load(&mut next, self.settings.margin);
@@ -122,9 +122,9 @@
         if self.last_table.zones.len() != table.zones.len() {
             *self = FailoverController::new(self.settings, now, table);
         }
-        for (at, (zone, last)) in table.zones.iter().zip(&self.last_table.zones).enumerate() {
+        for (index, (zone, last)) in table.zones.iter().zip(&self.last_table.zones).enumerate() {
             if (zone.state, zone.share) != (last.state, last.share) {
-                self.unchanged_since_ms[at] = now;
+                self.unchanged_since_ms[index] = now;
             }
         }
         self.last_table = table.clone();
@@ -144,7 +144,7 @@
                 failing_since.is_some_and(|since| now - since >= self.settings.close_after_ms);
             let may_close = fails_long_enough
                 && !(is_slow(health) && most_are_slow)
-                && capacity.can_fail_over(next, zone, is_slow(health));
+                && capacity.can_close(next, zone, is_slow(health));
             next.zones[zone] = self.next_decision(now, zone, next.zones[zone], health, may_close);
         }
     }
@@ -153,16 +153,16 @@
     fn next_decision(
         &self,
         now: f64,
-        at: usize,
+        index: usize,
         zone: ZoneDecision,
         health: ZoneHealth,
         may_close: bool,
     ) -> ZoneDecision {
-        let unchanged_ms = now - self.unchanged_since_ms[at];
+        let unchanged_ms = now - self.unchanged_since_ms[index];
         let step_is_over = unchanged_ms >= self.settings.step_ms;
         let open = ZoneDecision { state: ZoneState::Open, share: FULL_SHARE, ..zone };
         match zone.state {
-            ZoneState::Open | ZoneState::Degraded if may_close => closed(zone),
+            ZoneState::Open | ZoneState::Degraded if may_close => close_zone(zone),
             ZoneState::Open if health == ZoneHealth::Mixed => {
                 ZoneDecision { state: ZoneState::Degraded, share: DEGRADED_SHARE, ..zone }
             }
@@ -179,7 +179,7 @@
             {
                 ZoneDecision { state: ZoneState::Recovering, share: RECOVERY_SHARES[0], ..zone }
             }
-            ZoneState::Recovering if is_failing(health) => closed(zone),
+            ZoneState::Recovering if is_failing(health) => close_zone(zone),
             // A share is also raised where nobody has tried the zone.
             ZoneState::Recovering if step_is_over && health != ZoneHealth::Mixed => {
                 match RECOVERY_SHARES.iter().find(|share| **share > zone.share) {
@@ -199,7 +199,7 @@
     }
 }
 
-fn closed(zone: ZoneDecision) -> ZoneDecision {
+fn close_zone(zone: ZoneDecision) -> ZoneDecision {
     let closings = zone.closings.saturating_add(1);
     ZoneDecision { state: ZoneState::Closed, share: 0, closings, ..zone }
 }
--- a/src/zones/health_reports.rs
+++ b/src/zones/health_reports.rs
@@ -111,20 +111,20 @@
     /// The health of a zone. `half_down`: the zone has members, and the membership has at least half of them down.
     pub fn health(&self, now: f64, zone: usize, half_down: bool) -> ZoneHealth {
         let fresh: Vec<&Digest> = self.fresh(now).collect();
-        let credible = credible(&fresh);
+        let credible = credible_digests(&fresh);
         let summary = self.summary(now, zone);
         if let Some(mode) = joint_failure(&credible, summary, zone) {
             return ZoneHealth::Down(mode);
         }
-        let at_home = fresh.iter().filter(|digest| usize::from(digest.zone) == zone).count();
+        let local_digests = fresh.iter().filter(|digest| usize::from(digest.zone) == zone).count();
         let votes = Votes::count(&credible, zone);
         match (votes.failing, votes.working) {
-            (0, 0) if half_down && at_home == 0 && !fresh.is_empty() => ZoneHealth::Unreachable,
+            (0, 0) if half_down && local_digests == 0 && !fresh.is_empty() => ZoneHealth::Unreachable,
             (0, 0) => ZoneHealth::Unknown,
             (0, _) => ZoneHealth::Healthy,
             // A single dispatcher may have a fault of its own, unless it gets through to other zones and no other
             // dispatcher is in this one.
-            (1, 0) if !(votes.reach_elsewhere && at_home <= 1) => ZoneHealth::Mixed,
+            (1, 0) if !(votes.reaches_other_zones && local_digests <= 1) => ZoneHealth::Mixed,
             (failing, working) if failing > working => ZoneHealth::Down(votes.failure_mode()),
             (1, _) => ZoneHealth::Healthy,
             (failing, working) if failing * 2 > working => ZoneHealth::Mixed,
@@ -142,19 +142,19 @@
     /// All that find it failing find it refusing.
     all_refusing: bool,
     /// One that finds it failing finds another zone working.
-    reach_elsewhere: bool,
+    reaches_other_zones: bool,
 }
 
 impl Votes {
     fn count(digests: &[&Digest], zone: usize) -> Votes {
-        let mut votes = Votes { failing: 0, working: 0, all_refusing: true, reach_elsewhere: false };
+        let mut votes = Votes { failing: 0, working: 0, all_refusing: true, reaches_other_zones: false };
         for digest in digests {
             let sample = &digest.samples[zone];
             if sample.is_failing() {
                 let mut others = digest.samples.iter().enumerate().filter(|(other, _)| *other != zone);
                 votes.failing += 1;
                 votes.all_refusing &= sample.is_refusing();
-                votes.reach_elsewhere |= others.any(|(_, sample)| sample.is_working());
+                votes.reaches_other_zones |= others.any(|(_, sample)| sample.is_working());
             } else if sample.answered > 0 {
                 votes.working += 1;
             }
@@ -169,13 +169,13 @@
 
 /// The digests without those of dispatchers that have a fault of their own: every zone fails them, among these one that
 /// works for others.
-fn credible<'a>(fresh: &[&'a Digest]) -> Vec<&'a Digest> {
+fn credible_digests<'a>(fresh: &[&'a Digest]) -> Vec<&'a Digest> {
     let zones = fresh.first().map_or(0, |digest| digest.samples.len());
     let works_for_some = |zone: usize| fresh.iter().any(|digest| digest.samples[zone].is_working());
     let works_for_some: Vec<bool> = (0..zones).map(works_for_some).collect();
-    let is_refuted = |(sample, works): (&ZoneSample, &bool)| sample.is_failing() && *works;
+    let is_contradicted = |(sample, works): (&ZoneSample, &bool)| sample.is_failing() && *works;
     let is_faulty = |digest: &Digest| {
-        digest.fails_everywhere() && digest.samples.iter().zip(&works_for_some).any(is_refuted)
+        digest.fails_everywhere() && digest.samples.iter().zip(&works_for_some).any(is_contradicted)
     };
     fresh.iter().copied().filter(|digest| !is_faulty(digest)).collect()
 }
--- a/src/zones/zone_failover.rs
+++ b/src/zones/zone_failover.rs
@@ -2,7 +2,7 @@
 //! tables while this node leads, follows what is decided, and gives out the dispatcher's view.
 //!
 //! The caller records the dispatcher's attempts in [`ZoneFailover::outcome_counter`], calls [`ZoneFailover::tick`]
-//! regularly and [`ZoneFailover::follow`] after each decision, hands in messages of [`TOPIC`], and carries out the
+//! regularly and [`ZoneFailover::apply_newest_decision`] after each decision, hands in messages of [`TOPIC`], and carries out the
 //! effects. Times are milliseconds of the caller's clock.
 
 use serde::{Deserialize, Serialize};
@@ -102,7 +102,7 @@
         open_requests: usize,
         zone_load: impl Fn(usize) -> ZoneLoad,
     ) {
-        self.follow(now, node);
+        self.apply_newest_decision(now, node);
         if !self.counter.advance(now) {
             return;
         }
@@ -122,15 +122,15 @@
     }
 
     /// Follows the newest decision that the node knows.
-    pub fn follow(&mut self, now: f64, node: &FleetNode) {
+    pub fn apply_newest_decision(&mut self, now: f64, node: &FleetNode) {
         let DecisionRef { epoch, body, .. } = node.newest_decision(TOPIC);
-        let is_newer = epoch > self.tracker.newest().epoch;
+        let is_newer = epoch > self.tracker.newest_decision().epoch;
         let table = if is_newer { ZoneTable::decode(body, self.zone_count) } else { None };
         let term = node.term();
         if !self.tracker.on_update(now, epoch, table, term) {
             return;
         }
-        let newest = self.tracker.newest();
+        let newest = self.tracker.newest_decision();
         self.effects.push(Effect::Decided(TableChange {
             epoch: newest.epoch,
             table: newest.table.clone(),
@@ -172,7 +172,7 @@
             self.controller = None;
             return;
         }
-        let DecidedTable { epoch, table } = self.tracker.newest();
+        let DecidedTable { epoch, table } = self.tracker.newest_decision();
         let controller =
             self.controller.get_or_insert_with(|| FailoverController::new(self.settings, now, table));
         let half_down = zones_half_down(node, self.zone_count);
@@ -183,7 +183,7 @@
         {
             self.last_proposed_epoch = epoch + 1;
         }
-        self.follow(now, node);
+        self.apply_newest_decision(now, node);
     }
 
     fn update_view(&mut self, now: f64, samples: &[ZoneSample]) {
@@ -195,8 +195,8 @@
     }
 
     /// The newest decision.
-    pub fn newest(&self) -> &DecidedTable {
-        self.tracker.newest()
+    pub fn newest_decision(&self) -> &DecidedTable {
+        self.tracker.newest_decision()
     }
 
     /// What the dispatcher is to do; none before the first digest.
--- a/src/zones/zone_view.rs
+++ b/src/zones/zone_view.rs
@@ -60,7 +60,7 @@
 pub struct ZoneViewTracker {
     own_zone: usize,
     settings: FailoverSettings,
-    newest: DecidedTable,
+    newest_decision: DecidedTable,
     term: LeaderTerm,
     /// When the term last rose, in milliseconds.
     term_raised_ms: f64,
@@ -74,7 +74,7 @@
         ZoneViewTracker {
             own_zone,
             settings,
-            newest: DecidedTable { epoch: 0, table: ZoneTable::open(zones) },
+            newest_decision: DecidedTable { epoch: 0, table: ZoneTable::open(zones) },
             term: LeaderTerm::default(),
             term_raised_ms: now,
             view: ZoneView { epoch: 0, status: AgreementStatus::Stale, shares, admit: FULL_SHARE },
@@ -89,9 +89,10 @@
         }
         match table {
             Some(table)
-                if epoch > self.newest.epoch && table.zones.len() == self.newest.table.zones.len() =>
+                if epoch > self.newest_decision.epoch
+                    && table.zones.len() == self.newest_decision.table.zones.len() =>
             {
-                self.newest = DecidedTable { epoch, table };
+                self.newest_decision = DecidedTable { epoch, table };
                 true
             }
             _ => false,
@@ -99,8 +100,8 @@
     }
 
     /// The newest decision.
-    pub fn newest(&self) -> &DecidedTable {
-        &self.newest
+    pub fn newest_decision(&self) -> &DecidedTable {
+        &self.newest_decision
     }
 
     /// The newest term.
@@ -125,13 +126,13 @@
         let home_fails = samples
             .get(self.own_zone)
             .is_some_and(|home| home.is_failing() || has_endpoints && home.slots == 0);
-        for zone in 0..self.newest.table.zones.len() {
+        for zone in 0..self.newest_decision.table.zones.len() {
             let target = self.target_share(zone, status, samples.get(zone), home_fails);
             let share = &mut self.view.shares[zone];
             *share = target.min(share.saturating_add(MAX_SHARE_RISE));
         }
-        let admit = self.newest.table.zones.get(self.own_zone).map_or(FULL_SHARE, |zone| zone.admit);
-        self.view.epoch = self.newest.epoch;
+        let admit = self.newest_decision.table.zones.get(self.own_zone).map_or(FULL_SHARE, |zone| zone.admit);
+        self.view.epoch = self.newest_decision.epoch;
         self.view.status = status;
         self.view.admit = if status == AgreementStatus::Isolated { FULL_SHARE } else { admit };
         &self.view
@@ -158,7 +159,7 @@
 
     /// The share that the table gives a zone.
     fn agreed_share(&self, zone: usize, home_fails: bool) -> u16 {
-        let zones = &self.newest.table.zones;
+        let zones = &self.newest_decision.table.zones;
         let home = zones.get(self.own_zone);
         let home_is_open = home.is_none_or(|home| home.state == ZoneState::Open);
         // A home zone that fails this dispatcher is left before the fleet has decided on it.
