--- a/src/control_plane/mod.rs
+++ b/src/control_plane/mod.rs
@@ -1,9 +1,10 @@
-//! What a dispatcher shares with the others of its fleet, free of I/O: the node (`crate::fleet`) and the modules on top
-//! of it, zone failover (`crate::zones`) and rollouts (`crate::rollout`).
+//! The control plane of a dispatcher: the fleet node (`crate::fleet`) and the modules that run on top of it, zone
+//! failover (`crate::zones`) and policy rollout (`crate::rollout`). Performs no I/O.
 //!
-//! The node does not know what the modules decide, and the modules do not know each other: events of the node reach the
-//! module of their topic here. After each call the caller carries out all of [`ControlPlane::take_effects`], in order,
-//! and it calls [`ControlPlane::tick`] at [`ControlPlane::next_deadline`]. Times are milliseconds of the caller's clock.
+//! The node does not interpret the decisions of the modules, and the modules are independent of each other. The control
+//! plane passes each event of the node to the module of its topic. After each call, the caller carries out all effects
+//! from [`ControlPlane::take_effects`] in order. It calls [`ControlPlane::tick`] at [`ControlPlane::next_deadline`].
+//! Times are in milliseconds of the caller's clock.
 
 #[cfg(test)]
 mod tests;
@@ -13,34 +14,34 @@
 use crate::rollout::{self, Rollout};
 use crate::zones::{self, FailoverSettings, ZoneFailover, ZoneLoad};
 
-/// How long after the leader's term rose what is known here to be decided counts as current, in milliseconds.
+/// How long after an increase of the leader term the decisions known to this node count as current, in milliseconds.
 const MAX_TERM_AGE_MS: f64 = 1000.0;
 
-/// What a control plane is built from.
+/// Configuration of a control plane.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneConfig {
-    /// The node.
+    /// The configuration of the fleet node.
     pub fleet: NodeConfig,
-    /// Number of zones.
+    /// The number of zones.
     pub zones: usize,
-    /// How zones are failed over.
+    /// The settings of zone failover.
     pub failover: FailoverSettings,
-    /// How changes of policy are made, where a policy is shared.
+    /// The settings of policy rollout, if the fleet shares a policy.
     pub rollout: Option<rollout::RolloutSettings>,
 }
 
-/// What is to be done.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// For the node.
+    /// An effect of the fleet node.
     Node(crate::fleet::Effect),
-    /// For zone failover.
+    /// An effect of zone failover.
     Zones(zones::Effect),
-    /// For rollouts.
+    /// An effect of policy rollout.
     Rollout(rollout::Effect),
 }
 
-/// The node and the modules on top of it.
+/// The fleet node and the modules on top of it.
 pub struct ControlPlane {
     node: FleetNode,
     zones: ZoneFailover,
@@ -48,11 +49,12 @@
 }
 
 impl ControlPlane {
-    /// A control plane, with what a voter's file has.
+    /// Creates a control plane. `persisted` is the state from the votes file, if this member is a voter and has one.
     ///
     /// # Errors
     ///
-    /// Where this member votes and the number of voters is not 3, 5 or 7, or the consensus's library refuses its settings.
+    /// Returns an error if this member is a voter and the number of voters is not 3, 5 or 7, or if the consensus
+    /// library refuses its settings.
     pub fn new(
         config: ControlPlaneConfig,
         persisted: Option<Persisted>,
@@ -67,34 +69,35 @@
         Ok(ControlPlane { node, zones, rollout })
     }
 
-    /// The node.
+    /// Returns the fleet node.
     pub fn node(&self) -> &FleetNode {
         &self.node
     }
 
-    /// Zone failover.
+    /// Returns the zone failover module.
     pub fn zones(&self) -> &ZoneFailover {
         &self.zones
     }
 
-    /// Zone failover, to record the dispatcher's own attempts.
+    /// Returns the zone failover module mutably, to record the dispatcher's own attempts.
     pub fn zones_mut(&mut self) -> &mut ZoneFailover {
         &mut self.zones
     }
 
-    /// Whether what is known here to be decided is current: a leader has confirmed its majority lately.
+    /// Returns whether the decisions known to this node are current: a leader has recently confirmed that a majority
+    /// follows it.
     pub fn follows_leader(&self, now: f64) -> bool {
         let (term, term_raised_ms) = (self.node.term(), self.node.term_raised_ms());
         term.leader().is_some() && now - term_raised_ms < MAX_TERM_AGE_MS
     }
 
-    /// The state of this member in changes of policy, where a policy is shared.
+    /// Returns the status of this member's rollout participant, or `None` if the fleet shares no policy.
     pub fn rollout_status(&self) -> Option<rollout::ParticipantStatus> {
         self.rollout.as_ref().map(Rollout::status)
     }
 
-    /// Calls `action` with this member's part of changes of policy and the node that carries its messages; none where no
-    /// policy is shared.
+    /// Calls `action` with this member's rollout participant and the node that sends its messages. Returns the result,
+    /// or `None` if the fleet shares no policy.
     pub fn with_participant<T>(
         &mut self,
         now: f64,
@@ -107,13 +110,13 @@
         Some(result)
     }
 
-    /// Whether the leader knows that this process leaves, after [`rollout::Participant::leave`]; nobody needs to where no
-    /// policy is shared.
+    /// Returns whether this process can exit without delaying a policy change, after [`rollout::Participant::leave`].
+    /// Always true if the fleet shares no policy.
     pub fn has_left(&self, now: f64) -> bool {
         self.rollout.as_ref().is_none_or(|rollout| rollout.has_left(now))
     }
 
-    /// What is to be done since the last call, in order. The caller carries out all of it.
+    /// Returns the effects that were added since the last call. The caller carries out all of them, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         let mut effects: Vec<Effect> = self.node.take_effects().into_iter().map(Effect::Node).collect();
         effects.extend(self.zones.take_effects().into_iter().map(Effect::Zones));
@@ -123,12 +126,13 @@
         effects
     }
 
-    /// When `tick` is to be called next.
+    /// Returns the time at which `tick` must be called next.
     pub fn next_deadline(&self) -> f64 {
         self.node.next_deadline()
     }
 
-    /// Does what is due. `open_requests` are open at the dispatcher, and `zone_load` gives its present load of a zone.
+    /// Runs the node and the modules if the deadline has passed. `open_requests` is the number of requests open at the
+    /// dispatcher, and `zone_load` returns its current load of a zone.
     pub fn tick(&mut self, now: f64, open_requests: usize, zone_load: impl Fn(usize) -> ZoneLoad) {
         if now < self.next_deadline() {
             return;
@@ -142,24 +146,25 @@
         self.dispatch_events(now);
     }
 
-    /// Takes a datagram from a member's address.
+    /// Handles a datagram from a member's address.
     ///
     /// # Errors
     ///
-    /// Where the datagram is no valid frame of that member. It is counted and dropped; the caller need not act on it.
+    /// Returns an error if the datagram is not a valid frame of that member. The datagram is counted and dropped, so
+    /// the caller need not act on the error.
     pub fn receive(&mut self, now: f64, from: MemberId, bytes: &[u8]) -> Result<(), FrameError> {
         let result = self.node.receive(now, from, bytes);
         self.dispatch_events(now);
         result
     }
 
-    /// A write has been done and synced, or (`succeeded` is false) has failed.
+    /// Reports that a write was completed and synced or, if `succeeded` is false, that it failed.
     pub fn on_written(&mut self, now: f64, succeeded: bool) {
         self.node.on_written(succeeded);
         self.dispatch_events(now);
     }
 
-    /// Hands the node's events to the modules of their topics.
+    /// Passes the node's events to the modules of their topics.
     fn dispatch_events(&mut self, now: f64) {
         while let Some(event) = self.node.next_event() {
             self.dispatch(now, event);
@@ -183,7 +188,7 @@
                     rollout.apply_newest_decision(now, &mut self.node);
                 }
             }
-            // Of a module that is not set up here.
+            // Other topics: no module on this node handles them.
             NodeEvent::Message { .. } | NodeEvent::Decided { .. } => {}
         }
     }
--- a/src/control_plane/tests/failover.rs
+++ b/src/control_plane/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Guards against zones that are closed or opened wrongly while members, links and clocks fail.
+//! Guards against zones that are wrongly closed or opened while members, links and clocks fail.
 
 use super::*;
 
@@ -7,7 +7,7 @@
     let mut cluster = settled_cluster(1);
     cluster.dead_zones[1] = true;
     let took = cluster.wait_for(3000.0, "closed by all", |c| c.is_closed(1, &ALL_MEMBERS));
-    assert!(took > 600.0, "not at the first failure: {took}");
+    assert!(took > 600.0, "the zone is not closed at the first failure: {took}");
     assert!(
         cluster
             .nodes
@@ -20,7 +20,8 @@
         .wait_for(15_000.0, "open to all", |c| ALL_MEMBERS.iter().all(|m| c.state(*m, 1) == ZoneState::Open));
 }
 
-/// Its endpoints and dispatchers are alive, but nothing from them reaches the others.
+/// Guards against an outage inside a partitioned zone: its endpoints and dispatchers are alive, but nothing from them
+/// reaches the other zones.
 #[test]
 fn a_partitioned_zone_is_closed_outside_and_serves_on_inside() {
     let mut cluster = settled_cluster(2);
@@ -32,7 +33,7 @@
         assert_eq!((view.status, view.shares[2]), (AgreementStatus::Isolated, 1000));
     }
     cluster.cut_links.clear();
-    cluster.wait_for(3000.0, "heard again", |c| {
+    cluster.wait_for(3000.0, "the zone's dispatchers follow again", |c| {
         ZONE_2_MEMBERS.iter().all(|m| c.nodes[m].zones().view().unwrap().status == AgreementStatus::Following)
     });
     cluster
@@ -50,7 +51,7 @@
     assert_eq!(cluster.nodes[&2].zones().view().unwrap().status, AgreementStatus::Isolated);
     assert!(!cluster.nodes[&0].node().alive()[2]);
     cluster.cut_links.clear();
-    cluster.wait_for(4000.0, "back", |c| {
+    cluster.wait_for(4000.0, "the partition is over", |c| {
         c.nodes[&0].node().alive()[2] && c.nodes[&2].node().alive().iter().all(|up| *up)
     });
 }
@@ -77,12 +78,13 @@
         .wait_for(15_000.0, "open to all", |c| ALL_MEMBERS.iter().all(|m| c.state(*m, 2) == ZoneState::Open));
 }
 
-/// A process that is killed and started under its name is known again, by its later incarnation.
+/// Guards against a restarted or frozen member that stays marked as down. A restarted process is recognized by its
+/// higher incarnation.
 #[test]
 fn a_restarted_member_is_known_again() {
     let mut cluster = settled_cluster(10);
     cluster.kill(8);
-    cluster.wait_for(5000.0, "known to be gone", |c| c.nodes.values().all(|n| !n.node().alive()[8]));
+    cluster.wait_for(5000.0, "known to be down", |c| c.nodes.values().all(|n| !n.node().alive()[8]));
     cluster.start(8);
     cluster
         .wait_for(5000.0, "known again", |c| c.nodes.values().all(|n| n.node().alive().iter().all(|up| *up)));
@@ -90,7 +92,7 @@
     cluster.run(10_000.0);
     assert!(!cluster.nodes[&0].node().alive()[7]);
     cluster.frozen.clear();
-    cluster.wait_for(5000.0, "thawed and known", |c| {
+    cluster.wait_for(5000.0, "known again after the freeze", |c| {
         c.nodes.values().all(|n| n.node().alive().iter().all(|up| *up))
     });
 }
--- a/src/control_plane/tests/frames.rs
+++ b/src/control_plane/tests/frames.rs
@@ -1,10 +1,10 @@
-//! Guards against frames of others and arbitrary bytes, and bounds what idle members send.
+//! Guards against frames from other clusters, arbitrary bytes, and growing traffic of idle members.
 
 use proptest::prelude::*;
 
 use super::*;
 
-/// Guards against an idle fleet whose traffic grows.
+/// Guards against growth of the traffic of an idle fleet.
 #[test]
 fn idle_traffic_is_a_few_kilobytes_a_second() {
     let mut cluster = settled_cluster(11);
@@ -37,13 +37,17 @@
     ] {
         assert_eq!(node.receive(1e6, 1, &bytes), Err(error));
     }
-    assert_eq!(node.receive(1e6, 2, &good), Err(FrameError::Damaged), "under another's name");
+    assert_eq!(
+        node.receive(1e6, 2, &good),
+        Err(FrameError::Damaged),
+        "a frame from another member's address"
+    );
     assert_eq!(node.node().counters().dropped, 8);
     let decisions = vec![Decision { topic: zones::TOPIC, epoch: 9, body: vec![0xff; 9] }];
     let update = Body::DecisionUpdate { decisions, term: crate::consensus::LeaderTerm::default() };
     let update = Frame { body: update, ..frame(3) }.encode("test", 1);
-    assert_eq!(node.receive(1e6, 1, &update), Ok(()), "whether it can be decoded is for its module");
-    assert_eq!(node.receive(1e6, 1, &update), Ok(()), "late or twice");
+    assert_eq!(node.receive(1e6, 1, &update), Ok(()), "the node does not decode the body of a decision");
+    assert_eq!(node.receive(1e6, 1, &update), Ok(()), "a frame that arrives twice is only counted");
     assert_eq!(node.node().counters().stale, 1);
     assert_eq!(node.zones().newest_decision().epoch, 0);
 }
@@ -51,7 +55,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 16, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever bytes arrive from a member's address, nothing panics and no epoch is followed.
+    /// Arbitrary bytes from a member's address cause no panic, and no decision is applied.
     #[test]
     fn arbitrary_bytes_do_no_harm(list in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 1..20)) {
         let mut cluster = Cluster::new(13);
--- a/src/control_plane/tests/leadership.rs
+++ b/src/control_plane/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! Guards against decisions that are lost, made twice or taken back when leaders, majorities or disks fail.
+//! Guards against decisions that are lost, made twice or reverted when leaders or majorities fail or members restart.
 
 use proptest::prelude::*;
 
@@ -15,10 +15,10 @@
     let rest: Vec<MemberId> = ALL_MEMBERS.into_iter().filter(|m| *m != leader).collect();
     cluster.wait_for(4000.0, "closed by the rest", |c| c.is_closed(zone, &rest));
     cluster.start(leader);
-    cluster.wait_for(4000.0, "the one that was killed follows", |c| c.is_closed(zone, &[leader]));
+    cluster.wait_for(4000.0, "the restarted leader follows", |c| c.is_closed(zone, &[leader]));
 }
 
-/// Guards against a leader that wakes with an outdated view and still believes that it leads.
+/// Guards against a leader that was frozen, resumes with an outdated view and still acts as the leader.
 #[test]
 fn a_frozen_leader_does_not_act_on_outdated_state() {
     let mut cluster = settled_cluster(5);
@@ -31,25 +31,26 @@
     cluster.wait_for(4000.0, "closed by the rest", |c| c.is_closed(zone, &rest));
     cluster.run(3000.0);
     cluster.frozen.clear();
-    cluster.wait_for(3000.0, "the thawed one follows", |c| c.is_closed(zone, &[leader]));
+    cluster.wait_for(3000.0, "the frozen leader follows", |c| c.is_closed(zone, &[leader]));
     cluster.run(1000.0);
     assert_eq!(cluster.nodes.values().filter(|n| n.node().is_leader()).count(), 1);
-    cluster.wait_for(4000.0, "all know it again", |c| {
+    cluster.wait_for(4000.0, "all members see it as up again", |c| {
         c.nodes.values().all(|n| n.node().alive()[usize::from(leader)])
     });
 }
 
-/// Voters 0 1 | 3 4 6, then 0 1 | 3 4 | 6: the larger side decides, and with no majority nobody does.
+/// Guards against decisions without a majority. The voters are partitioned into 0 1 | 3 4 6, where the larger side
+/// decides, and then into 0 1 | 3 4 | 6, where no side has a majority and none decides.
 #[test]
 fn without_a_majority_nothing_is_decided_and_dispatchers_serve_on() {
     let mut cluster = settled_cluster(6);
     cluster.split(&ZONE_0_MEMBERS, &[3, 4, 5, 6, 7, 8]);
-    cluster.wait_for(4000.0, "the three voters close the zone they cannot hear", |c| {
+    cluster.wait_for(4000.0, "the three voters close the unreachable zone", |c| {
         c.is_closed(0, &[3, 4, 5, 6, 7, 8])
     });
     assert!(
         ZONE_0_MEMBERS.iter().all(|m| cluster.state(*m, 0) == ZoneState::Open),
-        "the two have decided nothing"
+        "the minority has decided nothing"
     );
     cluster.split(&ZONE_1_MEMBERS, &ZONE_2_MEMBERS);
     cluster.run(2000.0);
@@ -62,7 +63,7 @@
             .iter()
             .chain(&ZONE_2_MEMBERS)
             .all(|m| cluster.nodes[m].zones().view().unwrap().shares[0] == 0),
-        "stays closed to them"
+        "the zone stays closed to the other side"
     );
     cluster.cut_links.clear();
     cluster.wait_for(30_000.0, "open to all", |c| {
@@ -87,8 +88,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 16, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Faults by seed: no epoch has two tables and none goes back (each step checks); healed, all follow and all zones
-    /// open.
+    /// Injects random faults. Each step checks that no epoch has two tables and that no member's epoch decreases. After
+    /// all faults are removed, all members follow the leader and all zones open.
     #[test]
     fn all_agree_after_any_faults(seed in 0u64..1_000_000) {
         let mut cluster = Cluster::new(seed);
@@ -128,7 +129,7 @@
                 cluster.start(m);
             }
         }
-        cluster.wait_for(90_000.0, "all open and all agree", |c| {
+        cluster.wait_for(90_000.0, "all zones are open and all members agree", |c| {
             let epoch = c.nodes[&0].zones().newest_decision().epoch;
             c.nodes.values().all(|n| {
                 let open = n.zones().newest_decision().table.zones.iter().all(|zone| zone.state == ZoneState::Open);
--- a/src/control_plane/tests/mod.rs
+++ b/src/control_plane/tests/mod.rs
@@ -1,4 +1,4 @@
-//! A model of dispatchers over a network on a set clock, with zones whose endpoints fail.
+//! A model of dispatchers with a simulated network and clock, and with zones whose endpoints can fail.
 
 mod failover;
 mod frames;
@@ -15,7 +15,7 @@
 const MEMBERS_PER_ZONE: usize = 3;
 
 fn members() -> Vec<MemberConfig> {
-    // Five voters: two in each of the first zones, one in the last.
+    // Five voters: two in each of the first two zones, and one in the last.
     (0..ZONES * MEMBERS_PER_ZONE)
         .map(|m| MemberConfig {
             zone: m / MEMBERS_PER_ZONE,
@@ -29,16 +29,18 @@
     nodes: BTreeMap<MemberId, ControlPlane>,
     frozen: BTreeSet<MemberId>,
     disks: BTreeMap<MemberId, Vec<u8>>,
+    /// Datagrams: arrival time, number, sender, receiver, bytes.
     in_transit: Vec<(f64, u64, MemberId, MemberId, Vec<u8>)>,
     sent_count: u64,
     cut_links: BTreeSet<(MemberId, MemberId)>,
     loss_rate: f64,
     dead_zones: [bool; ZONES],
     rng: fastrand::Rng,
-    /// The table of each epoch.
+    /// The table that was decided in each epoch.
     decided_tables: BTreeMap<u64, ZoneTable>,
+    /// The newest epoch that each member has applied.
     member_epochs: BTreeMap<MemberId, u64>,
-    /// Clocks of members are apart by so much.
+    /// The clock difference between members with consecutive ids, in milliseconds.
     clock_skew: f64,
     has_delays: bool,
 }
@@ -153,7 +155,8 @@
         }
     }
 
-    /// A request each 20 ms: to the own zone first, elsewhere by the shares.
+    /// Sends one request every 20 ms: to the member's own zone with the probability of its share, and otherwise to
+    /// another zone with a share.
     fn send_request(&mut self, member: MemberId) {
         if !(self.now as u64 / 10).is_multiple_of(2) {
             return;
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Time until a condition is met.
+    /// Runs until a condition is met. Returns how long that took.
     fn wait_for(&mut self, limit_ms: f64, what: &str, condition: impl Fn(&Cluster) -> bool) -> f64 {
         let began = self.now;
         while !condition(self) {
@@ -212,11 +215,11 @@
 fn settled_cluster(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(seed);
     let all = |c: &Cluster| c.nodes.values().all(|n| n.node().alive().iter().all(|up| *up));
-    cluster.wait_for(10_000.0, "all know all", all);
+    cluster.wait_for(10_000.0, "all members know each other", all);
     cluster.run(3000.0);
-    assert!(all(&cluster), "and go on knowing");
+    assert!(all(&cluster), "no member is lost again");
     assert_eq!(cluster.nodes.values().filter(|n| n.node().is_leader()).count(), 1);
-    assert!(cluster.decided_tables.is_empty(), "calm decides nothing");
+    assert!(cluster.decided_tables.is_empty(), "a healthy fleet decides nothing");
     assert!(cluster.nodes.values().all(|n| n.zones().view().unwrap().status == AgreementStatus::Following));
     cluster
 }
--- a/src/zones/capacity.rs
+++ b/src/zones/capacity.rs
@@ -1,26 +1,29 @@
-//! What the zones can carry by the fresh reports: whether one can be closed, and how the load of zones that are not open
-//! is spread over the others. Free of state: the controller builds it anew for each decision.
+//! The load and capacity of the zones according to the fresh digests: whether a zone can be closed, and how the load
+//! that other zones cannot take is spread. The controller builds a new `Capacity` for each decision.
 
 use super::health_reports::HealthReports;
 use super::{FULL_SHARE, ZoneDecision, ZoneState, ZoneTable};
 
-/// Dispatchers of a zone whose offered load is above this part of its slots may use other zones...
+/// The dispatchers of a zone may use other zones when the load offered to them exceeds this fraction of the zone's
+/// slots.
 const CROSS_ABOVE_UTILIZATION: f64 = 0.85;
-/// ...until it is below this part. The gap between the two keeps the border from opening and closing by turns.
+/// The dispatchers of a zone stay in it again when the offered load is at most this fraction of its slots. The gap to
+/// [`CROSS_ABOVE_UTILIZATION`] prevents flapping between the two.
 const LOCAL_BELOW_UTILIZATION: f64 = 0.7;
-/// Weights and admission shares are rounded to this many equal steps: smaller changes are not worth a decision.
+/// The number of equal steps that weights and admission shares are rounded to. Smaller changes are not worth a
+/// decision.
 const SHARE_STEPS: f64 = 20.0;
-/// One such step, in thousandths.
+/// The size of one such step, in thousandths.
 const SHARE_STEP: f64 = 50.0;
-/// Least admission share of a zone, in thousandths: some requests are always tried.
+/// Minimum admission share of a zone, in thousandths, so that some requests are always tried.
 const MIN_ADMIT: u16 = 50;
 
-/// Load and slots of each zone.
+/// The slots and load of each zone.
 pub(super) struct Capacity {
     slots: Vec<f64>,
-    /// Attempts in flight of dispatchers whose own zone is open.
+    /// Attempts in flight to each zone from dispatchers whose own zone is open.
     base_load: Vec<f64>,
-    /// Requests that would be open at the zone's dispatchers if none were rejected.
+    /// Requests that would be open at the dispatchers of each zone if none were rejected.
     offered_load: Vec<f64>,
 }
 
@@ -43,8 +46,9 @@
         capacity
     }
 
-    /// Whether a zone can be closed: half of all slots must stay open. Where the zone still does part of its work
-    /// (`is_working`), the free slots of the others must also cover at least half of its offered load.
+    /// Returns whether a zone can be closed. At least half of all slots must stay open; if no slots are known, at least
+    /// half of the zones. If the zone still does part of its work (`is_working`), the free slots of the zones that are
+    /// not closed must also cover at least half of its offered load.
     pub(super) fn can_close(&self, table: &ZoneTable, zone: usize, is_working: bool) -> bool {
         let stays_open = |other: &usize| *other != zone && table.zones[*other].state != ZoneState::Closed;
         let others = || (0..self.slots.len()).filter(stays_open);
@@ -60,8 +64,8 @@
         half_stays_open && (!is_working || free_slots * 2.0 >= self.offered_load[zone])
     }
 
-    /// Sets weight, admission share and `local_only` of each zone: what zones cannot take is split over the others by
-    /// their free capacity, of which the part `margin` is given out.
+    /// Sets the weight, admission share and `local_only` of each zone. Load that a zone cannot take is split over the
+    /// others in proportion to their free capacity. Only the fraction `margin` of the free capacity is used.
     pub(super) fn spread_load(&self, table: &mut ZoneTable, margin: f64) {
         let free = self.free_slots(table, margin);
         let most_free = free.iter().copied().fold(0.0, f64::max);
@@ -82,7 +86,7 @@
         }
     }
 
-    /// Slots of each zone that can be given to dispatchers of other zones.
+    /// Returns the slots of each zone that dispatchers of other zones can use.
     fn free_slots(&self, table: &ZoneTable, margin: f64) -> Vec<f64> {
         let zones = table.zones.iter().enumerate();
         zones
@@ -92,13 +96,13 @@
             .collect()
     }
 
-    /// Load that zones cannot take because their share is not full.
+    /// Returns the total load that zones cannot take because their share is not full.
     fn displaced_load(&self, table: &ZoneTable) -> f64 {
         let zones = table.zones.iter().zip(&self.offered_load);
         zones.map(|(zone, offered)| offered * (1.0 - share_fraction(zone))).sum()
     }
 
-    /// Whether a zone has capacity for all that its dispatchers are offered.
+    /// Returns whether a zone has capacity for the whole load offered to its dispatchers, with hysteresis.
     fn is_local_only(&self, index: usize, zone: &ZoneDecision) -> bool {
         let bound = if zone.local_only { CROSS_ABOVE_UTILIZATION } else { LOCAL_BELOW_UTILIZATION };
         self.offered_load[index] <= self.slots[index] * bound
--- a/src/zones/failover_controller.rs
+++ b/src/zones/failover_controller.rs
@@ -1,42 +1,45 @@
-//! The leader's state machine: it closes zones that fail and opens them step by step.
+//! The leader's state machine, which closes failing zones and reopens them step by step.
 //!
-//! It owns the times since which each zone is in its state and since which it fails; what zones can carry is
-//! `capacity`'s, the health of a zone `health_reports`'. The caller proposes each table that it returns and hands in the
-//! newest decided table each time; nothing changes here until that has changed. Times are milliseconds of the caller's
-//! clock.
+//! The controller tracks since when each zone has been in its state and since when it has been failing. `capacity`
+//! determines how much load the zones can take, and `health_reports` the health of each zone. The caller passes in the
+//! newest decided table and proposes each table that the controller returns; a zone changes state only when the decided
+//! table does. Times are in milliseconds of the caller's clock.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | open, degraded | may be closed (below) | closed, one more closing |
+//! | open, degraded | the zone may be closed (see below) | closed, `closings` + 1 |
 //! | open | health is mixed | degraded, at [`DEGRADED_SHARE`] |
-//! | open | `forgive_ms` since it opened | open, its closings forgotten |
+//! | open | `forgive_ms` passed since the zone opened | open, `closings` reset to 0 |
 //! | degraded | `step_ms` passed, health is healthy or unknown | open |
-//! | closed | its time passed, and the zone is not unreachable | recovering, at the first of [`RECOVERY_SHARES`] |
-//! | recovering | down or unreachable | closed, one more closing |
-//! | recovering | `step_ms` passed, health is not mixed | the next share; at the full share open |
+//! | closed | the closed time passed and the zone is not unreachable | recovering, at the first of [`RECOVERY_SHARES`] |
+//! | recovering | down or unreachable | closed, `closings` + 1 |
+//! | recovering | `step_ms` passed, health is not mixed | the next share; open at the full share |
 //!
-//! A zone may be closed when it has been down or unreachable for `close_after_ms` without a break, the others can carry
-//! on (`Capacity::can_close`), and, where it may only be slow, at most half of the zones that are not closed are
-//! slow.
+//! A zone may be closed if it has been down or unreachable for `close_after_ms` without interruption and the remaining
+//! zones have enough capacity (`Capacity::can_close`). A zone that may only be slow is closed only if the number of
+//! slow zones is at most half the number of zones that are not closed.
 
 use super::capacity::Capacity;
 use super::health_reports::{FailureMode, HealthReports, ZoneHealth};
 use super::{FULL_SHARE, ZoneDecision, ZoneState, ZoneTable};
 
-/// How zones are failed over. Times are in milliseconds.
+/// Settings of zone failover. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailoverSettings {
-    /// How long a zone must be found failing before it is closed.
+    /// How long a zone must be failing without interruption before it is closed.
     pub close_after_ms: f64,
-    /// How long it stays closed the first time; twice as long each time that follows soon.
+    /// How long a zone stays closed the first time. The time doubles with each further closing until `forgive_ms`
+    /// resets the count.
     pub closed_for_ms: f64,
-    /// How long each share of a recovering zone lasts.
+    /// How long a recovering zone stays at each share. Also the minimum time in the degraded state, and between any
+    /// change and a following one that changes only weights or admission shares.
     pub step_ms: f64,
-    /// After so long open, earlier closings count no more.
+    /// How long a zone must be open before its earlier closings are no longer counted.
     pub forgive_ms: f64,
-    /// The part of the free capacity that is given out.
+    /// The fraction of the free capacity that other zones' load may use.
     pub margin: f64,
-    /// How long a dispatcher without news follows the last epoch.
+    /// How long a dispatcher without contact to a leader follows the last decided table unmodified, before it also acts
+    /// on its own samples.
     pub max_stale_ms: f64,
 }
 
@@ -53,34 +56,35 @@
     }
 }
 
-/// Shares of a recovering zone, one after the other.
+/// The successive shares of a recovering zone, in thousandths.
 const RECOVERY_SHARES: [u16; 4] = [50, 200, 500, FULL_SHARE];
-/// Share of a degraded zone.
+/// The share of a degraded zone, in thousandths.
 const DEGRADED_SHARE: u16 = 500;
-/// A zone stays closed at most this many times as long as the first time: a minute by default.
+/// Maximum factor by which the closed time grows over its first value: a minute by default.
 const MAX_BACKOFF_FACTOR: f64 = 12.0;
-/// Most times that the time closed is doubled: 2^8 is past [`MAX_BACKOFF_FACTOR`], and the power stays small.
+/// Maximum number of doublings of the closed time. 2^8 exceeds [`MAX_BACKOFF_FACTOR`], and the limit keeps the exponent
+/// small.
 const MAX_BACKOFF_DOUBLINGS: u8 = 8;
-/// Weights and admission shares are decided anew where one has changed by this many thousandths.
+/// Minimum change of a weight or an admission share that is worth a new decision, in thousandths.
 const MIN_WEIGHT_CHANGE: u16 = 150;
 
-/// What the leader remembers between two decisions. A new leader starts with all times at its own start, so that a
-/// change of leaders makes nothing sooner.
+/// The leader's state between two decisions. A new leader counts all durations from its own start, so a change of
+/// leader never makes a transition happen earlier.
 #[derive(Clone, Debug)]
 pub struct FailoverController {
     settings: FailoverSettings,
-    /// Since when each zone is in its state and share, in milliseconds.
+    /// The time since when each zone has had its current state and share, in milliseconds.
     unchanged_since_ms: Vec<f64>,
-    /// Since when each zone is down or unreachable without a break, in milliseconds.
+    /// The time since when each zone has been down or unreachable without interruption, in milliseconds.
     failing_since_ms: Vec<Option<f64>>,
-    /// The table at the last call.
+    /// The decided table at the last call.
     last_table: ZoneTable,
-    /// When a table was last returned, in milliseconds.
+    /// The time when a table was last returned, in milliseconds.
     last_change_ms: f64,
 }
 
 impl FailoverController {
-    /// The controller of a leader that starts now.
+    /// Creates the controller of a leader that starts now.
     pub fn new(settings: FailoverSettings, now: f64, table: &ZoneTable) -> FailoverController {
         let zones = table.zones.len();
         FailoverController {
@@ -92,8 +96,8 @@
         }
     }
 
-    /// The next table, where it is to change. `zones_half_down` has the zones with members of which the membership has
-    /// at least half down; a zone without an entry counts as up.
+    /// Returns the next table to propose, or `None` if nothing needs to change. `zones_half_down` tells for each zone
+    /// whether the membership reports at least half of its members as down; a missing entry counts as false.
     pub fn next_table(
         &mut self,
         now: f64,
@@ -117,7 +121,7 @@
         None
     }
 
-    /// Notes which zones have changed in the decided table since the last call.
+    /// Records which zones have changed in the decided table since the last call.
     fn observe_table(&mut self, now: f64, table: &ZoneTable) {
         if self.last_table.zones.len() != table.zones.len() {
             *self = FailoverController::new(self.settings, now, table);
@@ -130,12 +134,12 @@
         self.last_table = table.clone();
     }
 
-    /// Brings each zone to its next state. Zones are taken in order: one that is closed here counts as closed for the
-    /// capacity of those after it.
+    /// Advances each zone to its next state. Zones are processed in order: a zone that is closed here counts as closed
+    /// when the capacity for the zones after it is determined.
     fn advance_states(&mut self, now: f64, next: &mut ZoneTable, health: &[ZoneHealth], capacity: &Capacity) {
         let not_closed = next.zones.iter().filter(|zone| zone.state != ZoneState::Closed).count();
         let slow = health.iter().filter(|health| is_slow(**health)).count();
-        // What is slow everywhere is not the zones' fault, and closing one makes the others slower.
+        // If most zones are slow, the cause is not in a single zone, and closing one would make the others slower.
         let most_are_slow = slow * 2 > not_closed;
         for (zone, &health) in health.iter().enumerate() {
             let failing_since = is_failing(health).then(|| *self.failing_since_ms[zone].get_or_insert(now));
@@ -149,7 +153,7 @@
         }
     }
 
-    /// The transitions of one zone, as the head of this file lists them.
+    /// Returns the next decision for one zone; see the table of transitions in the module documentation.
     fn next_decision(
         &self,
         now: f64,
@@ -180,7 +184,7 @@
                 ZoneDecision { state: ZoneState::Recovering, share: RECOVERY_SHARES[0], ..zone }
             }
             ZoneState::Recovering if is_failing(health) => close_zone(zone),
-            // A share is also raised where nobody has tried the zone.
+            // Raise the share even if no dispatcher has tried the zone yet.
             ZoneState::Recovering if step_is_over && health != ZoneHealth::Mixed => {
                 match RECOVERY_SHARES.iter().find(|share| **share > zone.share) {
                     Some(&FULL_SHARE) | None => open,
@@ -191,7 +195,7 @@
         }
     }
 
-    /// How long a zone stays closed, in milliseconds: twice as long each time.
+    /// Returns how long a zone stays closed, in milliseconds: twice as long with each closing, up to a maximum.
     fn closed_for_ms(&self, zone: ZoneDecision) -> f64 {
         let doublings = zone.closings.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
         let factor = f64::from(doublings).exp2().min(MAX_BACKOFF_FACTOR);
@@ -212,14 +216,14 @@
     health == ZoneHealth::Down(FailureMode::Slow)
 }
 
-/// Whether a state, a share or `local_only` of a zone differs: such a change is decided at once.
+/// Returns whether the state, share or `local_only` of a zone differs. Such a change is proposed immediately.
 fn changes_routes(table: &ZoneTable, next: &ZoneTable) -> bool {
     let routes = |zone: &ZoneDecision| (zone.state, zone.share, zone.local_only);
     let mut pairs = table.zones.iter().zip(&next.zones);
     pairs.any(|(old, new)| routes(old) != routes(new))
 }
 
-/// Whether a weight or an admission share of a zone differs by enough.
+/// Returns whether the weight or admission share of a zone differs by at least [`MIN_WEIGHT_CHANGE`].
 fn changes_weights(table: &ZoneTable, next: &ZoneTable) -> bool {
     let mut pairs = table.zones.iter().zip(&next.zones);
     pairs.any(|(old, new)| {
--- a/src/zones/health_reports.rs
+++ b/src/zones/health_reports.rs
@@ -1,78 +1,78 @@
-//! The newest digest of each dispatcher, and the health of a zone that follows from all of them.
+//! Keeps the newest digest of each dispatcher and derives the health of each zone from them.
 //!
-//! Every voter keeps the reports, so that one that begins to lead knows the last second and a half. The state machine
-//! that acts on the health is `failover_controller`. Digests may arrive in any order and more than once; the result is
-//! the same. Times are milliseconds of the caller's clock, and ages count from the arrival of a digest: the clocks of
-//! other members are not read.
+//! Every voter keeps these reports, so that a new leader already has those of the last 1.5 seconds. The state machine
+//! that acts on the health is `failover_controller`. Digests may arrive in any order and more than once, with the same
+//! result. Times are in milliseconds of the caller's clock. The age of a digest counts from its arrival, so the clocks
+//! of other members do not matter.
 
 use std::collections::BTreeMap;
 
 use super::outcome_counter::{Digest, ZoneSample};
 use crate::fleet::MemberId;
 
-/// How long a digest counts after its arrival, in milliseconds: six digests in a row have to be lost before a dispatcher
-/// drops out.
+/// How long a digest is used after its arrival, in milliseconds. Six consecutive digests must be lost before a
+/// dispatcher is no longer counted.
 pub const DIGEST_LIFETIME_MS: f64 = 1500.0;
-/// Fewest dispatchers that are believed together where none of them alone has enough attempts.
+/// Minimum number of dispatchers that can together report a zone as down if none of them alone has enough attempts.
 const MIN_JOINT_REPORTERS: usize = 3;
-/// Fewest failures that such dispatchers must have had in all.
+/// Minimum total number of failed attempts for such a joint report.
 const MIN_JOINT_FAILURES: u32 = 9;
-/// Their failures must be more than this many times what was answered in all.
+/// For a joint report, failed attempts must exceed this many times the number of answered attempts.
 const JOINT_FAILURE_RATIO: u32 = 3;
 
-/// How a zone fails.
+/// The way in which a zone fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureMode {
-    /// Connections are refused, and nobody was answered.
+    /// Connections are refused, and no attempt was answered.
     Refusing,
-    /// Attempts get no answer in time, or some are still answered: the zone may only be slow.
+    /// Attempts time out, or some are still answered: the zone may only be slow.
     Slow,
 }
 
-/// What all reports of a zone come to.
+/// The health of a zone according to all reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// Nobody has tried it.
+    /// The reports do not tell: no credible dispatcher has answered attempts or enough failed ones.
     Unknown,
     /// Most dispatchers get answers.
     Healthy,
-    /// Some dispatchers find it failing.
+    /// Some dispatchers find the zone failing.
     Mixed,
-    /// Most dispatchers find it failing.
+    /// Most dispatchers find the zone failing.
     Down(FailureMode),
-    /// Its own dispatchers send no digests, at least half of them are down by the membership, and nobody else has tried
-    /// it.
+    /// The dispatchers in the zone send no digests, the membership reports at least half of them as down, and no other
+    /// dispatcher's attempts tell otherwise.
     Unreachable,
 }
 
-/// The samples that all dispatchers have of a zone, added up.
+/// The sum of all dispatchers' samples of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneSummary {
-    /// Dispatchers with an attempt there in their window.
+    /// The number of dispatchers with at least one attempt to the zone in their window.
     pub reporters: u32,
-    /// Attempts that were answered.
+    /// The number of attempts that were answered.
     pub answered: u32,
-    /// Attempts whose connection was refused or broke.
+    /// The number of attempts whose connection was refused or broke.
     pub refused: u32,
-    /// Attempts without an answer in time.
+    /// The number of attempts that timed out without an answer.
     pub silent: u32,
 }
 
-/// A digest and when it arrived here.
+/// A digest and the time of its arrival.
 #[derive(Clone, Debug)]
 struct Report {
     digest: Digest,
     received_at_ms: f64,
 }
 
-/// The newest digest of each dispatcher.
+/// Holds the newest digest of each dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct HealthReports {
     newest: BTreeMap<MemberId, Report>,
 }
 
 impl HealthReports {
-    /// Takes a dispatcher's digest. Returns false where a newer one is known, or where it does not match a fleet of
+    /// Records a dispatcher's digest. Returns false if it is not newer than the known one or does not fit a fleet of
     /// `zones` zones.
     pub fn record(&mut self, now: f64, source: MemberId, digest: Digest, zones: usize) -> bool {
         if digest.samples.len() != zones || usize::from(digest.zone) >= zones {
@@ -86,18 +86,18 @@
         true
     }
 
-    /// The digests that are known, whatever their age.
+    /// Returns the newest digest of each dispatcher, regardless of age.
     pub fn known(&self) -> impl Iterator<Item = (MemberId, &Digest)> {
         self.newest.iter().map(|(source, report)| (*source, &report.digest))
     }
 
-    /// The digests that still count.
+    /// Returns the digests that are not older than [`DIGEST_LIFETIME_MS`].
     pub fn fresh(&self, now: f64) -> impl Iterator<Item = &Digest> {
         let is_fresh = move |report: &&Report| now - report.received_at_ms <= DIGEST_LIFETIME_MS;
         self.newest.values().filter(is_fresh).map(|report| &report.digest)
     }
 
-    /// The fresh samples of a zone, added up.
+    /// Returns the sum of the fresh samples of a zone.
     pub fn summary(&self, now: f64, zone: usize) -> ZoneSummary {
         let samples = self.fresh(now).filter_map(|digest| digest.samples.get(zone));
         samples.fold(ZoneSummary::default(), |sum, sample| ZoneSummary {
@@ -108,7 +108,8 @@
         })
     }
 
-    /// The health of a zone. `half_down`: the zone has members, and the membership has at least half of them down.
+    /// Returns the health of a zone. `half_down` tells whether the zone has members and the membership reports at least
+    /// half of them as down.
     pub fn health(&self, now: f64, zone: usize, half_down: bool) -> ZoneHealth {
         let fresh: Vec<&Digest> = self.fresh(now).collect();
         let credible = credible_digests(&fresh);
@@ -122,8 +123,8 @@
             (0, 0) if half_down && local_digests == 0 && !fresh.is_empty() => ZoneHealth::Unreachable,
             (0, 0) => ZoneHealth::Unknown,
             (0, _) => ZoneHealth::Healthy,
-            // A single dispatcher may have a fault of its own, unless it gets through to other zones and no other
-            // dispatcher is in this one.
+            // A single dispatcher may have a network fault of its own. Its report alone is believed only if it reaches
+            // other zones and at most one dispatcher in this zone sends digests.
             (1, 0) if !(votes.reaches_other_zones && local_digests <= 1) => ZoneHealth::Mixed,
             (failing, working) if failing > working => ZoneHealth::Down(votes.failure_mode()),
             (1, _) => ZoneHealth::Healthy,
@@ -133,15 +134,15 @@
     }
 }
 
-/// What the credible dispatchers find of a zone, each with one vote.
+/// The verdicts of the credible dispatchers on a zone, one vote each.
 struct Votes {
-    /// Dispatchers that find it failing.
+    /// The number of dispatchers that find the zone failing.
     failing: usize,
-    /// Dispatchers that got answers and do not find it failing.
+    /// The number of dispatchers that got answers and do not find the zone failing.
     working: usize,
-    /// All that find it failing find it refusing.
+    /// Whether all dispatchers that find the zone failing find it refusing connections.
     all_refusing: bool,
-    /// One that finds it failing finds another zone working.
+    /// Whether a dispatcher that finds the zone failing finds another zone working.
     reaches_other_zones: bool,
 }
 
@@ -167,8 +168,8 @@
     }
 }
 
-/// The digests without those of dispatchers that have a fault of their own: every zone fails them, among these one that
-/// works for others.
+/// Returns the digests without those of dispatchers that seem to have a network fault of their own: such a dispatcher
+/// gets no answer from any zone, and a zone that it finds failing works for another dispatcher.
 fn credible_digests<'a>(fresh: &[&'a Digest]) -> Vec<&'a Digest> {
     let zones = fresh.first().map_or(0, |digest| digest.samples.len());
     let works_for_some = |zone: usize| fresh.iter().any(|digest| digest.samples[zone].is_working());
@@ -180,7 +181,8 @@
     fresh.iter().copied().filter(|digest| !is_faulty(digest)).collect()
 }
 
-/// How a zone fails where each dispatcher has too few attempts to tell, and many of them together have enough.
+/// Returns how a zone fails if several dispatchers together have enough failed attempts to tell, although each of them
+/// alone may have too few.
 fn joint_failure(credible: &[&Digest], summary: ZoneSummary, zone: usize) -> Option<FailureMode> {
     let reporters = credible.iter().filter(|digest| digest.samples[zone].has_only_failures()).count();
     let failed = summary.refused + summary.silent;
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -1,19 +1,19 @@
-//! Failover between zones, free of I/O.
+//! Zone failover: moves traffic away from failing zones and back in steps. Performs no I/O.
 //!
-//! | file | what it owns |
+//! | file | responsibility |
 //! | --- | --- |
-//! | `outcome_counter` | what one dispatcher counts of its own attempts, and the digest of it |
-//! | `health_reports` | the digests of all dispatchers, and the health of a zone by them |
-//! | `capacity` | what the zones can carry by the same digests |
-//! | `failover_controller` | the leader's state machine, which closes and opens zones |
-//! | `zone_view` | what a dispatcher does with the newest decision, or without one |
-//! | `zone_failover` | all of it joined for one member, on the fleet's node |
+//! | `outcome_counter` | counts the outcomes of one dispatcher's attempts and builds its digests |
+//! | `health_reports` | collects the digests of all dispatchers and derives the health of each zone |
+//! | `capacity` | derives the load and free capacity of the zones from the same digests |
+//! | `failover_controller` | the leader's state machine, which closes and reopens zones |
+//! | `zone_view` | derives a dispatcher's shares from the newest decision, or without recent decisions |
+//! | `zone_failover` | combines the above for one member, on top of the fleet node |
 //!
-//! Tables are agreed on by `crate::consensus` under [`TOPIC`]; `core/traffic_split.rs` applies the view to the endpoint
-//! list. `docs/design/zones.md` has the alternatives weighed.
+//! The dispatchers agree on zone tables through `crate::consensus`, under [`TOPIC`]. `core/traffic_split.rs` applies
+//! the resulting view to the endpoint list. `docs/design/zones.md` compares the alternatives.
 //!
-//! Shares are thousandths. A zone's share is the part of its usual work that it may get; it scales the sizes of the
-//! zone's endpoints as the router reads them, and 0 is a drain.
+//! Shares are in thousandths. The share of a zone is the fraction of its usual work that it may get. It scales the
+//! sizes of the zone's endpoints as the router sees them; a share of 0 drains the zone.
 
 mod capacity;
 mod failover_controller;
@@ -34,42 +34,43 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The consensus's topic of zones.
+/// The consensus topic of zone tables and digests.
 pub const TOPIC: u8 = 1;
-/// Most zones of a fleet: a table of so many fits a decision.
+/// Maximum number of zones in a fleet. A table with this many zones fits in one decision.
 pub const MAX_ZONES: usize = 64;
-/// The full share, in thousandths.
+/// A full share, in thousandths.
 pub const FULL_SHARE: u16 = 1000;
 
-/// The state of a zone. The order of the variants is the wire form and that of the figures.
+/// The state of a zone. The order of the variants determines the wire format and the numbers in metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ZoneState {
-    /// It gets all of its work.
+    /// The zone gets all of its usual work.
     #[default]
     Open,
-    /// It gets a part, as some dispatchers find it failing. `careful` in log lines and figures.
+    /// The zone gets a reduced share because some dispatchers find it failing. Shown as `careful` in logs and metrics.
     Degraded,
-    /// It gets nothing.
+    /// The zone gets no work.
     Closed,
-    /// It gets a part that rises. `returning` in log lines and figures.
+    /// The zone was closed and gets a share that rises in steps. Shown as `returning` in logs and metrics.
     Recovering,
 }
 
-/// What is decided of a zone. The order of the fields is the wire form.
+/// The decided settings of one zone. The field order determines the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDecision {
-    /// Its state.
+    /// The state of the zone.
     pub state: ZoneState,
-    /// The part of its usual work that it may get, in thousandths.
+    /// The fraction of its usual work that the zone may get, in thousandths.
     pub share: u16,
-    /// Its weight among the zones that take what others cannot, by free capacity, in thousandths.
+    /// The weight of the zone among the zones that take over work from others, by its free capacity, in thousandths.
     pub weight: u16,
-    /// The part of their requests that dispatchers of this zone admit while it is not open, in thousandths; no zone has
-    /// capacity for the rest.
+    /// The fraction of requests that dispatchers in this zone admit while the zone is not open, in thousandths. No zone
+    /// has capacity for the rest.
     pub admit: u16,
-    /// How often it was closed lately: each time it stays closed longer.
+    /// The number of recent closings. The zone stays closed longer each time.
     pub closings: u8,
-    /// Whether it has capacity for all that its dispatchers are offered, so that they need no other zone.
+    /// Whether the zone has capacity for the whole load offered to its dispatchers, so that they do not use other
+    /// zones.
     pub local_only: bool,
 }
 
@@ -92,26 +93,27 @@
     }
 }
 
-/// A decision: what is decided of all zones.
+/// The decided settings of all zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneTable {
-    /// The zones, in the order of the operator's file.
+    /// The decisions per zone, in the order of the operator's configuration file.
     pub zones: Vec<ZoneDecision>,
 }
 
 impl ZoneTable {
-    /// A table with all zones open.
+    /// Returns a table with all zones open.
     pub fn open(zones: usize) -> ZoneTable {
         ZoneTable { zones: vec![ZoneDecision::default(); zones.min(MAX_ZONES)] }
     }
 
-    /// The bytes that the consensus carries.
+    /// Encodes the table as the body of a consensus decision.
     pub fn encode(&self) -> Vec<u8> {
         // Serializing into a vector cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a table; none where it is not of `zones` zones, or has shares above [`FULL_SHARE`].
+    /// Decodes a table. Returns `None` if the bytes are malformed, the number of zones is not `zones`, or a share is
+    /// above [`FULL_SHARE`].
     pub fn decode(bytes: &[u8], zones: usize) -> Option<ZoneTable> {
         let (table, rest) = postcard::take_from_bytes::<ZoneTable>(bytes).ok()?;
         let is_valid = rest.is_empty()
--- a/src/zones/tests/controller.rs
+++ b/src/zones/tests/controller.rs
@@ -1,10 +1,10 @@
-//! Guards against tables that leave too little open, spread load wrongly or do not decode.
+//! Guards against tables that leave too few slots open, spread load wrongly or cannot be decoded.
 
 use proptest::prelude::*;
 
 use super::*;
 
-/// Guards against load that is displaced to the next zone in order instead of by free capacity.
+/// Guards against displaced load that all goes to the next zone instead of being split by free capacity.
 #[test]
 fn displaced_load_is_split_by_free_capacity() {
     let mut table = ZoneTable::open(ZONES);
@@ -27,13 +27,13 @@
     let mut controller = FailoverController::new(FailoverSettings::default(), -2000.0, &table);
     let next = controller.next_table(0.0, &table, &reports, &[false; ZONES]).unwrap();
     let weights: Vec<u16> = next.zones.iter().map(|zone| zone.weight).collect();
-    assert_eq!(weights, [0, 250, 1000], "10 free of the one, 40 of the other");
+    assert_eq!(weights, [0, 250, 1000], "zone 1 has 10 free slots, zone 2 has 40");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the reports are, half of the slots stay open, shares are valid, and a table can be decoded again.
+    /// For arbitrary reports, at least one zone stays open, and each table can be decoded again and fits in a decision.
     #[test]
     fn a_decision_leaves_half_of_the_slots(list in digests(), steps in 1usize..60) {
         let mut reports = HealthReports::default();
--- a/src/zones/tests/failover.rs
+++ b/src/zones/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Guards against zones that are closed or opened at the wrong time, on the fleet model.
+//! Guards against zones that are closed or opened at the wrong time. Runs on the fleet model.
 
 use super::*;
 
@@ -6,14 +6,14 @@
 fn a_dead_zone_is_closed_and_reopened_in_steps() {
     let mut fleet = Fleet::new();
     fleet.run(5000.0);
-    assert_eq!((fleet.epoch, fleet.states()), (0, vec![Open; ZONES]), "calm decides nothing");
+    assert_eq!((fleet.epoch, fleet.states()), (0, vec![Open; ZONES]), "a healthy fleet decides nothing");
     fleet.zones[1] = ZoneBehavior::Refuses;
     assert!(fleet.wait_for(1, Closed, 2500.0) <= 2500.0);
     assert_eq!(fleet.states(), [Open, Closed, Open]);
     assert_eq!(
         fleet.trackers[MEMBERS_PER_ZONE].update(fleet.now, &[]).shares[1],
         0,
-        "a drain for those within"
+        "dispatchers in the closed zone also stop using it"
     );
     fleet.zones[1] = ZoneBehavior::Answers;
     fleet.wait_for(1, ZoneState::Recovering, 6000.0);
@@ -26,7 +26,7 @@
     assert_eq!(shares, [50, 200, 500, 1000]);
 }
 
-/// Guards against a dispatcher whose own network fault closes a zone, its own or another.
+/// Guards against a dispatcher whose local network fault closes its own or another zone.
 #[test]
 fn a_dispatcher_with_a_network_fault_closes_no_zone() {
     let mut fleet = Fleet::new();
@@ -43,22 +43,22 @@
     fleet.zones[2] = ZoneBehavior::Partitioned;
     fleet.wait_for(2, Closed, 3000.0);
     fleet.run(20_000.0);
-    assert_eq!(fleet.states(), [Open, Open, Closed], "nobody there is heard: it stays closed");
+    assert_eq!(fleet.states(), [Open, Open, Closed], "a zone without digests stays closed");
     let inside = &mut fleet.trackers[2 * MEMBERS_PER_ZONE];
     assert_eq!(inside.status(fleet.now), AgreementStatus::Isolated);
     let view = inside.update(fleet.now, &[ZoneSample::default(); ZONES]).clone();
-    assert_eq!(view.shares, [0, 0, 1000], "it goes on at home");
+    assert_eq!(view.shares, [0, 0, 1000], "an isolated dispatcher uses its own zone");
     let failing = ZoneSample { refused: 9, ..ZoneSample::default() };
     let view = (0..4)
         .map(|_| inside.update(fleet.now, &[ZoneSample::default(), ZoneSample::default(), failing]).clone())
         .last();
-    assert_eq!(view.unwrap().shares, [500, 500, 0], "what fails it goes to the others, less than in common");
-    // Back in contact, it follows without a jump.
+    assert_eq!(view.unwrap().shares, [500, 500, 0], "other zones get a limited share");
+    // Once the partition ends, the dispatcher follows the table, and its shares do not jump.
     fleet.zones[2] = ZoneBehavior::Answers;
     fleet.step();
     assert_eq!(fleet.trackers[2 * MEMBERS_PER_ZONE].status(fleet.now), AgreementStatus::Following);
     let view = fleet.trackers[2 * MEMBERS_PER_ZONE].update(fleet.now, &[]).clone();
-    assert!(view.shares[2] <= 50, "closed in common until now, it returns: {view:?}");
+    assert!(view.shares[2] <= 50, "the closed zone reopens in steps: {view:?}");
     assert!(view.shares[0] <= 750, "{view:?}");
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Half of all slots stay open, however many zones die.
+/// Guards against closing so many zones that less than half of all slots stay open.
 #[test]
 fn half_of_the_slots_stay_open() {
     let mut fleet = Fleet::new();
@@ -83,7 +83,7 @@
     assert_eq!(fleet.states().iter().filter(|state| **state == Closed).count(), 1, "{:?}", fleet.table);
 }
 
-/// A zone that flaps every 2 s stays closed longer each time.
+/// Guards against a zone that is closed and reopened with each flap when it changes between up and down every 2 s.
 #[test]
 fn a_flapping_zone_stays_closed_longer_each_time() {
     let mut fleet = Fleet::new();
@@ -99,16 +99,17 @@
     assert!((1..=5).contains(&closings), "{closings} closings in two minutes of sixty flaps");
 }
 
-/// Guards against load that is pushed on zones without capacity: it is rejected where it arrives.
+/// Guards against load that is moved to zones without capacity for it. It must be rejected by the dispatchers of the
+/// closed zone.
 #[test]
 fn load_without_capacity_is_rejected_in_its_own_zone() {
     let mut fleet = Fleet::new();
-    (fleet.open, fleet.slots) = (20, 66);
+    (fleet.open_requests, fleet.slots) = (20, 66);
     fleet.run(1000.0);
     fleet.zones[1] = ZoneBehavior::Refuses;
     fleet.wait_for(1, Closed, 3000.0);
     fleet.run(2000.0);
-    // 60 are offered, and the other zones have 2 × 6 slots free, of which nine in ten are given out.
+    // The closed zone's load is 60 requests. The other zones have 2 × 6 free slots, of which nine in ten are used.
     let admit = fleet.table.zones[1].admit;
     assert!((100..=250).contains(&admit), "{admit}");
     assert_eq!(fleet.table.zones[0].admit, FULL_SHARE);
@@ -117,29 +118,29 @@
     assert_eq!(admitted, usize::from(admit));
 }
 
-/// Traffic stays local while the own zone has capacity, and may cross when it has not; it does not go to and fro between
-/// the two.
+/// Guards against traffic that leaves a zone with enough capacity or stays in a zone without it, and against flapping
+/// between the two.
 #[test]
 fn traffic_stays_local_while_the_own_zone_has_capacity() {
     let mut fleet = Fleet::new();
     fleet.run(2000.0);
     assert_eq!(fleet.trackers[0].update(fleet.now, &[]).shares, [FULL_SHARE, 0, 0]);
-    (fleet.open, fleet.slots) = (18, 60);
+    (fleet.open_requests, fleet.slots) = (18, 60);
     fleet.run(2000.0);
-    assert_eq!(fleet.epoch, 1, "54 of 60 slots are asked for");
+    assert_eq!(fleet.epoch, 1, "54 of 60 slots are needed: traffic may cross zones");
     assert_eq!(fleet.trackers[0].update(fleet.now, &[]).shares, [FULL_SHARE; ZONES]);
-    fleet.open = 16;
+    fleet.open_requests = 16;
     fleet.run(5000.0);
-    assert_eq!(fleet.epoch, 1, "48 of 60: not yet");
-    fleet.open = 10;
+    assert_eq!(fleet.epoch, 1, "48 of 60 slots: no change yet");
+    fleet.open_requests = 10;
     fleet.run(2000.0);
     assert_eq!(fleet.epoch, 2);
-    // A zone that fails a dispatcher sends it over the border before the fleet has decided.
+    // A dispatcher whose own zone fails uses other zones before the fleet has decided.
     let failing = ZoneSample { refused: 9, ..ZoneSample::default() };
     let samples = [failing, ZoneSample::default(), ZoneSample::default()];
     let shares: Vec<u16> = (0..5).map(|_| fleet.trackers[0].update(fleet.now, &samples).shares[1]).collect();
     assert_eq!(shares, [250, 500, 750, 1000, 1000]);
-    // So does one that lists no servers any more.
+    // The same applies if its own zone has no endpoints left in the list.
     let no_endpoints =
         [ZoneSample::default(), ZoneSample { slots: 8, ..ZoneSample::default() }, ZoneSample::default()];
     assert_eq!(fleet.trackers[1].update(fleet.now, &no_endpoints).shares, [1000, 250, 250]);
--- a/src/zones/tests/gossip.rs
+++ b/src/zones/tests/gossip.rs
@@ -1,9 +1,10 @@
-//! Shows why one leader decides for all: a model of dispatchers that each decide on the digests that reach them.
+//! Shows why a leader decides for the whole fleet: a model of dispatchers that each decide by the digests they receive.
 
 use super::*;
 
-/// How long, of a minute, dispatchers act on different tables, and how long a zone is closed to some of them and open to
-/// others, where each decides on the digests that reach it (gossip). A fifth of the links carries nothing.
+/// Simulates one minute in which each dispatcher decides by the digests that reach it (gossip), while a fifth of the
+/// links between dispatchers is down. Returns how long dispatchers act on different tables, and how long a zone is
+/// closed to some of them and open to others.
 fn disagreement_ms(seed: u64) -> (f64, f64) {
     let mut draws = fastrand::Rng::with_seed(seed);
     let count = ZONES * MEMBERS_PER_ZONE;
@@ -51,17 +52,18 @@
     (differ, open_to_some)
 }
 
-/// Why one leader decides for all: on the digests that reach each of them, dispatchers differ for seconds of a minute.
+/// Without a leader, dispatchers that each decide by the digests they receive disagree for seconds of a minute.
 #[test]
 fn dispatchers_that_decide_alone_differ_for_seconds() {
-    let mut gossip = (0.0, 0.0);
+    let mut mean_disagreement_ms = (0.0, 0.0);
     for seed in 1..=8 {
         let (differ, open_to_some) = disagreement_ms(seed);
-        gossip = (gossip.0 + differ / 8.0, gossip.1 + open_to_some / 8.0);
+        mean_disagreement_ms =
+            (mean_disagreement_ms.0 + differ / 8.0, mean_disagreement_ms.1 + open_to_some / 8.0);
     }
     println!(
         "gossip: tables differ for {} ms of 60 s, a closed zone is open to some for {} ms",
-        gossip.0, gossip.1
+        mean_disagreement_ms.0, mean_disagreement_ms.1
     );
-    assert!(gossip.0 > 2000.0 && gossip.1 > 500.0, "{gossip:?}");
+    assert!(mean_disagreement_ms.0 > 2000.0 && mean_disagreement_ms.1 > 500.0, "{mean_disagreement_ms:?}");
 }
--- a/src/zones/tests/health.rs
+++ b/src/zones/tests/health.rs
@@ -1,10 +1,10 @@
-//! Guards against a zone health that is wrong where reports are few, late or out of order.
+//! Guards against a wrong zone health when reports are few, late or out of order.
 
 use proptest::prelude::*;
 
 use super::*;
 
-/// Many dispatchers with a job or two a second each have enough attempts together.
+/// Guards against a dead zone that is not detected because each dispatcher has only one or two jobs a second.
 #[test]
 fn many_reporters_with_few_attempts_find_a_dead_zone() {
     let mut reports = HealthReports::default();
@@ -33,12 +33,12 @@
     assert_eq!(
         reports.health(1.0, 1, true),
         ZoneHealth::Healthy,
-        "one server of several that is down fails few"
+        "a few failures among several answers may come from a single endpoint that is down"
     );
 }
 
-/// Guards against a zone that is closed as unreachable while most of its members are up: missing digests alone do not
-/// tell, as after a change of leaders.
+/// Guards against a zone that is closed as unreachable while most of its members are up. Digests can also be missing
+/// for other reasons, such as a change of leader.
 #[test]
 fn a_zone_without_digests_is_unreachable_only_if_half_of_its_members_are_down() {
     let mut reports = HealthReports::default();
@@ -53,7 +53,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Digests that arrive in any order, some of them twice, come to the same reports.
+    /// Digests that arrive in a different order, some of them twice, lead to the same reports.
     #[test]
     fn reports_merge_in_any_order(list in digests(), seed in 0u64..1000) {
         let mut draws = fastrand::Rng::with_seed(seed);
--- a/src/zones/tests/mod.rs
+++ b/src/zones/tests/mod.rs
@@ -1,4 +1,5 @@
-//! A model of a fleet on a set clock: dispatchers that count their attempts, one controller, and a view for each.
+//! A model of a fleet with a simulated clock: dispatchers that count their attempts, one failover controller, and a
+//! view tracker per dispatcher.
 
 mod controller;
 mod failover;
@@ -12,23 +13,23 @@
 use crate::fleet::MemberId;
 
 const ZONES: usize = 3;
-/// Dispatchers of each zone.
+/// The number of dispatchers in each zone.
 const MEMBERS_PER_ZONE: usize = 3;
 
-/// How a zone behaves.
+/// The behavior of a zone's endpoints and dispatchers.
 #[derive(Clone, Copy, PartialEq)]
 enum ZoneBehavior {
     Answers,
     Refuses,
     Slow,
-    /// Its dispatchers and the controller do not reach each other.
+    /// The zone's dispatchers and the controller cannot reach each other.
     Partitioned,
 }
 
 struct Fleet {
     now: f64,
     zones: [ZoneBehavior; ZONES],
-    /// Dispatchers with a network fault of their own: all their attempts fail, but their digests arrive.
+    /// Dispatchers with a local network fault: all their attempts fail, but their digests arrive.
     faulty_dispatchers: Vec<usize>,
     counters: Vec<OutcomeCounter>,
     trackers: Vec<ZoneViewTracker>,
@@ -36,8 +37,9 @@
     controller: FailoverController,
     table: ZoneTable,
     epoch: u64,
-    /// Requests that each dispatcher has open, and slots of each zone.
-    open: usize,
+    /// The number of requests open at each dispatcher.
+    open_requests: usize,
+    /// The number of slots of each zone.
     slots: u16,
 }
 
@@ -58,18 +60,19 @@
             controller: FailoverController::new(FailoverSettings::default(), 0.0, &table),
             table,
             epoch: 0,
-            open: 10,
+            open_requests: 10,
             slots: 60,
         }
     }
 
-    /// A quarter of a second: each dispatcher sends ten requests by the shares that it has.
+    /// Simulates a quarter of a second: each dispatcher sends ten requests, split by its current shares.
     fn step(&mut self) {
         self.now += WINDOW_STEP_MS;
         for d in 0..self.counters.len() {
             let own = d / MEMBERS_PER_ZONE;
             let shares = self.trackers[d].update(self.now, &[]).shares.clone();
-            // The own zone first; what the own zone may not get goes to the others by their shares.
+            // The dispatcher's own zone goes first; the work it may not get is split over the other zones by their
+            // shares.
             let local = f64::from(shares[own]) / 1000.0;
             let others: f64 = (0..ZONES).filter(|z| *z != own).map(|z| f64::from(shares[z])).sum();
             for (zone, share) in shares.iter().enumerate() {
@@ -92,9 +95,10 @@
                 }
             }
             self.counters[d].advance(self.now);
-            let (open, slots) = (self.open, self.slots);
-            let in_flight = |z: usize| if z == own && shares[own] > 0 { open as u16 } else { 0 };
-            let digest = self.counters[d].next_digest(open, |z| ZoneLoad { in_flight: in_flight(z), slots });
+            let (open_requests, slots) = (self.open_requests, self.slots);
+            let in_flight = |z: usize| if z == own && shares[own] > 0 { open_requests as u16 } else { 0 };
+            let digest =
+                self.counters[d].next_digest(open_requests, |z| ZoneLoad { in_flight: in_flight(z), slots });
             if self.zones[own] != ZoneBehavior::Partitioned {
                 self.reports.record(self.now, d as MemberId, digest, ZONES);
             }
@@ -122,7 +126,7 @@
         self.table.zones.iter().map(|zone| zone.state).collect()
     }
 
-    /// Time until a zone is in a state.
+    /// Runs until a zone is in a state. Returns how long that took.
     fn wait_for(&mut self, zone: usize, state: ZoneState, limit_ms: f64) -> f64 {
         let began = self.now;
         while self.table.zones[zone].state != state {
@@ -133,7 +137,7 @@
     }
 }
 
-/// A term of some leader's round.
+/// Returns a leader term with the given heartbeat round.
 fn term(round: u64) -> crate::consensus::LeaderTerm {
     postcard::from_bytes(&postcard::to_stdvec(&(1u32, 1u64, round)).unwrap()).unwrap()
 }
@@ -163,7 +167,7 @@
         },
     );
     prop::collection::vec((0u16..6, digest), 0..40).prop_map(|mut list| {
-        // A process sends one digest of each number.
+        // A process never sends two digests with the same number.
         let mut names = std::collections::BTreeSet::new();
         list.retain(|(source, d)| names.insert((*source, d.incarnation, d.number)));
         list
--- a/src/zones/wire_tests.rs
+++ b/src/zones/wire_tests.rs
@@ -1,4 +1,4 @@
-//! Guards the wire form of zone digests and tables.
+//! Guards against changes of the wire format of zone digests and tables.
 
 use super::zone_failover::DigestMessage;
 use super::{Digest, ZoneDecision, ZoneSample, ZoneState, ZoneTable};
--- a/src/zones/zone_failover.rs
+++ b/src/zones/zone_failover.rs
@@ -1,9 +1,9 @@
-//! Zone failover of one member, on top of the fleet's node: it sends the dispatcher's digests to the voters, proposes
-//! tables while this node leads, follows what is decided, and gives out the dispatcher's view.
+//! Zone failover of one member, on top of the fleet node: sends the dispatcher's digests to the voters, proposes zone
+//! tables while this node is the leader, applies decided tables, and provides the dispatcher's view of the zones.
 //!
 //! The caller records the dispatcher's attempts in [`ZoneFailover::outcome_counter`], calls [`ZoneFailover::tick`]
-//! regularly and [`ZoneFailover::apply_newest_decision`] after each decision, hands in messages of [`TOPIC`], and carries out the
-//! effects. Times are milliseconds of the caller's clock.
+//! regularly and [`ZoneFailover::apply_newest_decision`] after each decision, passes messages of [`TOPIC`] to
+//! [`ZoneFailover::receive`], and carries out the effects. Times are in milliseconds of the caller's clock.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,56 +14,57 @@
 use crate::consensus::DecisionRef;
 use crate::fleet::{FleetNode, MemberId};
 
-/// What the caller is to do.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Apply the new view.
+    /// Apply this view, which differs from the last one.
     View(ZoneView),
-    /// Log a decision that is newer than any before.
+    /// Log this decision, which is newer than all earlier ones.
     Decided(TableChange),
 }
 
-/// A decision that was read, and how it came about as far as this member knows.
+/// A newly decided table, and what this member knows about how it was decided.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableChange {
-    /// Its epoch.
+    /// The epoch of the decision.
     pub epoch: u64,
-    /// The table.
+    /// The decided table.
     pub table: ZoneTable,
-    /// The voter that leads, as a member.
+    /// The member that is the current leader, if known.
     pub leader: Option<MemberId>,
-    /// Whether this node proposed it.
+    /// Whether this node proposed the table.
     pub is_own: bool,
-    /// The members that are known to follow the leader; at the leader alone.
+    /// The members that are known to follow the leader. Empty unless this node is the leader.
     pub voters: Vec<MemberId>,
-    /// The reports of each zone; at voters alone.
+    /// The summed reports of each zone. Empty unless this node is a voter.
     pub summaries: Vec<ZoneSummary>,
 }
 
-/// A voter that does not lead gets one digest in this many: often enough for [`super::DIGEST_LIFETIME_MS`].
+/// A voter that is not the leader gets one digest in this many, which is often enough for
+/// [`super::DIGEST_LIFETIME_MS`].
 const FOLLOWER_DIGEST_INTERVAL: u64 = 2;
 
-/// The message that members send to voters.
+/// The message in which members send digests to voters.
 #[derive(Serialize, Deserialize)]
 pub(super) struct DigestMessage(pub(super) Digest);
 
-/// Zone failover of one member.
+/// The zone failover state of one member.
 pub struct ZoneFailover {
     zone_count: usize,
     settings: FailoverSettings,
     counter: OutcomeCounter,
     reports: HealthReports,
     tracker: ZoneViewTracker,
-    /// Present while this node leads.
+    /// The controller, present while this node is the leader.
     controller: Option<FailoverController>,
-    /// The epoch that this node's last proposal has if it is decided.
+    /// The epoch that this node's last proposal gets if it is decided.
     last_proposed_epoch: u64,
     view: Option<ZoneView>,
     effects: Vec<Effect>,
 }
 
 impl ZoneFailover {
-    /// Zone failover of a member in the zone `own_zone` of `zone_count`.
+    /// Creates the state of a member in the zone with index `own_zone`, out of `zone_count` zones.
     pub fn new(
         own_zone: usize,
         zone_count: usize,
@@ -84,17 +85,19 @@
         }
     }
 
-    /// The counter of the dispatcher's own attempts and arrivals.
+    /// Returns the counter for the dispatcher's own attempts and arrivals.
     pub fn outcome_counter(&mut self) -> &mut OutcomeCounter {
         &mut self.counter
     }
 
-    /// What is to be done since the last call, in order.
+    /// Returns the effects that were added since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Does what is due. `open_requests` are open at the dispatcher, and `zone_load` gives its present load of a zone.
+    /// Applies the newest decision. At the end of a window step, also sends a digest, proposes a table if this node is
+    /// the leader, and updates the view. `open_requests` is the number of requests open at the dispatcher, and
+    /// `zone_load` returns its current load of a zone.
     pub fn tick(
         &mut self,
         now: f64,
@@ -113,7 +116,8 @@
         self.update_view(now, &samples);
     }
 
-    /// Takes a message of another member. Returns false where it is not a valid digest for this member.
+    /// Handles a message from another member. Returns false if it is not a valid new digest, or if this node is not a
+    /// voter.
     pub fn receive(&mut self, now: f64, node: &FleetNode, from: MemberId, bytes: &[u8]) -> bool {
         let Ok((DigestMessage(digest), [])) = postcard::take_from_bytes(bytes) else { return false };
         let home = node.members().get(usize::from(from)).map(|member| member.zone);
@@ -121,7 +125,7 @@
         is_valid && self.reports.record(now, from, digest, self.zone_count)
     }
 
-    /// Follows the newest decision that the node knows.
+    /// Applies the newest table and leader term that the node knows.
     pub fn apply_newest_decision(&mut self, now: f64, node: &FleetNode) {
         let DecisionRef { epoch, body, .. } = node.newest_decision(TOPIC);
         let is_newer = epoch > self.tracker.newest_decision().epoch;
@@ -141,14 +145,15 @@
         }));
     }
 
-    /// The reports of each zone; empty where this member is no voter.
+    /// Returns the summed reports of each zone, or nothing if this node is not a voter.
     pub fn summaries(&self, now: f64, node: &FleetNode) -> Vec<ZoneSummary> {
         let zones = if node.is_voting().is_some() { self.zone_count } else { 0 };
         (0..zones).map(|zone| self.reports.summary(now, zone)).collect()
     }
 
-    /// Sends a digest to the voters, itself among them: to the leader each time, and to the others now and then, so that
-    /// one of them that begins to lead has recent reports.
+    /// Sends a digest to the voters, or records it directly if this node is one. The leader gets every digest, and the
+    /// other voters one in [`FOLLOWER_DIGEST_INTERVAL`], so that a new leader has recent reports. While no leader is
+    /// known, all voters get every digest.
     fn send_digest(&mut self, now: f64, node: &mut FleetNode, digest: Digest) {
         let number = digest.number;
         if node.is_voting().is_some() {
@@ -166,7 +171,7 @@
         }
     }
 
-    /// As the leader, proposes the table that the reports ask for.
+    /// Proposes the controller's next table if this node is the leader.
     fn propose_table(&mut self, now: f64, node: &mut FleetNode) {
         if !node.is_leader() {
             self.controller = None;
@@ -176,7 +181,7 @@
         let controller =
             self.controller.get_or_insert_with(|| FailoverController::new(self.settings, now, table));
         let half_down = zones_half_down(node, self.zone_count);
-        // The node may know a newer decision than the tracker; that is to be followed first.
+        // The node may know a newer decision than the tracker. That one must be applied first.
         if let Some(next) = controller.next_table(now, table, &self.reports, &half_down)
             && node.newest_decision(TOPIC).epoch == *epoch
             && node.propose(now, TOPIC, next.encode())
@@ -194,19 +199,19 @@
         }
     }
 
-    /// The newest decision.
+    /// Returns the newest decided table that this member knows.
     pub fn newest_decision(&self) -> &DecidedTable {
         self.tracker.newest_decision()
     }
 
-    /// What the dispatcher is to do; none before the first digest.
+    /// Returns the dispatcher's current view, or `None` before the first window step has ended.
     pub fn view(&self) -> Option<&ZoneView> {
         self.view.as_ref()
     }
 }
 
-/// The zones with members of which at least half are down by the membership. A zone whose digests are missing is only
-/// closed as unreachable if it is one of these.
+/// Returns for each zone whether it has members and the membership reports at least half of them as down. Only such a
+/// zone can be closed as unreachable when its digests are missing.
 fn zones_half_down(node: &FleetNode, zone_count: usize) -> Vec<bool> {
     let is_half_down = |zone: usize| {
         let members = || node.members().iter().zip(node.alive()).filter(|(member, _)| member.zone == zone);
