--- a/src/control_plane/tests/frames.rs
+++ b/src/control_plane/tests/frames.rs
@@ -37,8 +37,11 @@
     ] {
         assert_eq!(node.receive(1e6, 1, &bytes), Err(error));
     }
-    assert_eq!(node.receive(1e6, 2, &good), Err(FrameError::Invalid),
-        "a frame from another member's address");
+    assert_eq!(
+        node.receive(1e6, 2, &good),
+        Err(FrameError::Invalid),
+        "a frame from another member's address"
+    );
     assert_eq!(node.node().counters().dropped, 8);
     let decisions = vec![Decision { topic: zones::TOPIC, epoch: 9, body: vec![0xff; 9] }];
     let update = Body::DecisionUpdate { decisions, term: crate::consensus::LeaderTerm::default() };
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -121,7 +121,13 @@
 
 impl HttpFrontend {
     /// Enables the links at the listening address, and opens one to the predecessor, if there is one.
-    pub fn start_upgrade_links(&mut self, net: &mut Sockets, address: SocketAddr, note: PathBuf, predecessor: Option<u32>) {
+    pub fn start_upgrade_links(
+        &mut self,
+        net: &mut Sockets,
+        address: SocketAddr,
+        note: PathBuf,
+        predecessor: Option<u32>,
+    ) {
         let mut links = UpgradeLinks::new(address, note, predecessor);
         let first = predecessor.and_then(|pid| links.forwarder.on_peer_seen(pid));
         self.links = Some(links);
--- a/src/frontend/operator.rs
+++ b/src/frontend/operator.rs
@@ -136,7 +136,11 @@
     let parse = |cause| FileError::Parse { file: file.into(), cause };
     let tables: File = toml::from_str(text).map_err(parse)?;
     let mut untyped: toml::Table = toml::from_str(text).map_err(parse)?;
-    if tables.gearman.is_none() && tables.stream.is_none() && tables.console.is_none() && tables.fleet.is_none() {
+    if tables.gearman.is_none()
+        && tables.stream.is_none()
+        && tables.console.is_none()
+        && tables.fleet.is_none()
+    {
         return Err(FileError::Empty { file: file.into() });
     }
     let stream = tables.stream.map(streaming::Table::check).transpose();
@@ -146,7 +150,12 @@
         (fleet, rollout) => fleet.map(|fleet| fleet.check(rollout)).transpose(),
     };
     let fleet = fleet.map_err(|errors| FileError::Fleet { file: file.into(), errors })?;
-    Ok(OperatorConfig { gearman: untyped.remove("gearman").map(json), stream, fleet, console: tables.console })
+    Ok(OperatorConfig {
+        gearman: untyped.remove("gearman").map(json),
+        stream,
+        fleet,
+        console: tables.console,
+    })
 }
 
 /// Converts a TOML value to JSON; a date becomes a string. The recursion is bounded because the TOML parser
--- a/src/main.rs
+++ b/src/main.rs
@@ -128,7 +128,8 @@
     let shares_policy = configs.fleet.as_ref().is_some_and(|fleet| fleet.rollout.is_some());
     if shares_policy && configs.http.is_none() {
         return Err(
-            "rollout: only the HTTP frontend applies a policy, and LB_CONFIG does not configure one".into());
+            "rollout: only the HTTP frontend applies a policy, and LB_CONFIG does not configure one".into()
+        );
     }
     Ok(())
 }
