--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -45,8 +45,8 @@
 
 /// The consensus topic of policy decisions and rollout messages.
 pub const TOPIC: u8 = 2;
-/// Maximum length, in bytes, of a reason in a decision or of an error in a check result. A check result must fit in a
-/// datagram, and a reason in a decision.
+/// Maximum length, in bytes, of a reason in a decision or of an error in a check result, so that a decision stays
+/// within its size limit and a check result fits in a datagram.
 const MAX_REASON_BYTES: usize = 240;
 /// Maximum rate of another member's clock relative to this one.
 const MAX_CLOCK_RATE: f64 = 1.01;
--- a/src/rollout/participant.rs
+++ b/src/rollout/participant.rs
@@ -38,7 +38,7 @@
 const HEARTBEAT_MS: f64 = 250.0;
 /// The heartbeat interval, in milliseconds, during a change, without a lease or while leaving. It is short so that a
 /// lost message is soon replaced by the next one.
-const STAGED_HEARTBEAT_MS: f64 = 50.0;
+const URGENT_HEARTBEAT_MS: f64 = 50.0;
 /// Maximum number of heartbeats that can still be answered: covers 3.2 s at the shortest interval.
 const MAX_PENDING_REQUESTS: usize = 64;
 
@@ -172,18 +172,18 @@
         match self.membership {
             Membership::Active => self.send_heartbeat(now, node),
             Membership::Leaving { serves } => {
-                self.next_heartbeat_ms = now + STAGED_HEARTBEAT_MS;
+                self.next_heartbeat_ms = now + URGENT_HEARTBEAT_MS;
                 if let Some(leader) = node.leader() {
                     node.send_message(leader, TOPIC, Message::Leave { serves }.encode());
                 }
             }
-            Membership::Left => self.next_heartbeat_ms = now + STAGED_HEARTBEAT_MS,
+            Membership::Left => self.next_heartbeat_ms = now + URGENT_HEARTBEAT_MS,
         }
     }
 
     fn send_heartbeat(&mut self, now: f64, node: &mut FleetNode) {
         let is_urgent = self.decision.staged.is_some() || self.wanted.is_some() || now >= self.lease_until_ms;
-        self.next_heartbeat_ms = now + if is_urgent { STAGED_HEARTBEAT_MS } else { HEARTBEAT_MS };
+        self.next_heartbeat_ms = now + if is_urgent { URGENT_HEARTBEAT_MS } else { HEARTBEAT_MS };
         let Some(leader) = node.leader() else { return };
         self.nonce += 1;
         if self.pending_requests.len() >= MAX_PENDING_REQUESTS {
