--- a/src/flow/admission.rs
+++ b/src/flow/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of streams: how many there may be in all, of one tenant, and at one endpoint.
+//! Admission control for streams: limits on concurrent streams in total, per tenant and per endpoint.
 
 use rustc_hash::FxHashMap;
 
@@ -6,29 +6,29 @@
 
 use crate::routing::{EndpointId, LoadReport};
 
-/// Bounds on streams.
+/// Limits on concurrent streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// In all.
+    /// Streams in total.
     pub total: usize,
-    /// Of one tenant; requests that name none count as one.
+    /// Streams of one tenant; requests that name no tenant count together as one tenant.
     pub tenant: usize,
-    /// At one endpoint.
+    /// Streams to one endpoint.
     pub endpoint: usize,
 }
 
-/// Why a stream is not admitted.
+/// The reason a stream was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AdmissionError {
-    /// The bound on all streams is reached.
+    /// The total limit is reached.
     #[error("too many streams")]
     Total,
-    /// The bound on the tenant's streams is reached.
+    /// The limit of the request's tenant is reached.
     #[error("too many streams of this tenant")]
     Tenant,
 }
 
-/// Counts streams, and rejects those above the bounds.
+/// Counts concurrent streams in total and per tenant, and rejects those above the limits.
 pub struct Admission {
     bounds: Bounds,
     total: usize,
@@ -36,82 +36,83 @@
 }
 
 impl Admission {
-    /// No streams yet.
+    /// Creates a counter without streams.
     pub fn new(bounds: Bounds) -> Admission {
         Admission { bounds, total: 0, tenants: FxHashMap::default() }
     }
 
-    /// Takes over other bounds; streams above them go on.
+    /// Replaces the limits. Streams that are already admitted continue even if they exceed the new limits.
     pub fn reconfigure(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
-    /// Admits a stream. The caller must call `leave` once for each that was admitted.
+    /// Admits a stream. The caller must call `leave` exactly once for each admitted stream.
     ///
     /// # Errors
-    /// Where the bound on all streams, or on those of the tenant, is reached.
+    /// Returns an error if the total limit or the tenant's limit is reached.
     pub fn enter(&mut self, tenant: &str) -> Result<(), AdmissionError> {
         if self.total >= self.bounds.total {
             return Err(AdmissionError::Total);
         }
-        let of_tenant = self.tenants.get(tenant).copied().unwrap_or(0);
-        if of_tenant >= self.bounds.tenant {
+        let tenant_streams = self.tenants.get(tenant).copied().unwrap_or(0);
+        if tenant_streams >= self.bounds.tenant {
             return Err(AdmissionError::Tenant);
         }
         self.total += 1;
-        self.tenants.insert(tenant.to_string(), of_tenant + 1);
+        self.tenants.insert(tenant.to_string(), tenant_streams + 1);
         Ok(())
     }
 
-    /// An admitted stream has ended.
+    /// Records that an admitted stream of `tenant` has ended.
     pub fn leave(&mut self, tenant: &str) {
         self.total = self.total.saturating_sub(1);
         if let Some(count) = self.tenants.get_mut(tenant) {
             *count -= 1;
-            // Guards against a table that grows with each name that a client makes up.
+            // Removing empty entries keeps the table from growing with every tenant name that clients invent.
             if *count == 0 {
                 self.tenants.remove(tenant);
             }
         }
     }
 
-    /// How many streams there are.
+    /// Returns the number of admitted streams.
     pub fn total(&self) -> usize {
         self.total
     }
 }
 
-/// Counts the streams at each endpoint, and reports the rest of the bound to the decision module as free slots: the module
-/// keeps the bound, by going on to another endpoint or by holding the request.
+/// Counts the streams to each endpoint and reports the remaining slots to the router. The router enforces the
+/// limit: it chooses another endpoint or holds the request.
 pub struct Slots {
     per_endpoint: usize,
     in_use: FxHashMap<EndpointId, usize>,
 }
 
 impl Slots {
-    /// Jobs that an endpoint without a free slot reports as queued: so many that no request is better off waiting there.
+    /// The queue length reported for an endpoint without a free slot: so long that waiting there is never the
+    /// router's best choice.
     const QUEUE_WHEN_FULL: f64 = 1000.0;
 
-    /// `per_endpoint` slots at each endpoint, all of them free.
+    /// Creates `per_endpoint` free slots for every endpoint.
     pub fn new(per_endpoint: usize) -> Slots {
         Slots { per_endpoint, in_use: FxHashMap::default() }
     }
 
-    /// Takes over another bound; streams above it go on.
+    /// Replaces the limit per endpoint. Streams above the new limit continue.
     pub fn reconfigure(&mut self, per_endpoint: usize) {
         self.per_endpoint = per_endpoint;
     }
 
-    /// Takes a slot. False if none is free.
-    pub fn take(&mut self, endpoint: EndpointId) -> bool {
+    /// Takes a slot of an endpoint. Returns false if none is free.
+    pub fn acquire(&mut self, endpoint: EndpointId) -> bool {
         let in_use = self.in_use.entry(endpoint).or_default();
         let is_free = *in_use < self.per_endpoint;
         *in_use += usize::from(is_free);
         is_free
     }
 
-    /// Gives a slot back that `take` gave.
-    pub fn give_back(&mut self, endpoint: EndpointId) {
+    /// Returns a slot that was taken with `acquire`.
+    pub fn release(&mut self, endpoint: EndpointId) {
         if let Some(in_use) = self.in_use.get_mut(&endpoint) {
             *in_use -= 1;
             if *in_use == 0 {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The load report of an endpoint.
+    /// Returns the load report of an endpoint, built from the slots in use.
     pub fn report(&self, endpoint: EndpointId) -> LoadReport {
         let in_use = self.in_use.get(&endpoint).copied().unwrap_or(0);
         let free = self.per_endpoint.saturating_sub(in_use);
--- a/src/flow/channel.rs
+++ b/src/flow/channel.rs
@@ -1,21 +1,21 @@
-//! One direction of a stream: its phase, the bytes that it holds, and the pace of its two peers.
+//! One direction of a stream: its phase, the bytes buffered in it, and the pace of its source and its sink.
 
-use super::meter::{Meter, Pace};
+use super::meter::{Pace, PaceMeter};
 
-/// Bytes that a channel may always hold, however full the pool is. Guards a small request against all windows being full:
-/// it needs no more than this to pass.
+/// Bytes that a channel may always buffer, even when the shared pool is exhausted. A small request fits into
+/// this, so it still passes when long streams have filled their windows.
 pub const MIN_CHANNEL_BYTES: usize = 4 * 1024;
 
-/// What a channel is at.
+/// The phase of a channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It has not begun, or it waits for something that is no byte.
+    /// Not started, or paused for an event that is not I/O, such as the choice of an endpoint.
     Closed,
-    /// Bytes are read, and none may leave yet.
+    /// The source is read, but nothing is written to the sink yet.
     Held,
-    /// Bytes are read and passed on.
+    /// The source is read and the sink is written.
     Open,
-    /// The source has ended; what is held is passed on.
+    /// The source has ended; buffered bytes are still written to the sink.
     Draining,
 }
 
@@ -23,26 +23,26 @@
 #[derive(Debug)]
 pub(super) struct Channel {
     pub phase: Phase,
-    /// Bytes that it holds in all its buffers.
+    /// Bytes held in all buffers of the channel.
     pub held: usize,
-    /// The source may have bytes.
+    /// Whether the source may have bytes to read.
     pub readable: bool,
-    /// The sink takes no bytes for now.
+    /// Whether the sink accepts no bytes for now.
     pub blocked: bool,
-    /// Nothing more can be read until the sink takes bytes.
+    /// Whether nothing more can be read until the sink accepts bytes.
     pub full: bool,
-    /// It has a turn waiting.
+    /// Whether the channel is in the turn queue.
     pub queued: bool,
-    /// It waits for room in the pool.
+    /// Whether the channel waits for free bytes in the shared pool.
     pub starved: bool,
-    /// Bytes that its sink has taken.
-    pub passed: u64,
-    pub source: Meter,
-    pub sink: Meter,
+    /// Bytes written to the sink so far.
+    pub written: u64,
+    pub source: PaceMeter,
+    pub sink: PaceMeter,
 }
 
 impl Channel {
-    /// A channel that has not begun.
+    /// Creates a closed channel.
     pub fn new(pace: Pace) -> Channel {
         Channel {
             phase: Phase::Closed,
@@ -52,30 +52,30 @@
             full: false,
             queued: false,
             starved: false,
-            passed: 0,
-            source: Meter::new(pace),
-            sink: Meter::new(pace),
+            written: 0,
+            source: PaceMeter::new(pace),
+            sink: PaceMeter::new(pace),
         }
     }
 
-    /// Whether its source is read.
-    pub fn reads(&self) -> bool {
+    /// Whether the current phase reads the source.
+    pub fn reads_source(&self) -> bool {
         matches!(self.phase, Phase::Held | Phase::Open)
     }
 
-    /// Whether its bytes may leave to its sink.
-    pub fn passes(&self) -> bool {
+    /// Whether the current phase writes to the sink.
+    pub fn writes_sink(&self) -> bool {
         matches!(self.phase, Phase::Open | Phase::Draining)
     }
 
-    /// Bytes that it may hold beyond those it holds; `pooled` bytes are left in the pool.
-    pub fn room(&self, window: usize, pooled: usize) -> usize {
-        let least = MIN_CHANNEL_BYTES.saturating_sub(self.held);
-        window.saturating_sub(self.held).min(pooled.max(least))
+    /// Returns how many more bytes the channel may buffer when `pool_free` bytes are left in the pool.
+    pub fn available(&self, window: usize, pool_free: usize) -> usize {
+        let guaranteed = MIN_CHANNEL_BYTES.saturating_sub(self.held);
+        window.saturating_sub(self.held).min(pool_free.max(guaranteed))
     }
 
-    /// Bytes that it may read now.
-    pub fn credit(&self, window: usize, pooled: usize) -> usize {
-        if self.reads() && self.readable && !self.full { self.room(window, pooled) } else { 0 }
+    /// Returns how many bytes the channel may read now.
+    pub fn credit(&self, window: usize, pool_free: usize) -> usize {
+        if self.reads_source() && self.readable && !self.full { self.available(window, pool_free) } else { 0 }
     }
 }
--- a/src/flow/hold.rs
+++ b/src/flow/hold.rs
@@ -1,57 +1,65 @@
-//! When a request whose body is still coming is dispatched. Until then its client costs no server a slot.
+//! Decides when a request whose body is still arriving is dispatched. Until then the request occupies no slot
+//! of an endpoint.
 
-/// When a request is dispatched.
+/// The condition under which a request is dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchCondition {
-    /// As soon as its head has come.
+    /// Dispatch once the head is complete.
     Head,
-    /// Once a prefix of its body has come, or all of it.
+    /// Dispatch once a prefix of the body, or all of it, has been received.
     Prefix,
-    /// As with a prefix, if it came at the least pace; a client that did not keep it is given up at once.
+    /// As `Prefix`, but only if the prefix arrived at the minimum pace; otherwise the client is given up.
     Pace,
 }
 
-/// What is to be done with a request that is held.
+/// What to do with a held request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldDecision {
-    /// More of its body is to come.
+    /// Wait for more of the body.
     Wait,
-    /// It is to be dispatched.
+    /// Dispatch the request.
     Dispatch,
-    /// Its client is too slow.
+    /// Give the client up, because it sends too slowly.
     GiveUp,
 }
 
-/// A request that is held back.
+/// A request that is held until its dispatch condition is met.
 #[derive(Clone, Copy, Debug)]
-pub struct Hold {
-    when: DispatchCondition,
-    /// Bytes of the body that are to have come.
-    prefix: usize,
+pub struct HeldRequest {
+    condition: DispatchCondition,
+    /// Bytes of the body that must be received before dispatch.
+    prefix_bytes: usize,
     min_bytes_per_ms: f64,
-    /// When the head came, in milliseconds of the clock.
+    /// When the head was received, in milliseconds of the caller's clock.
     started_at: f64,
 }
 
-impl Hold {
-    /// Shortest time over which a pace is measured, in milliseconds: what comes at once was in the sockets already.
+impl HeldRequest {
+    /// Shortest time over which the pace is measured, in milliseconds. Bytes that arrive sooner may have been
+    /// waiting in socket buffers, so their rate says nothing about the client.
     const MIN_MEASURED_MS: f64 = 50.0;
 
-    /// A request whose head came at `started_at`, in milliseconds of the clock.
-    pub fn new(when: DispatchCondition, prefix: usize, min_bytes_per_s: f64, started_at: f64) -> Hold {
-        Hold { when, prefix, min_bytes_per_ms: min_bytes_per_s / 1e3, started_at }
+    /// Holds a request whose head was received at `started_at`, in milliseconds of the caller's clock.
+    pub fn new(
+        condition: DispatchCondition,
+        prefix_bytes: usize,
+        min_bytes_per_s: f64,
+        started_at: f64,
+    ) -> HeldRequest {
+        HeldRequest { condition, prefix_bytes, min_bytes_per_ms: min_bytes_per_s / 1e3, started_at }
     }
 
-    /// What to do now that `received` bytes of the body have come; `is_complete` tells that these are all.
+    /// Returns what to do after `received` bytes of the body; `is_complete` says that these are the whole
+    /// body.
     pub fn decide(&self, received: usize, is_complete: bool, now: f64) -> HoldDecision {
-        let has_prefix = is_complete || received >= self.prefix;
-        match self.when {
+        let has_prefix = is_complete || received >= self.prefix_bytes;
+        match self.condition {
             DispatchCondition::Head => HoldDecision::Dispatch,
             _ if !has_prefix => HoldDecision::Wait,
             DispatchCondition::Prefix => HoldDecision::Dispatch,
             DispatchCondition::Pace => {
                 let elapsed_ms = now - self.started_at;
-                let is_too_early = elapsed_ms < Hold::MIN_MEASURED_MS;
+                let is_too_early = elapsed_ms < HeldRequest::MIN_MEASURED_MS;
                 let kept_pace = received as f64 >= self.min_bytes_per_ms * elapsed_ms;
                 if is_complete || is_too_early || kept_pace {
                     HoldDecision::Dispatch
--- a/src/flow/meter.rs
+++ b/src/flow/meter.rs
@@ -1,46 +1,47 @@
-//! The pace of one peer: how many bytes it moves while it is waited for. Times are in milliseconds of the caller's clock.
+//! Measures the pace of one peer: how many bytes it transfers while the relay waits for it. Times are in
+//! milliseconds of the caller's clock.
 
-/// The least that a peer must do while it is waited for.
+/// The minimum pace that a peer must keep while the relay waits for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
-    /// Bytes a second that it must move; 0: any.
+    /// Minimum bytes per second; 0 means no minimum.
     pub min_bytes_per_s: f64,
-    /// Time of waiting over which the bytes are measured, in milliseconds.
+    /// Waiting time over which the bytes are measured, in milliseconds.
     pub window_ms: f64,
-    /// Longest wait without a byte, in milliseconds.
+    /// Longest wait without any byte, in milliseconds.
     pub max_silence_ms: f64,
 }
 
-/// Why a peer is given up for its pace.
+/// How a peer failed to keep its pace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PaceFailure {
-    /// It moved fewer bytes than the least pace asks.
+    /// It transferred fewer bytes than the minimum pace requires.
     Slow,
-    /// It moved no byte for too long.
+    /// It transferred no byte for too long.
     Silent,
 }
 
-/// Measures a peer. Only the time in which it is waited for counts: a client cannot be slow while its server gives
-/// nothing, nor a server while its client takes nothing.
+/// Measures the pace of a peer. Only the time spent waiting for this peer counts: a client is not slow while
+/// its server sends nothing, nor a server while its client reads nothing.
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct PaceMeter {
     pace: Pace,
-    /// Since when it has been waited for.
+    /// When the current wait for the peer began.
     waiting_since: Option<f64>,
-    /// When its last byte moved, or the wait for it began.
+    /// When the peer last transferred a byte, or when the current wait began.
     last_progress_at: f64,
-    /// Time waited in this window before `waiting_since`, and bytes moved in it.
+    /// Time waited in the current window before `waiting_since`; `bytes` counts the bytes of that window.
     waited_ms: f64,
     bytes: f64,
 }
 
-impl Meter {
-    /// A meter of a peer that is not waited for yet.
-    pub fn new(pace: Pace) -> Meter {
-        Meter { pace, waiting_since: None, last_progress_at: 0.0, waited_ms: 0.0, bytes: 0.0 }
+impl PaceMeter {
+    /// Creates a meter for a peer that is not being waited for.
+    pub fn new(pace: Pace) -> PaceMeter {
+        PaceMeter { pace, waiting_since: None, last_progress_at: 0.0, waited_ms: 0.0, bytes: 0.0 }
     }
 
-    /// Tells whether the peer is waited for from now on.
+    /// Sets whether the relay waits for the peer from now on.
     pub fn set_waiting(&mut self, is_waiting: bool, now: f64) {
         match self.waiting_since {
             None if is_waiting => (self.waiting_since, self.last_progress_at) = (Some(now), now),
@@ -52,14 +53,15 @@
         }
     }
 
-    /// The peer moved bytes.
-    pub fn on_moved(&mut self, bytes: usize, now: f64) {
+    /// Records bytes that the peer transferred.
+    pub fn record_bytes(&mut self, bytes: usize, now: f64) {
         if bytes == 0 {
             return;
         }
         self.last_progress_at = now;
         self.bytes += bytes as f64;
-        // Guards against a fast start that buys a long crawl: what is more than asked counts for this window only.
+        // A window that is over starts anew here, so that bytes above the minimum count only for this window.
+        // Without that a fast start would make up for a long slow rest.
         if self.bytes >= self.required_bytes()
             && self.waited_ms + self.waiting_since.map_or(0.0, |since| now - since) >= self.pace.window_ms
         {
@@ -76,7 +78,8 @@
         self.waiting_since = self.waiting_since.map(|_| now);
     }
 
-    /// Whether the peer has failed by now. A window that it has kept begins anew.
+    /// Returns how the peer has failed by now, if it has. Starts a new window if the peer has kept the pace
+    /// in the last one.
     pub fn check(&mut self, now: f64) -> Option<PaceFailure> {
         let since = self.waiting_since?;
         if now >= self.last_progress_at + self.pace.max_silence_ms {
@@ -91,7 +94,7 @@
         None
     }
 
-    /// When to check next.
+    /// Returns when to call `check` next.
     pub fn next_deadline(&self) -> f64 {
         let Some(since) = self.waiting_since else { return f64::INFINITY };
         (self.last_progress_at + self.pace.max_silence_ms).min(since + self.pace.window_ms - self.waited_ms)
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -1,16 +1,18 @@
-//! Flow: which stream is read next and how much of it, how much of it may be held, when it is to be dispatched, and
-//! when a peer that is too slow or too silent is given up.
+//! Flow control for streams: decides which stream is read next and how much, how many bytes may be buffered,
+//! when a request is dispatched, and when a peer that is too slow or silent is given up.
 //!
-//! Owns the counts of bytes and the deadlines, and nothing else: no socket, no buffer, no framing. The caller reports what
-//! happened (`on_readable`, `on_writable`, `on_moved`, `on_source_ended`), moves bytes for each turn that `next_turn` gives,
-//! and closes what `expire` returns. Times are in milliseconds of the caller's clock, which must not run backwards.
+//! Sans-I/O: it owns byte counts and deadlines, but no socket, buffer or framing. The caller reports events
+//! (`on_readable`, `on_writable`, `on_turn_finished`, `on_source_ended`), transfers bytes for each turn that
+//! `next_turn` returns, and closes what `expire` returns. Times are in milliseconds of the caller's clock,
+//! which must be monotonic.
 //!
-//! A stream has two channels, up (client to server) and down (server to client). The source of a channel is read only
-//! while the channel holds less than its window and the pool has room; the sink takes what is held. Channels that can move
-//! bytes have their turns in the order in which they became able to, a quantum of bytes each. Channels that have moved few
-//! bytes yet (short ones) go before the others, up to `MAX_SHORT_TURNS_IN_A_ROW` turns in a row.
+//! A stream has two channels, up (client to server) and down (server to client). The source of a channel is
+//! read only while the channel buffers less than its window and the shared pool has free bytes; buffered
+//! bytes are written to its sink. Channels that can transfer bytes get turns of one quantum each, in the
+//! order in which they became ready. Short channels, which have transferred few bytes so far, go before the
+//! others, for up to `MAX_SHORT_TURNS_IN_A_ROW` turns in a row.
 //!
-//! A channel passes these phases:
+//! The phases of a channel:
 //!
 //! ```text
 //! Closed --hold--> Held --release--> Open --on_source_ended--> Draining
@@ -29,15 +31,15 @@
 use rustc_hash::FxHashMap;
 
 use channel::{Channel, Phase};
-use turns::{ChannelId, Turns};
+use turns::{ChannelId, TurnQueue};
 
 pub use admission::{Admission, AdmissionError, Bounds, Slots};
 pub use channel::MIN_CHANNEL_BYTES;
-pub use hold::{DispatchCondition, Hold, HoldDecision};
-pub use meter::{Meter, Pace, PaceFailure};
+pub use hold::{DispatchCondition, HeldRequest, HoldDecision};
+pub use meter::{Pace, PaceFailure, PaceMeter};
 pub use turns::{MAX_SHORT_TURNS_IN_A_ROW, SHORT_CHANNEL_BYTES};
 
-/// A stream, under an id that its owner gives it once.
+/// The id of a stream; the owner of the streams never uses an id twice.
 pub type StreamId = u64;
 
 /// A direction of a stream.
@@ -49,63 +51,63 @@
     Down,
 }
 
-/// A side of a channel.
+/// An end of a channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// Where its bytes come from.
+    /// The peer that the channel reads from.
     Source,
-    /// Where they go.
+    /// The peer that the channel writes to.
     Sink,
 }
 
-/// What a stream's class allows it.
+/// The limits that the class of a stream sets for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Bytes that a channel may hold.
+    /// Bytes that each channel may buffer.
     pub window: usize,
-    /// The least pace of its peers.
+    /// The minimum pace of both peers.
     pub pace: Pace,
 }
 
-/// A channel's turn: read `read` bytes at most, and pass on what is held.
+/// A turn of a channel: the caller reads up to `read_limit` bytes and writes what is buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Turn {
     /// The stream.
     pub stream: StreamId,
-    /// The channel.
+    /// The channel of the stream.
     pub direction: Direction,
-    /// Bytes that may be read; 0: none.
-    pub read: usize,
+    /// The most bytes to read; 0 means that nothing is read.
+    pub read_limit: usize,
 }
 
-/// What came of a turn.
+/// What a turn has transferred, and the state in which it left the channel.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Moved {
+pub struct TurnResult {
     /// Bytes read from the source.
     pub read: usize,
-    /// The source may have more at once.
+    /// Whether the source may have more bytes to read at once.
     pub more: bool,
-    /// Bytes that the sink took.
-    pub taken: usize,
-    /// Bytes that the channel now holds in all its buffers.
+    /// Bytes that the sink accepted.
+    pub written: usize,
+    /// Bytes that are now held in all buffers of the channel.
     pub held: usize,
-    /// The sink takes no more for now.
+    /// Whether the sink accepts no more bytes for now.
     pub blocked: bool,
-    /// Nothing more can be read until the sink takes some, whatever the window says: a pipe that is not empty, a
-    /// buffer without room, a sink that has not come up.
+    /// Whether nothing more can be read until the sink accepts bytes, even if the window has space: because a
+    /// pipe is not empty, a buffer is full, or the sink is still connecting.
     pub full: bool,
 }
 
-/// A peer is to be given up.
+/// A peer that failed to keep its pace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GiveUp {
+pub struct FailedPeer {
     /// The stream.
     pub stream: StreamId,
-    /// The channel.
+    /// The channel of the stream.
     pub direction: Direction,
-    /// Which side of it failed.
+    /// The end of the channel that failed.
     pub side: Side,
-    /// Why.
+    /// How it failed.
     pub failure: PaceFailure,
 }
 
@@ -124,25 +126,26 @@
     }
 }
 
-/// All streams of a frontend.
+/// Flow control for all streams of a frontend.
 pub struct Flow {
     streams: FxHashMap<StreamId, Stream>,
-    turns: Turns,
-    /// Bytes that a turn may read.
+    turns: TurnQueue,
+    /// Bytes that one turn may read.
     quantum: usize,
-    /// Bytes that all channels may hold together, beside `MIN_CHANNEL_BYTES` for each.
+    /// Bytes that all channels may buffer together; each may hold `MIN_CHANNEL_BYTES` in addition.
     pool: usize,
     held: usize,
-    /// Channels that wait for room in the pool.
+    /// Channels that wait for free bytes in the pool.
     starved: VecDeque<ChannelId>,
 }
 
 impl Flow {
-    /// No streams yet: `pool` bytes may be held in all, `quantum` read at a turn.
+    /// Creates flow control without streams. All channels together may buffer `pool` bytes, and a turn reads
+    /// up to `quantum` bytes.
     pub fn new(pool: usize, quantum: usize) -> Flow {
         Flow {
             streams: FxHashMap::default(),
-            turns: Turns::default(),
+            turns: TurnQueue::default(),
             quantum: quantum.max(1),
             pool,
             held: 0,
@@ -150,79 +153,80 @@
         }
     }
 
-    /// Takes over other bounds. What is held above them drains.
+    /// Replaces the limits. Bytes buffered above the new pool drain.
     pub fn reconfigure(&mut self, pool: usize, quantum: usize) {
         (self.pool, self.quantum) = (pool, quantum.max(1));
     }
 
-    /// How many streams there are.
+    /// Returns the number of streams.
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no streams.
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// Bytes held by all channels together.
+    /// Returns the bytes buffered by all channels together.
     pub fn held(&self) -> usize {
         self.held
     }
 
-    /// A stream begins, both channels closed. Its id must be new.
+    /// Adds a stream with both channels closed. The id must be new.
     pub fn open(&mut self, stream: StreamId, allowance: Allowance) {
         let channel = || Channel::new(allowance.pace);
         self.streams.insert(stream, Stream { allowance, up: channel(), down: channel() });
     }
 
-    /// A stream is over; its turns are dropped.
+    /// Removes a stream and its pending turns.
     pub fn close(&mut self, stream: StreamId) {
-        let Some(gone) = self.streams.remove(&stream) else { return };
-        self.held -= gone.up.held + gone.down.held;
+        let Some(closed) = self.streams.remove(&stream) else { return };
+        self.held -= closed.up.held + closed.down.held;
         self.requeue_starved();
     }
 
-    /// A channel's source is read from now on, but nothing may leave it yet.
+    /// Starts reading the source of a channel, without writing to its sink yet.
     pub fn hold(&mut self, stream: StreamId, direction: Direction, now: f64) {
-        self.enter(stream, direction, Phase::Held, now);
+        self.set_phase(stream, direction, Phase::Held, now);
     }
 
-    /// A channel's source is read, and what it holds may leave, to a sink that has not been measured before. `held` are the
-    /// bytes that it holds by now.
+    /// Opens a channel: its source is read and its buffered bytes, `held` of them, may be written to the
+    /// sink. The sink's pace is measured from the start.
     pub fn release(&mut self, stream: StreamId, direction: Direction, held: usize, now: f64) {
         let pace = self.streams.get(&stream).map(|s| s.allowance.pace);
         if let Some((channel, pace)) = self.streams.get_mut(&stream).map(|s| s.channel(direction)).zip(pace) {
-            // Guards a second server against what the first one was too slow in.
-            channel.sink = Meter::new(pace);
+            // After a failed attempt the sink is another server, which must not be blamed for the first one's
+            // delay.
+            channel.sink = PaceMeter::new(pace);
             self.held = self.held + held - channel.held;
             channel.held = held;
             (channel.blocked, channel.full) = (false, false);
         }
-        self.enter(stream, direction, Phase::Open, now);
+        self.set_phase(stream, direction, Phase::Open, now);
     }
 
-    /// A channel's source has ended; what is held still leaves.
+    /// Records that the source of a channel has ended. Buffered bytes are still written.
     pub fn on_source_ended(&mut self, stream: StreamId, direction: Direction, now: f64) {
         let phase = self.streams.get_mut(&stream).map(|s| s.channel(direction).phase);
         let next = if phase == Some(Phase::Held) { Phase::Closed } else { Phase::Draining };
-        self.enter(stream, direction, next, now);
+        self.set_phase(stream, direction, next, now);
     }
 
-    /// Closes a channel for now: its source is not waited for, and nothing leaves it.
+    /// Closes a channel until further notice: its source is not read and nothing is written to its sink.
     pub fn pause(&mut self, stream: StreamId, direction: Direction, now: f64) {
-        self.enter(stream, direction, Phase::Closed, now);
+        self.set_phase(stream, direction, Phase::Closed, now);
     }
 
-    fn enter(&mut self, stream: StreamId, direction: Direction, phase: Phase, now: f64) {
+    fn set_phase(&mut self, stream: StreamId, direction: Direction, phase: Phase, now: f64) {
         let Some(channel) = self.streams.get_mut(&stream).map(|s| s.channel(direction)) else { return };
         channel.phase = phase;
-        // Bytes may have come before anybody wanted them.
-        channel.readable = channel.reads();
+        // Bytes may have arrived while the source was not being read.
+        channel.readable = channel.reads_source();
         self.reschedule(stream, direction, now);
     }
 
-    /// A channel's source may have bytes, or its end.
+    /// Records that the source of a channel may have bytes, or may have ended.
     pub fn on_readable(&mut self, stream: StreamId, direction: Direction, now: f64) {
         if let Some(channel) = self.streams.get_mut(&stream).map(|s| s.channel(direction)) {
             channel.readable = true;
@@ -230,7 +234,7 @@
         }
     }
 
-    /// A channel's sink may take bytes.
+    /// Records that the sink of a channel may accept bytes.
     pub fn on_writable(&mut self, stream: StreamId, direction: Direction, now: f64) {
         if let Some(channel) = self.streams.get_mut(&stream).map(|s| s.channel(direction)) {
             (channel.blocked, channel.full) = (false, false);
@@ -238,77 +242,81 @@
         }
     }
 
-    /// Whose turn it is. Each turn given is to be answered by `on_moved`, unless its stream is closed meanwhile.
+    /// Returns the next turn. The caller must finish each turn with `on_turn_finished`, unless the stream is
+    /// closed first.
     pub fn next_turn(&mut self) -> Option<Turn> {
         while let Some((stream, direction)) = self.turns.pop() {
-            let (pooled, quantum) = (self.pooled(), self.quantum);
+            let (pool_free, quantum) = (self.pool_free(), self.quantum);
             let Some(s) = self.streams.get_mut(&stream) else { continue };
             let window = s.allowance.window;
             let channel = s.channel(direction);
             channel.queued = false;
-            let read = channel.credit(window, pooled).min(quantum);
-            if read > 0 || channel.passes() && channel.held > 0 && !channel.blocked {
-                return Some(Turn { stream, direction, read });
+            let read_limit = channel.credit(window, pool_free).min(quantum);
+            if read_limit > 0 || channel.writes_sink() && channel.held > 0 && !channel.blocked {
+                return Some(Turn { stream, direction, read_limit });
             }
         }
         None
     }
 
-    /// Whether a turn waits.
+    /// Whether a channel is queued for a turn.
     pub fn has_turns(&self) -> bool {
         !self.turns.is_empty()
     }
 
-    /// What came of a turn.
-    pub fn on_moved(&mut self, turn: Turn, moved: Moved, now: f64) {
+    /// Records the result of a turn.
+    pub fn on_turn_finished(&mut self, turn: Turn, result: TurnResult, now: f64) {
         let Some(channel) = self.streams.get_mut(&turn.stream).map(|s| s.channel(turn.direction)) else {
             return;
         };
-        let before = channel.held;
-        self.held = self.held + moved.held - channel.held;
-        channel.held = moved.held;
-        // Guards against turns without end for a channel that waits for its sink: they would keep the whole loop busy.
-        (channel.blocked, channel.full) = (moved.blocked, moved.blocked && moved.full);
-        channel.readable = moved.more;
-        channel.source.on_moved(moved.read, now);
-        channel.sink.on_moved(moved.taken, now);
-        channel.passed += moved.taken as u64;
+        let held_before = channel.held;
+        self.held = self.held + result.held - channel.held;
+        channel.held = result.held;
+        // A channel that waits for its sink must get no further turns: they would never end and keep the
+        // event loop busy.
+        (channel.blocked, channel.full) = (result.blocked, result.blocked && result.full);
+        channel.readable = result.more;
+        channel.source.record_bytes(result.read, now);
+        channel.sink.record_bytes(result.written, now);
+        channel.written += result.written as u64;
         self.reschedule(turn.stream, turn.direction, now);
-        if moved.held < before {
+        if result.held < held_before {
             self.requeue_starved();
         }
     }
 
-    /// Queues a channel that can move, and tells its meters who is waited for.
+    /// Queues a channel that can transfer bytes, and updates which of its peers is being waited for.
     fn reschedule(&mut self, stream: StreamId, direction: Direction, now: f64) {
-        let pooled = self.pooled();
+        let pool_free = self.pool_free();
         let Some(s) = self.streams.get_mut(&stream) else { return };
         let window = s.allowance.window;
         let channel = s.channel(direction);
-        let credit = channel.credit(window, pooled);
-        let wants = channel.reads() && channel.readable;
-        let can_pass = channel.passes() && channel.held > 0;
-        // A source is waited for while it could be read and has nothing; a sink while it leaves what is held.
-        channel
-            .source
-            .set_waiting(channel.reads() && !channel.readable && channel.room(window, pooled) > 0, now);
-        channel.sink.set_waiting(can_pass && channel.blocked, now);
-        let able = wants && credit > 0 || can_pass && !channel.blocked;
-        if able && !channel.queued {
+        let credit = channel.credit(window, pool_free);
+        let has_input = channel.reads_source() && channel.readable;
+        let has_output = channel.writes_sink() && channel.held > 0;
+        // The source is being waited for while it could be read but has nothing; the sink while it does not
+        // accept what is buffered.
+        channel.source.set_waiting(
+            channel.reads_source() && !channel.readable && channel.available(window, pool_free) > 0,
+            now,
+        );
+        channel.sink.set_waiting(has_output && channel.blocked, now);
+        let can_move = has_input && credit > 0 || has_output && !channel.blocked;
+        if can_move && !channel.queued {
             channel.queued = true;
-            self.turns.push((stream, direction), channel.passed);
-        } else if wants && credit == 0 && !channel.full && channel.held < window && !channel.starved {
+            self.turns.push((stream, direction), channel.written);
+        } else if has_input && credit == 0 && !channel.full && channel.held < window && !channel.starved {
             channel.starved = true;
             self.starved.push_back((stream, direction));
         }
     }
 
-    /// Bytes that are left in the pool.
-    fn pooled(&self) -> usize {
+    /// Returns the bytes that are free in the pool.
+    fn pool_free(&self) -> usize {
         self.pool.saturating_sub(self.held)
     }
 
-    /// Queues the channels that wait for the pool, once it has room.
+    /// Queues the channels that wait for the pool, once it has free bytes.
     fn requeue_starved(&mut self) {
         if self.held >= self.pool {
             return;
@@ -317,16 +325,16 @@
             let Some((stream, direction)) = self.starved.pop_front() else { return };
             let Some(channel) = self.streams.get_mut(&stream).map(|s| s.channel(direction)) else { continue };
             channel.starved = false;
-            if !channel.queued && channel.reads() && channel.readable {
+            if !channel.queued && channel.reads_source() && channel.readable {
                 channel.queued = true;
-                self.turns.push((stream, direction), channel.passed);
+                self.turns.push((stream, direction), channel.written);
             }
         }
     }
 
-    /// Peers that have been too slow or too silent by now, by stream. The caller is to close the stream, or to pause or
-    /// release the channel.
-    pub fn expire(&mut self, now: f64) -> Vec<GiveUp> {
+    /// Returns the peers that have been too slow or silent, ordered by stream. For each of them the caller
+    /// must close the stream, or pause or release the channel.
+    pub fn expire(&mut self, now: f64) -> Vec<FailedPeer> {
         let mut out = Vec::new();
         for (&stream, s) in &mut self.streams {
             for direction in [Direction::Up, Direction::Down] {
@@ -334,16 +342,16 @@
                 let source = channel.source.check(now).map(|failure| (Side::Source, failure));
                 let failure = source.or_else(|| channel.sink.check(now).map(|failure| (Side::Sink, failure)));
                 if let Some((side, failure)) = failure {
-                    out.push(GiveUp { stream, direction, side, failure });
+                    out.push(FailedPeer { stream, direction, side, failure });
                 }
             }
         }
-        // The order of a hash map must not decide who is given up first.
+        // The iteration order of the hash map must not decide which peer is given up first.
         out.sort_unstable_by_key(|g| (g.stream, g.direction == Direction::Down));
         out
     }
 
-    /// When `expire` is to be called next, at the latest.
+    /// Returns the latest time at which `expire` must be called next.
     pub fn next_deadline(&self) -> f64 {
         let channels = self.streams.values().flat_map(|s| [&s.up, &s.down]);
         channels
--- a/src/frontend/console/mod.rs
+++ b/src/frontend/console/mod.rs
@@ -125,7 +125,7 @@
             } else if conn.tx.is_empty() {
                 let unread = conn.rx.len();
                 conn.rx.consume(unread);
-                conn.end_writing();
+                conn.shut_down_write();
             }
             return None;
         }
@@ -163,7 +163,7 @@
             return self.close(net, id);
         }
         if let Some(conn) = net.conn(id).filter(|conn| conn.tx.is_empty()) {
-            conn.end_writing();
+            conn.shut_down_write();
         }
     }
 
--- a/src/frontend/discovery.rs
+++ b/src/frontend/discovery.rs
@@ -156,7 +156,7 @@
     ) -> Option<DiscoveryUpdate> {
         let is_long_poll = wait_ms > 0.0;
         let timeout_ms = call_timing::silence_timeout_ms(settings, is_long_poll);
-        let fresh = |id: &ConnId| net.conn(*id).is_some_and(|conn| conn.is_fresh());
+        let fresh = |id: &ConnId| net.conn(*id).is_some_and(|conn| conn.is_reusable());
         let reusable = self.conn.filter(fresh);
         self.watch = Watch::Calling {
             started_at_ms: now_ms,
--- a/src/frontend/gearman/peers.rs
+++ b/src/frontend/gearman/peers.rs
@@ -66,7 +66,7 @@
     /// Moves packets from the outbox to the connection's buffer while there is room. Returns their bytes.
     pub fn write_outbox(&mut self, conn: &mut Conn) -> usize {
         let mut moved = 0;
-        while let Some(packet) = self.outbox.front().filter(|packet| packet.len() <= conn.tx.room()) {
+        while let Some(packet) = self.outbox.front().filter(|packet| packet.len() <= conn.tx.free_space()) {
             conn.tx.push(packet);
             moved += packet.len();
             self.outbox.pop_front();
@@ -178,7 +178,7 @@
             self.on_peer_left(net, id);
         } else if conn.is_written() && peer.close_deadline.is_none() {
             peer.close_deadline = Some(self.core.clock().now() + LINGER_TIMEOUT_MS);
-            conn.end_writing();
+            conn.shut_down_write();
         }
     }
 
--- a/src/frontend/http/attempts.rs
+++ b/src/frontend/http/attempts.rs
@@ -40,7 +40,7 @@
             true => Clearance::Cleared,
             false => self.upstreams.clearance(id.job),
         };
-        let is_intact = net.conn(conn).is_some_and(|conn| conn.is_fresh());
+        let is_intact = net.conn(conn).is_some_and(|conn| conn.is_reusable());
         if is_valid && is_intact && self.upstreams.is_resting(conn) {
             // Guards against a request that crosses the end of a connection that was used just before: it may have run,
             // and is answered as failed.
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -234,7 +234,7 @@
         client.close_deadline_ms = Some(now_ms + LINGER_TIMEOUT_MS);
         self.clients.schedule_sweep(now_ms);
         if let Some(conn) = net.conn(id) {
-            conn.end_writing();
+            conn.shut_down_write();
         }
     }
 
--- a/src/frontend/http/requests.rs
+++ b/src/frontend/http/requests.rs
@@ -107,14 +107,14 @@
         let (Some(conn), Some(client)) = (net.conn(id), self.clients.connections.get(&id)) else {
             return Progress::Done;
         };
-        let (unread, is_full) = (conn.rx.len(), conn.rx.room() == 0);
+        let (unread, is_full) = (conn.rx.len(), conn.rx.free_space() == 0);
         let buffered = client.buffered_bytes.max(unread);
         self.clients.reserve(id, buffered);
         if !is_full {
             return Progress::Done;
         }
         conn.rx.consume(unread);
-        conn.closes_after_answer = true;
+        conn.closes_after_response = true;
         self.count_turn(id, turn)
     }
 
@@ -263,13 +263,13 @@
     ) {
         let is_rewritten =
             |name: &str| REWRITTEN_HEADERS.iter().any(|rewritten| name.eq_ignore_ascii_case(rewritten));
-        let passed_on = head::onward(&message.headers).filter(|(name, _)| !is_rewritten(name));
+        let passed_on = head::end_to_end_headers(&message.headers).filter(|(name, _)| !is_rewritten(name));
         let headers = passed_on.cloned().collect();
         let (target, body) = (message.target, message.body);
         self.ids.insert(Rc::clone(&request_id), job);
         self.jobs.insert(job, ClientJob { client: id, id: request_id, target, headers, body });
         if let Some(conn) = net.conn(id).filter(|_| message.close) {
-            conn.closes_after_answer = true;
+            conn.closes_after_response = true;
         }
         if let Some(client) = self.clients.get_mut(id) {
             (client.job, client.has_sent_request) = (Some(job), true);
--- a/src/frontend/http/responses.rs
+++ b/src/frontend/http/responses.rs
@@ -25,7 +25,7 @@
         if let Some(client) = self.clients.get_mut(id) {
             (client.job, client.idle_since_ms) = (None, now_ms);
         }
-        let close = net.conn(id).is_some_and(|conn| conn.closes_after_answer);
+        let close = net.conn(id).is_some_and(|conn| conn.closes_after_response);
         self.respond_with_answer(net, id, answer, close);
         self.clients.answered.push(id);
     }
@@ -85,7 +85,7 @@
         let is_sent_away = self.evacuating && client.is_some_and(|client| !client.sends_callbacks);
         // A link stays to the end: the process at its other end could not open another.
         let is_ending = self.is_past_last_call() && client.is_none_or(|client| !client.is_upgrade_link);
-        let is_last = net.conn(id).is_some_and(|conn| conn.closes_after_answer);
+        let is_last = net.conn(id).is_some_and(|conn| conn.closes_after_response);
         is_last || is_sent_away || is_ending || matches!(status, 400 | 413 | 501)
     }
 }
--- a/src/frontend/http/upstream.rs
+++ b/src/frontend/http/upstream.rs
@@ -45,8 +45,8 @@
         };
         while let Some(pooled) = self.upstreams.pool.take(endpoint, now_ms, is_harmed_by_reset) {
             let id = pooled.conn;
-            let is_open = net.conn(id).is_some_and(|conn| conn.is_fresh());
-            self.upstreams.pool.on_looked_at(endpoint, pooled.idle_ms, is_open);
+            let is_open = net.conn(id).is_some_and(|conn| conn.is_reusable());
+            self.upstreams.pool.on_checked(endpoint, pooled.idle_ms, is_open);
             // Guards against a connection that the peer has closed: a request written there would be lost.
             if is_open {
                 self.reuse(id, endpoint, purpose, 0.0);
@@ -55,8 +55,8 @@
             self.close_upstream(net, id);
         }
         // A rest of some milliseconds, once for each endpoint, is less than a new connection costs both sides.
-        if let Some((id, rests_until_ms)) = self.upstreams.pool.take_unproven(endpoint, now_ms) {
-            if net.conn(id).is_some_and(|conn| conn.is_fresh()) {
+        if let Some((id, rests_until_ms)) = self.upstreams.pool.take_unconfirmed(endpoint, now_ms) {
+            if net.conn(id).is_some_and(|conn| conn.is_reusable()) {
                 self.reuse(id, endpoint, purpose, rests_until_ms);
                 return Ok(id);
             }
@@ -92,7 +92,7 @@
         let now_ms = self.core.clock().now();
         if self.upstreams.connections.len() >= self.upstreams.max_connections {
             // Guards against endpoints that are held to have failed as all connections here are in use.
-            let idle = self.upstreams.pool.oldest().ok_or(Outcome::NotSent)?;
+            let idle = self.upstreams.pool.take_oldest().ok_or(Outcome::NotSent)?;
             self.close_upstream(net, idle);
         }
         let line = self.core.endpoints().get(endpoint);
@@ -128,7 +128,7 @@
         let Some(conn) = net.conn(id) else { return };
         let Some(connection) = self.upstreams.connections.get_mut(&id) else { return };
         if let ConnectionUse::Assigned(attempt) = connection.purpose {
-            if conn.come_up() {
+            if conn.poll_connected() {
                 self.write_attempt(net, id, attempt);
             } else if conn.broken {
                 self.on_upstream_broken(net, id, false);
@@ -152,7 +152,7 @@
         match message {
             Ok(Some(message)) if !matches!(purpose, ConnectionUse::Idle | ConnectionUse::CoolingDown) => {
                 if has_ended && !message.close {
-                    self.upstreams.pool.on_looked_at(connection.endpoint, 0.0, false);
+                    self.upstreams.pool.on_checked(connection.endpoint, 0.0, false);
                 }
                 let is_reusable = !(has_ended || has_stray_bytes || message.close) && is_written;
                 self.on_response(net, id, &message, is_reusable);
@@ -197,7 +197,7 @@
         let Some(connection) = self.upstreams.connections.get(&id) else { return };
         let UpstreamConnection { endpoint, purpose, was_pooled, .. } = *connection;
         let now_ms = self.core.clock().now();
-        self.upstreams.pool.on_ended(endpoint, id, now_ms);
+        self.upstreams.pool.on_closed_by_peer(endpoint, id, now_ms);
         self.close_upstream(net, id);
         match purpose {
             ConnectionUse::Assigned(attempt) => {
@@ -234,7 +234,7 @@
                 self.on_upstream_deadline(net, id, now_ms);
             }
         }
-        for id in self.upstreams.pool.expired(now_ms) {
+        for id in self.upstreams.pool.take_expired(now_ms) {
             self.close_upstream(net, id);
         }
     }
@@ -250,7 +250,7 @@
                 connection.rests_until_ms = 0.0;
                 connection.deadline_ms = f64::INFINITY;
                 let endpoint = connection.endpoint;
-                if net.conn(id).is_some_and(|conn| conn.is_fresh()) {
+                if net.conn(id).is_some_and(|conn| conn.is_reusable()) {
                     self.upstreams.pool.on_kept_alive(endpoint);
                 }
                 self.on_upstream_ready(net, id);
--- a/src/frontend/streaming/answers.rs
+++ b/src/frontend/streaming/answers.rs
@@ -3,10 +3,10 @@
 use super::StreamingFrontend;
 use super::exchange::{AnswerState, RequestPhase, Upstream};
 use super::transfer::{BodyRelay, Relayed};
-use crate::flow::{Direction, Moved, StreamId, Turn};
+use crate::flow::{Direction, StreamId, Turn, TurnResult};
 use crate::frontend::Sockets;
 use crate::net::body::{Decoder, Framing};
-use crate::net::head::{self, AnswerHead};
+use crate::net::head::{self, ResponseHead};
 use crate::net::{MAX_BUFFERED_BYTES, Pipe, http};
 use crate::routing::Outcome;
 
@@ -15,7 +15,7 @@
 
 impl StreamingFrontend {
     /// Handles the head of an answer: passes it on, or ends the attempt.
-    pub(super) fn begin_answer(&mut self, net: &mut Sockets, stream: StreamId, answer: &AnswerHead) {
+    pub(super) fn begin_answer(&mut self, net: &mut Sockets, stream: StreamId, answer: &ResponseHead) {
         let now = self.now();
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         let (Some(job), Some(Upstream { conn, .. })) = (exchange.job, exchange.upstream) else { return };
@@ -44,7 +44,7 @@
             return;
         }
         exchange.answer_deadline = f64::INFINITY;
-        let bytes = head::write_answer(answer, framing, stated_length, exchange.closes_client);
+        let bytes = head::write_response(answer, framing, stated_length, exchange.closes_client);
         let done = decoder.is_done();
         let closes_upstream = answer.close || !matches!(exchange.request, RequestPhase::Done);
         exchange.answer = Some(AnswerState {
@@ -73,7 +73,7 @@
         let (now, stream) = (self.now(), turn.stream);
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return 0 };
         let (Some(answer), Some(Upstream { conn, .. })) = (&mut exchange.answer, exchange.upstream) else {
-            self.flow.on_moved(turn, Moved::default(), now);
+            self.flow.on_turn_finished(turn, TurnResult::default(), now);
             return 0;
         };
         let Some([client, upstream]) = net.pair(exchange.client, conn) else { return 0 };
@@ -86,23 +86,22 @@
             pipe: &mut answer.pipe,
             pipes: &self.pipes,
         };
-        let relayed = relay.relay(upstream, client, turn.read, |_| ());
+        let relayed = relay.relay(upstream, client, turn.read_limit, |_| ());
         let Ok(Relayed { read, more, mut blocked, full }) = relayed else {
             self.end_attempt(net, stream, Outcome::Error);
             return 0;
         };
-        if upstream.eof && upstream.rx.is_empty() && !relay.decoder.is_done() && relay.decoder.on_peer_ended()
-        {
+        if upstream.eof && upstream.rx.is_empty() && !relay.decoder.is_done() && relay.decoder.on_eof() {
             // All that came before the end was the body.
             blocked = relay.relay_buffered(upstream, client, |_| ()).unwrap_or(false);
         }
         let done = answer.decoder.is_done();
-        let taken = (client.sent - sent) as usize;
+        let written = (client.sent - sent) as usize;
         let piped = answer.pipe.as_ref().map_or(0, Pipe::held);
         let held = client.tx.len() + piped + if done { 0 } else { upstream.rx.len() };
-        let (gone, ended) = (client.takes_nothing || client.broken, upstream.eof || upstream.broken);
-        self.counters.down += taken as u64;
-        self.flow.on_moved(turn, Moved { read, more, taken, held, blocked, full }, now);
+        let (gone, ended) = (client.write_failed || client.broken, upstream.eof || upstream.broken);
+        self.counters.down += written as u64;
+        self.flow.on_turn_finished(turn, TurnResult { read, more, written, held, blocked, full }, now);
         if gone {
             self.on_client_left(net, stream);
         } else if done {
@@ -117,7 +116,7 @@
             // Guards against an answer that looks complete and is not.
             self.end_attempt(net, stream, Outcome::Reset);
         }
-        read + taken
+        read + written
     }
 
     /// All of the answer is written.
@@ -138,7 +137,7 @@
         &mut self,
         net: &mut Sockets,
         stream: StreamId,
-        answer: &AnswerHead,
+        answer: &ResponseHead,
     ) -> bool {
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return false };
         exchange.interim_answers += 1;
@@ -148,7 +147,7 @@
         if exchange.head.is_http_1_0 {
             return true;
         }
-        net.write(exchange.client, &head::write_answer(answer, Framing::Empty, None, false))
+        net.write(exchange.client, &head::write_response(answer, Framing::Empty, None, false))
     }
 
     /// Whether an exchange is a HEAD's.
--- a/src/frontend/streaming/clients.rs
+++ b/src/frontend/streaming/clients.rs
@@ -3,7 +3,7 @@
 
 use super::StreamingFrontend;
 use super::exchange::{Exchange, RequestPhase};
-use crate::flow::{Direction, DispatchCondition, Hold, StreamId};
+use crate::flow::{Direction, DispatchCondition, HeldRequest, StreamId};
 use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Decoder};
 use crate::net::head::{self, RequestHead};
@@ -165,7 +165,8 @@
         // The endpoint is to say whether it wants the body: there is nothing to hold the request for.
         let asks = http::header_value(&head.headers, "expect").is_some();
         let when = if asks { DispatchCondition::Head } else { class_rules.dispatch };
-        let hold = Hold::new(when, class_rules.prefix_bytes, class_rules.allowance.pace.min_bytes_per_s, now);
+        let hold =
+            HeldRequest::new(when, class_rules.prefix_bytes, class_rules.allowance.pace.min_bytes_per_s, now);
         let (class_rules, close) = (class_rules.clone(), head.close);
         self.last_stream += 1;
         let stream = self.last_stream;
@@ -236,7 +237,7 @@
         conn.write_queued();
         if conn.is_written() && !conn.closing {
             conn.closing = true;
-            conn.end_writing();
+            conn.shut_down_write();
         }
         let mut drained = 0;
         loop {
--- a/src/frontend/streaming/counters.rs
+++ b/src/frontend/streaming/counters.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::flow::{Direction, GiveUp, PaceFailure, Side};
+use crate::flow::{Direction, FailedPeer, PaceFailure, Side};
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default)]
@@ -31,7 +31,7 @@
 
 impl Counters {
     /// Counts a peer that was given up.
-    pub fn count_given_up(&mut self, given: &GiveUp) {
+    pub fn count_given_up(&mut self, given: &FailedPeer) {
         let is_client = (given.direction == Direction::Up) == (given.side == Side::Source);
         let count = match (is_client, given.failure) {
             (true, PaceFailure::Slow) => &mut self.slow_clients,
--- a/src/frontend/streaming/endings.rs
+++ b/src/frontend/streaming/endings.rs
@@ -29,7 +29,7 @@
     pub(super) fn release_upstream(&mut self, net: &mut Sockets, stream: StreamId, keep: bool) -> LoadReport {
         let upstream = self.exchanges.get_mut(&stream).and_then(|e| e.upstream.take());
         let Some(Upstream { conn, endpoint }) = upstream else { return LoadReport::default() };
-        self.slots.give_back(endpoint);
+        self.slots.release(endpoint);
         self.free_upstream(net, conn, keep);
         self.slots.report(endpoint)
     }
@@ -81,7 +81,7 @@
         if answer.framing == Framing::UntilClose
             && let Some(conn) = net.conn(exchange.client)
         {
-            conn.break_off();
+            conn.reset_on_close();
         }
         self.cut_client(net, exchange.client);
     }
--- a/src/frontend/streaming/exchange.rs
+++ b/src/frontend/streaming/exchange.rs
@@ -6,7 +6,7 @@
 //! ```
 
 use super::config::StreamClass;
-use crate::flow::Hold;
+use crate::flow::HeldRequest;
 use crate::net::body::{Decoder, Framing, chunk_head, last_chunk};
 use crate::net::head::{self, RequestHead};
 use crate::net::{Conn, ConnId, Pipe};
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestPhase {
     /// Its prefix is held until it is dispatched.
-    Held(Hold),
+    Held(HeldRequest),
     /// The core is to send an attempt, or the body goes no further: nothing of it is read.
     Paused,
     /// It is relayed to an endpoint.
@@ -46,7 +46,7 @@
     pub fn of(client: &Conn, upstream: &Conn, unwritten: Option<usize>, blocked: bool) -> RequestProgress {
         if client.broken {
             RequestProgress::ClientGone
-        } else if upstream.takes_nothing {
+        } else if upstream.write_failed {
             RequestProgress::NotTaken
         } else if let Some(unwritten) = unwritten {
             RequestProgress::Ended { is_written: unwritten == 0 }
@@ -119,7 +119,7 @@
         tenant: String,
         head: RequestHead,
         decoder: Decoder,
-        hold: Hold,
+        hold: HeldRequest,
         closes_client: bool,
     ) -> Exchange {
         Exchange {
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -4,7 +4,7 @@
 use super::exchange::{RequestPhase, RequestProgress, Upstream};
 use super::transfer::{BodyRelay, Relayed, extend_prefix};
 use crate::core::{FinalAnswer, JobRequest};
-use crate::flow::{Direction, Moved, StreamId, Turn};
+use crate::flow::{Direction, StreamId, Turn, TurnResult};
 use crate::frontend::Sockets;
 use crate::net::body::{BodyError, Framing};
 use crate::net::{Pipe, Pipes};
@@ -58,16 +58,16 @@
             (RequestPhase::Held(_), _) => return self.hold_request(net, turn),
             (RequestPhase::Relaying, Some(_)) => {}
             _ => {
-                self.flow.on_moved(turn, Moved::default(), now);
+                self.flow.on_turn_finished(turn, TurnResult::default(), now);
                 return 0;
             }
         }
         let Some(Upstream { conn, .. }) = exchange.upstream else { return 0 };
         let Some([client, upstream]) = net.pair(exchange.client, conn) else { return 0 };
-        if !upstream.come_up() {
+        if !upstream.poll_connected() {
             let held = client.rx.len() + upstream.tx.len();
-            let moved = Moved { more: true, held, blocked: true, full: true, ..Moved::default() };
-            self.flow.on_moved(turn, moved, now);
+            let moved = TurnResult { more: true, held, blocked: true, full: true, ..TurnResult::default() };
+            self.flow.on_turn_finished(turn, moved, now);
             return 0;
         }
         let sent = upstream.sent;
@@ -81,7 +81,7 @@
             pipes: if prefix.is_some() { &Pipes::new(0) } else { &self.pipes },
         };
         let relayed =
-            relay.relay(client, upstream, turn.read, |payload| extend_prefix(prefix, payload, limit));
+            relay.relay(client, upstream, turn.read_limit, |payload| extend_prefix(prefix, payload, limit));
         let Relayed { read, more, blocked, full } = match relayed {
             Ok(relayed) => relayed,
             Err(error) => {
@@ -91,14 +91,14 @@
             }
         };
         let done = exchange.decoder.is_done();
-        let taken = (upstream.sent - sent) as usize;
+        let written = (upstream.sent - sent) as usize;
         let piped = exchange.pipe.as_ref().map_or(0, Pipe::held);
         let held = upstream.tx.len() + piped + if done { 0 } else { client.rx.len() };
         let progress = RequestProgress::of(client, upstream, done.then_some(held), blocked);
-        self.counters.up += taken as u64;
-        self.flow.on_moved(turn, Moved { read, more, taken, held, blocked, full }, now);
+        self.counters.up += written as u64;
+        self.flow.on_turn_finished(turn, TurnResult { read, more, written, held, blocked, full }, now);
         self.on_request_progress(net, stream, progress, now);
-        read + taken
+        read + written
     }
 
     /// Does what follows from how far a request's body has got.
@@ -152,7 +152,7 @@
         let Some(conn) = net.conn(exchange.client) else { return 0 };
         let prefix = exchange.prefix.get_or_insert_default();
         let before = conn.rx.len();
-        let more = turn.read == 0 || conn.read_some(turn.read);
+        let more = turn.read_limit == 0 || conn.read_some(turn.read_limit);
         let read = conn.rx.len() - before;
         let error = loop {
             let step = match exchange.decoder.step(conn.rx.bytes()) {
@@ -173,7 +173,7 @@
         let done = exchange.decoder.is_done();
         let held = prefix.len() + if done { 0 } else { conn.rx.len() };
         let (broken, ended) = (conn.broken, conn.eof);
-        self.flow.on_moved(turn, Moved { read, more, held, ..Moved::default() }, now);
+        self.flow.on_turn_finished(turn, TurnResult { read, more, held, ..TurnResult::default() }, now);
         if let Some(error) = error {
             let (status, _) = status_of(error);
             self.reject(net, stream, status, 0.0);
--- a/src/frontend/streaming/transfer.rs
+++ b/src/frontend/streaming/transfer.rs
@@ -76,7 +76,7 @@
         let more = !reads || source.read_some(most);
         let read = source.rx.len() - before;
         let blocked = self.relay_buffered(source, sink, keep)?;
-        Ok(Relayed { read, more, blocked, full: source.rx.room() == 0 })
+        Ok(Relayed { read, more, blocked, full: source.rx.free_space() == 0 })
     }
 
     /// Relays what is in the source's buffer. True where the sink takes no more for now. `keep` is shown the payload.
@@ -129,10 +129,10 @@
         if !self.is_chunked {
             return if sink.tx.is_empty() { sink.write_some(payload) } else { 0 };
         }
-        let taken = payload.len().min(sink.tx.room().saturating_sub(CHUNK_OVERHEAD_BYTES));
+        let taken = payload.len().min(sink.tx.free_space().saturating_sub(CHUNK_OVERHEAD_BYTES));
         if taken > 0 {
             let is_queued = sink.tx.push(&chunk_head(taken)) && sink.tx.push(&payload[..taken]);
-            debug_assert!(is_queued && sink.tx.room() >= 2, "the room was reckoned");
+            debug_assert!(is_queued && sink.tx.free_space() >= 2, "the room was reckoned");
             sink.tx.push(b"\r\n");
             sink.write_queued();
         }
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -31,11 +31,11 @@
         let Some(opening) = opening else {
             return self.end_unsent_attempt(job, attempt, Outcome::Unfit, endpoint);
         };
-        if !self.slots.take(endpoint) {
+        if !self.slots.acquire(endpoint) {
             return self.end_unsent_attempt(job, attempt, Outcome::Full, endpoint);
         }
         let Some(conn) = self.acquire(net, endpoint, stream) else {
-            self.slots.give_back(endpoint);
+            self.slots.release(endpoint);
             return self.end_unsent_attempt(job, attempt, Outcome::Unreachable, endpoint);
         };
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
@@ -65,7 +65,7 @@
         let now = self.now();
         while let Some(id) = self.pool.take(endpoint, now, false).map(|pooled| pooled.conn) {
             // Guards against a connection that the peer has closed: a request written there would be lost.
-            if let Some(conn) = net.conn(id).filter(|conn| conn.is_fresh()) {
+            if let Some(conn) = net.conn(id).filter(|conn| conn.is_reusable()) {
                 let sent_before = conn.sent;
                 let upstream = UpstreamConnection {
                     endpoint,
@@ -80,7 +80,7 @@
         }
         // Idle connections to others make room: there is one for each stream that there may be.
         while self.upstreams.len() >= self.config.bounds.total
-            && let Some(idle) = self.pool.oldest()
+            && let Some(idle) = self.pool.take_oldest()
         {
             self.close_upstream(net, idle);
         }
@@ -110,7 +110,7 @@
         let now = self.now();
         let (Some(upstream), Some(conn)) = (self.upstreams.get_mut(&id), net.conn(id)) else { return };
         let is_usable =
-            conn.rx.is_empty() && conn.tx.is_empty() && !(conn.eof || conn.broken || conn.takes_nothing);
+            conn.rx.is_empty() && conn.tx.is_empty() && !(conn.eof || conn.broken || conn.write_failed);
         if !(keep && is_usable) {
             return self.close_upstream(net, id);
         }
@@ -139,12 +139,12 @@
         let (stream, Some(conn)) = (upstream.stream, net.conn(id)) else { return };
         let Some(stream) = stream else {
             // An idle one that sends bytes, or ends. An event for bytes that were read meanwhile is neither.
-            if !conn.is_fresh() {
+            if !conn.is_reusable() {
                 self.close_upstream(net, id);
             }
             return;
         };
-        if conn.connecting && !conn.come_up() {
+        if conn.connecting && !conn.poll_connected() {
             if conn.broken {
                 self.on_upstream_broken(net, stream);
             }
@@ -169,7 +169,7 @@
             let Some(conn) = net.conn(conn) else { return };
             let more = conn.read_some((MAX_HEAD_BYTES + 1).saturating_sub(conn.rx.len()));
             let ended = conn.eof || conn.broken;
-            match head::read_answer(&mut conn.rx, to_head) {
+            match head::read_response(&mut conn.rx, to_head) {
                 Ok(Some(answer)) if answer.status >= 200 => return self.begin_answer(net, stream, &answer),
                 Ok(Some(answer)) => {
                     if !self.forward_interim(net, stream, &answer) {
@@ -207,7 +207,7 @@
                 None => self.close_upstream(net, id),
             }
         }
-        for id in self.pool.expired(now) {
+        for id in self.pool.take_expired(now) {
             self.close_upstream(net, id);
         }
     }
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -1,23 +1,26 @@
-//! Bodies of HTTP/1.1 messages, read and written piece by piece as they come (RFC 9112, sections 6 and 7).
+//! Incremental decoder and encoder for the bodies of HTTP/1.1 messages (RFC 9112, sections 6 and 7).
 //!
-//! Owns the position in a body, and nothing else: no buffer, no socket, no time. The caller hands in the bytes that it has,
-//! and gets how many of them are framing, to be dropped, and how many are payload, to be passed on.
+//! Sans-I/O: it owns the position in a body, but no buffer, socket or clock. The caller passes in the bytes
+//! it has and learns how many of them are framing, to be dropped, and how many are payload, to be forwarded.
 
 use std::io::Write;
 
 use thiserror::Error;
 
-/// Longest line of a chunk: its size and its extensions, in bytes. Extensions are dropped; longer ones are an attack.
+/// Longest chunk header line (size and extensions), in bytes. Extensions are dropped; longer ones are treated
+/// as an attack.
 pub const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// Bytes of chunk extensions that any body may have. Guards against a body that is all extensions.
+/// Bytes of chunk extensions that any body may have. Rejects bodies that consist almost only of extensions.
 pub const MAX_EXTENSION_BYTES: usize = 16 * 1024;
-/// Bytes of payload that allow for one more byte of extensions, for long bodies whose chunks each have a short one.
+/// Payload bytes that allow one more byte of extensions, for long bodies with a short extension in each
+/// chunk.
 const PAYLOAD_BYTES_PER_EXTENSION_BYTE: u64 = 16;
 /// Longest trailer section, in bytes.
 pub const MAX_TRAILER_BYTES: usize = 8 * 1024;
-/// Most trailers in one section.
+/// Maximum number of trailer fields in a section.
 const MAX_TRAILERS: usize = 32;
-/// Trailers that would change how a message is read, where it goes or who sent it: never passed on (RFC 9110, 6.5.1).
+/// Trailer fields that would change the framing, routing or authentication of a message. They are never
+/// forwarded (RFC 9110, 6.5.1).
 const FORBIDDEN_TRAILERS: [&str; 10] = [
     "transfer-encoding",
     "content-length",
@@ -36,91 +39,92 @@
 pub enum Framing {
     /// There is no body.
     Empty,
-    /// A body of so many bytes.
+    /// A body of the given number of bytes.
     Length(u64),
-    /// Chunks, the last of them empty, and trailers.
+    /// Chunks, the last of them empty, and a trailer section.
     Chunked,
-    /// All bytes until the peer ends its side; answers only.
+    /// All bytes until the peer ends its side of the connection; responses only.
     UntilClose,
 }
 
-/// What is wrong with a body.
+/// Why a body is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// A chunk's size is no hexadecimal number, or too large for one.
-    #[error("a chunk's size does not read")]
+    /// A chunk header line has no hexadecimal size of at most 15 digits, or invalid characters behind it.
+    #[error("chunk header does not start with a valid hexadecimal size")]
     ChunkSize,
-    /// A chunk's line is longer than `MAX_CHUNK_LINE_BYTES`, or all extensions longer than `MAX_EXTENSION_BYTES`.
-    #[error("a chunk's extensions are too long")]
+    /// A chunk header line exceeds `MAX_CHUNK_LINE_BYTES`, or all extensions together exceed the limit.
+    #[error("chunk extensions exceed the size limit")]
     Extension,
-    /// A chunk does not end where its size says.
-    #[error("a chunk does not end where its size says")]
+    /// The data of a chunk is not followed by CR LF.
+    #[error("chunk data is not followed by CR LF")]
     ChunkEnd,
-    /// The trailers do not read, or are longer than `MAX_TRAILER_BYTES`.
-    #[error("the trailers do not read")]
+    /// The trailer section is malformed, or exceeds `MAX_TRAILER_BYTES` or `MAX_TRAILERS`.
+    #[error("trailer section is malformed or too long")]
     Trailers,
-    /// It is longer than allowed.
-    #[error("the body is longer than allowed")]
+    /// The body exceeds the maximum that the caller allows.
+    #[error("body exceeds the size limit")]
     TooLong,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// So many bytes are left of a body with a length.
+    /// This many bytes are left of a body with a length.
     Length(u64),
-    /// At the start of a chunk's line.
-    Line,
-    /// So many bytes are left of a chunk.
+    /// At the start of a chunk header line.
+    ChunkLine,
+    /// This many bytes are left of a chunk.
     Chunk(u64),
-    /// At the line end behind a chunk.
+    /// At the CR LF after the data of a chunk.
     ChunkEnd,
-    /// Behind the last chunk.
+    /// After the last chunk.
     Trailers,
     UntilClose,
     Done,
 }
 
-/// What is to be done with the bytes at hand: first drop `skip`, then pass on up to `payload` and call `consume_payload`.
+/// What to do with the available bytes: drop `skip` bytes, then forward up to `payload` bytes and call
+/// `consume_payload` with the number forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Step {
     /// Bytes of framing.
     pub skip: usize,
-    /// Bytes of payload behind them.
+    /// Bytes of payload that follow the framing.
     pub payload: usize,
 }
 
-/// The position in a body that is being read.
+/// Decodes one body; holds the position in it.
 #[derive(Clone, Debug)]
 pub struct Decoder {
     state: State,
     max_bytes: u64,
     payload_bytes: u64,
-    extensions: usize,
+    extension_bytes: usize,
     trailers: Vec<u8>,
 }
 
 impl Decoder {
-    /// At the start of a body of `max_bytes` bytes at most; a longer stated length is rejected at once.
+    /// Creates a decoder at the start of a body of up to `max_bytes` bytes.
     ///
     /// # Errors
-    /// Where the stated length is above `max_bytes`.
+    /// Returns an error if the declared length exceeds `max_bytes`.
     pub fn new(framing: Framing, max_bytes: u64) -> Result<Decoder, BodyError> {
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::Done,
             Framing::Length(length) if length > max_bytes => return Err(BodyError::TooLong),
             Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::Line,
+            Framing::Chunked => State::ChunkLine,
             Framing::UntilClose => State::UntilClose,
         };
-        Ok(Decoder { state, max_bytes, payload_bytes: 0, extensions: 0, trailers: Vec::new() })
+        Ok(Decoder { state, max_bytes, payload_bytes: 0, extension_bytes: 0, trailers: Vec::new() })
     }
 
-    /// Whether all of it has been read.
+    /// Whether the whole body has been read.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Bytes of payload that are left of a body with a length, which has no framing between them.
+    /// Returns the payload bytes left of a body with a length, which has no framing between them.
     pub fn remaining(&self) -> Option<u64> {
         match self.state {
             State::Length(left) => Some(left),
@@ -128,40 +132,42 @@
         }
     }
 
-    /// Bytes of payload consumed so far.
+    /// Returns the payload bytes consumed so far.
     pub fn payload_bytes(&self) -> u64 {
         self.payload_bytes
     }
 
-    /// The trailers that came behind a chunked body and may be passed on, each with its line end.
+    /// Returns the trailer fields of a chunked body that may be forwarded, each with its CR LF.
     pub fn trailers(&self) -> &[u8] {
         &self.trailers
     }
 
-    /// Looks at the bytes at hand, which start where the last call and `consume_payload` left off. Moves past framing; payload
-    /// is only counted off by `consume_payload`. A step of nothing asks for more bytes, unless the body `is_done`.
+    /// Examines the available bytes, which must start where the last call and `consume_payload` left off.
+    /// Advances past framing, but not past payload: `consume_payload` does that. An empty step means that
+    /// more bytes are needed, unless the body `is_done`.
     ///
     /// # Errors
-    /// Where the bytes are not a body of this framing, or a bound on lines, trailers or payload is exceeded.
+    /// Returns an error if the bytes are not valid for the body's framing, or exceed a limit on lines,
+    /// trailers or payload.
     pub fn step(&mut self, bytes: &[u8]) -> Result<Step, BodyError> {
         let mut skip = 0;
         loop {
             let rest = &bytes[skip..];
             match self.state {
                 State::Done => return Ok(Step { skip, payload: 0 }),
-                State::UntilClose => return self.payload(skip, rest.len() as u64, rest.len()),
+                State::UntilClose => return self.payload_step(skip, rest.len() as u64, rest.len()),
                 State::Length(left) | State::Chunk(left) => {
-                    return self.payload(skip, left, rest.len());
+                    return self.payload_step(skip, left, rest.len());
                 }
                 State::ChunkEnd => match rest {
                     [] | [b'\r'] => return Ok(Step { skip, payload: 0 }),
                     [b'\r', b'\n', ..] => {
                         skip += 2;
-                        self.state = State::Line;
+                        self.state = State::ChunkLine;
                     }
                     _ => return Err(BodyError::ChunkEnd),
                 },
-                State::Line => {
+                State::ChunkLine => {
                     let Some(length) = self.step_chunk_line(rest)? else {
                         return Ok(Step { skip, payload: 0 });
                     };
@@ -171,7 +177,7 @@
                     let Some(length) = trailer_section(rest)? else {
                         return Ok(Step { skip, payload: 0 });
                     };
-                    self.trailers = trailers(&rest[..length])?;
+                    self.trailers = forwardable_trailers(&rest[..length])?;
                     skip += length;
                     self.state = State::Done;
                 }
@@ -179,18 +185,19 @@
         }
     }
 
-    /// Moves past a chunk's line. Returns its length with its line end; none where its end has not come.
+    /// Advances past a chunk header line. Returns its length including the CR LF, or `None` if the line is
+    /// incomplete.
     fn step_chunk_line(&mut self, rest: &[u8]) -> Result<Option<usize>, BodyError> {
         let Some(end) = line_end(rest, MAX_CHUNK_LINE_BYTES, BodyError::Extension)? else {
-            // What has come of the line must be able to become a size.
+            // Reject an incomplete line that cannot become a valid chunk header.
             chunk_size(rest, false)?;
             return Ok(None);
         };
         let line = &rest[..end];
         let size = chunk_size(line, true)?;
-        self.extensions += if line.contains(&b';') { line.len() } else { 0 };
+        self.extension_bytes += if line.contains(&b';') { line.len() } else { 0 };
         let allowed = MAX_EXTENSION_BYTES as u64 + self.payload_bytes / PAYLOAD_BYTES_PER_EXTENSION_BYTE;
-        if self.extensions as u64 > allowed {
+        if self.extension_bytes as u64 > allowed {
             return Err(BodyError::Extension);
         }
         self.state = match size {
@@ -201,15 +208,15 @@
         Ok(Some(end + 2))
     }
 
-    fn payload(&self, skip: usize, left: u64, at_hand: usize) -> Result<Step, BodyError> {
+    fn payload_step(&self, skip: usize, left: u64, available: usize) -> Result<Step, BodyError> {
         if self.state == State::UntilClose && left > self.max_bytes.saturating_sub(self.payload_bytes) {
             return Err(BodyError::TooLong);
         }
-        let payload = usize::try_from(left).unwrap_or(usize::MAX).min(at_hand);
+        let payload = usize::try_from(left).unwrap_or(usize::MAX).min(available);
         Ok(Step { skip, payload })
     }
 
-    /// Moves past `count` bytes of payload, as many as the last step gave at most.
+    /// Advances past `count` bytes of payload, at most as many as the last step returned.
     pub fn consume_payload(&mut self, count: usize) {
         self.payload_bytes += count as u64;
         let count = count as u64;
@@ -222,8 +229,9 @@
         };
     }
 
-    /// The peer has ended its side, and all bytes were stepped over. False where the body is cut short by that.
-    pub fn on_peer_ended(&mut self) -> bool {
+    /// Handles the end of the peer's side, after all bytes were stepped over. Returns whether the body is
+    /// complete; false means that it was truncated.
+    pub fn on_eof(&mut self) -> bool {
         if self.state == State::UntilClose {
             self.state = State::Done;
         }
@@ -231,8 +239,8 @@
     }
 }
 
-/// Where a line ends, without its CR LF; none where its end has not come. A line feed alone ends nothing: two readers
-/// that disagree on that see different messages.
+/// Returns the length of the first line without its CR LF, or `None` if the line is incomplete. A bare line
+/// feed is an error: parsers disagree on whether it ends a line, and would see different messages.
 fn line_end(bytes: &[u8], max_bytes: usize, too_long: BodyError) -> Result<Option<usize>, BodyError> {
     match bytes.iter().position(|&b| b == b'\n') {
         Some(at) if at > max_bytes => Err(too_long),
@@ -243,28 +251,30 @@
     }
 }
 
-/// The size at the start of a chunk's line, of 15 digits at the most.
+/// Parses the size at the start of a chunk header line, at most 15 digits.
 fn chunk_size(line: &[u8], is_complete: bool) -> Result<u64, BodyError> {
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
     let rest = &line[digits..];
-    let blank = rest.iter().take_while(|b| matches!(b, b' ' | b'\t')).count();
-    // A CR whose LF has not come, or control characters in an extension.
-    let behind = match rest.get(blank) {
-        None => blank == 0 || !is_complete,
+    let blanks = rest.iter().take_while(|b| matches!(b, b' ' | b'\t')).count();
+    // An incomplete line may end with a CR whose LF has not arrived yet. Control characters in an extension
+    // are invalid.
+    let is_rest_valid = match rest.get(blanks) {
+        None => blanks == 0 || !is_complete,
         Some(b';') => {
-            rest[blank..].iter().all(|&b| b == b'\t' || b >= b' ' && b != 0x7f || !is_complete && b == b'\r')
+            rest[blanks..].iter().all(|&b| b == b'\t' || b >= b' ' && b != 0x7f || !is_complete && b == b'\r')
         }
-        Some(b'\r') => !is_complete && rest.len() == blank + 1 && blank == 0,
+        Some(b'\r') => !is_complete && rest.len() == blanks + 1 && blanks == 0,
         Some(_) => false,
     };
-    if digits > 15 || !behind || digits == 0 && (is_complete || !line.is_empty()) {
+    if digits > 15 || !is_rest_valid || digits == 0 && (is_complete || !line.is_empty()) {
         return Err(BodyError::ChunkSize);
     }
     let text = std::str::from_utf8(&line[..digits]).map_err(|_| BodyError::ChunkSize)?;
     if text.is_empty() { Ok(0) } else { u64::from_str_radix(text, 16).map_err(|_| BodyError::ChunkSize) }
 }
 
-/// The length of a trailer section with the empty line that ends it; none where that line has not come.
+/// Returns the length of a trailer section including the empty line that ends it, or `None` if it is
+/// incomplete.
 fn trailer_section(bytes: &[u8]) -> Result<Option<usize>, BodyError> {
     let mut at = 0;
     loop {
@@ -285,8 +295,8 @@
     Ok(Some(at))
 }
 
-/// The trailers of a section that may be passed on.
-fn trailers(section: &[u8]) -> Result<Vec<u8>, BodyError> {
+/// Returns the trailer fields of a section that may be forwarded.
+fn forwardable_trailers(section: &[u8]) -> Result<Vec<u8>, BodyError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_TRAILERS];
     let Ok(httparse::Status::Complete((_, lines))) = httparse::parse_headers(section, &mut lines) else {
         return Err(BodyError::Trailers);
@@ -303,7 +313,7 @@
     Ok(out)
 }
 
-/// What goes before `payload` bytes of a chunk, and behind them.
+/// Returns the chunk header line for `payload` bytes. The caller writes CR LF after the payload.
 pub fn chunk_head(payload: usize) -> Vec<u8> {
     let mut out = Vec::with_capacity(18);
     // Writing to a vector cannot fail.
@@ -311,7 +321,7 @@
     out
 }
 
-/// The end of a chunked body.
+/// Returns the last chunk and the trailer section that end a chunked body.
 pub fn last_chunk(trailers: &[u8]) -> Vec<u8> {
     [b"0\r\n", trailers, b"\r\n"].concat()
 }
--- a/src/net/body/tests.rs
+++ b/src/net/body/tests.rs
@@ -4,14 +4,15 @@
 
 use super::*;
 
-/// Reads a body of which more comes in pieces of these sizes: its payload and what is left behind it.
+/// Decodes a body that arrives in pieces of the given sizes. Returns its payload, the bytes after it, and
+/// whether it is complete.
 fn read(framing: Framing, wire: &[u8], pieces: &[usize]) -> Result<(Vec<u8>, Vec<u8>, bool), BodyError> {
     let (mut decoder, mut out, mut held) = (Decoder::new(framing, 1 << 20)?, Vec::new(), Vec::new());
     let (mut at, mut sizes) = (0, pieces.iter().cycle());
     loop {
         let step = decoder.step(&held)?;
         held.drain(..step.skip);
-        // Taken one byte short, so that a piece is stepped over twice.
+        // Consume one byte less than offered, so that a piece of payload takes two steps.
         let some = if step.payload > 1 { step.payload - 1 } else { step.payload };
         out.extend(held.drain(..some));
         decoder.consume_payload(some);
@@ -29,9 +30,9 @@
 }
 
 #[test]
-fn a_chunk_split_at_every_byte_reads_alike() {
+fn a_chunked_body_decodes_alike_however_it_is_split() {
     let wire = b"5;name=\"v\"\r\nlakes\r\n00a \r\n0123456789\r\n0;x\r\nEtag: 7\r\nHost: evil\r\n\r\nNEXT";
-    // A blank behind a size is refused, with an extension or without.
+    // Whitespace between a chunk size and CR LF is rejected.
     assert_eq!(read(Framing::Chunked, wire, &[9]), Err(BodyError::ChunkSize));
     let wire = b"5;name=\"v\"\r\nlakes\r\n00a\r\n0123456789\r\n0;x\r\nEtag: 7\r\nHost: evil\r\n\r\nNEXT";
     for piece in 1..=wire.len() {
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn what_two_readers_could_read_differently_is_refused() {
+fn ambiguous_chunked_bodies_are_rejected() {
     for (wire, error) in [
         (&b"x\r\n"[..], BodyError::ChunkSize),
         (b"-1\r\n", BodyError::ChunkSize),
@@ -70,12 +71,12 @@
 }
 
 #[test]
-fn endless_extensions_and_trailers_are_refused() {
+fn oversized_extensions_and_trailers_are_rejected() {
     let long = [b"5;".as_slice(), &[b'a'; MAX_CHUNK_LINE_BYTES]].concat();
     assert_eq!(read(Framing::Chunked, &long, &[1]), Err(BodyError::Extension));
     let many = b"1;aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\nx\r\n".repeat(400);
     assert_eq!(read(Framing::Chunked, &many, &[7]), Err(BodyError::Extension));
-    // A long body whose chunks each have one is no attack.
+    // A long body with a short extension in each chunk is valid.
     let chunk = [b"400;at=000000000000\r\n".as_slice(), &[b'x'; 1024], b"\r\n"].concat();
     let long = [chunk.repeat(2000), b"0\r\n\r\n".to_vec()].concat();
     let mut decoder = Decoder::new(Framing::Chunked, u64::MAX).unwrap();
@@ -92,22 +93,22 @@
 }
 
 #[test]
-fn a_body_cut_short_is_told_from_one_that_ends_with_its_connection() {
+fn a_truncated_body_is_distinguished_from_one_delimited_by_close() {
     for (framing, whole) in
         [(Framing::Length(9), false), (Framing::Chunked, false), (Framing::UntilClose, true)]
     {
         let mut decoder = Decoder::new(framing, 100).unwrap();
         let step = decoder.step(b"5\r\nlake").unwrap();
         decoder.consume_payload(step.payload);
-        assert_eq!(decoder.on_peer_ended(), whole, "{framing:?}");
+        assert_eq!(decoder.on_eof(), whole, "{framing:?}");
     }
     assert_eq!(read(Framing::Length(5), b"lakesGET", &[3]).unwrap().1, b"GET");
 }
 
 proptest! {
-    /// Whatever comes, in whatever pieces: no panic, and the same reading however it is cut.
+    /// Arbitrary bytes never cause a panic, and decode to the same result however they are split.
     #[test]
-    fn any_bytes_read_alike_in_any_pieces(
+    fn arbitrary_bytes_decode_alike_however_they_are_split(
         wire in proptest::collection::vec(prop_oneof![Just(b'\r'), Just(b'\n'), Just(b'0'), Just(b'3'), Just(b';'), any::<u8>()], 0..80),
         pieces in proptest::collection::vec(1usize..9, 1..9),
     ) {
@@ -119,9 +120,9 @@
         }
     }
 
-    /// What is written reads back.
+    /// Encoded chunks decode to the original payload.
     #[test]
-    fn chunks_read_back(chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..300), 0..9), piece in 1usize..50) {
+    fn encoded_chunks_decode_to_the_original_payload(chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..300), 0..9), piece in 1usize..50) {
         let mut wire = Vec::new();
         for chunk in &chunks {
             wire.extend(chunk_head(chunk.len()));
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -1,42 +1,48 @@
-//! The budget: how many connections of each sort the limit on open files allows, and how many bytes of clients the limit on
-//! memory.
+//! Budget of connections and memory: how many connections of each kind the limit on descriptors allows, and
+//! how many bytes may be held for clients under the memory limit.
 
-/// Descriptors for the loop, signals, standard streams, listeners, discovery and what is being accepted.
+/// Descriptors reserved for the event loop, signals, standard streams, listeners, discovery and connections
+/// being accepted.
 const RESERVED_DESCRIPTORS: usize = 48;
-/// Most descriptors that the budget shares out: memory is planned for no more.
+/// Most descriptors that the budget distributes; memory is not planned for more.
 const MAX_DESCRIPTORS: usize = 4096;
 
-/// Connections of clients that have no job even when jobs are at their bound.
-const MAX_SPARE_CONNECTIONS: usize = 64;
+/// Client connections that remain available without a job when the limit on jobs is reached.
+const MAX_CONNECTIONS_WITHOUT_JOB: usize = 64;
 
-/// Connections of each sort that may be open.
+/// Limits on open connections, jobs and buffered bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Of clients and call-backs.
+    /// Accepted connections: from clients, and from endpoints that send call-backs.
     pub clients: usize,
-    /// To endpoints.
+    /// Connections to endpoints.
     pub upstreams: usize,
-    /// Jobs at most: fewer than clients, so that there is always a connection without one that can make room for the next.
+    /// Jobs. Fewer than `clients`, so that there is always a connection without a job that can be closed for
+    /// the next one.
     pub jobs: usize,
-    /// Bytes held for clients: what they have sent of requests, and the bodies of jobs.
+    /// Bytes held for clients: received parts of requests, and the bodies of jobs.
     pub bytes: usize,
 }
 
 impl Budget {
-    /// Shares out a limit on descriptors: a quarter goes to endpoints, since those hold a connection only until they have
-    /// taken a job, clients until it is done. None where `sockets` descriptors are too few to serve.
+    /// Distributes `max_descriptors` descriptors. A quarter goes to endpoints: a connection to an endpoint is
+    /// in use only until it has accepted the job, a client's until the job is done. Returns `None` if there
+    /// are too few descriptors to serve.
     ///
-    /// A quarter of the memory is for what clients send. Buffers double as they grow, bodies are copied once when
-    /// they are passed on, and the rest is for answers, for the program itself and for the server table.
-    pub fn from_limits(sockets: usize, memory_mb: f64) -> Option<Budget> {
-        let left =
-            sockets.min(MAX_DESCRIPTORS).checked_sub(RESERVED_DESCRIPTORS).filter(|&left| left >= 16)?;
-        let clients = left - left / 4;
+    /// A quarter of the memory is for what clients send, because buffers double as they grow and bodies are
+    /// copied once when they are forwarded. The rest is for responses, the program itself and the endpoint
+    /// table.
+    pub fn from_limits(max_descriptors: usize, memory_mb: f64) -> Option<Budget> {
+        let available = max_descriptors
+            .min(MAX_DESCRIPTORS)
+            .checked_sub(RESERVED_DESCRIPTORS)
+            .filter(|&available| available >= 16)?;
+        let clients = available - available / 4;
         let bytes = (memory_mb.max(1.0) * f64::from(1 << 20) / 4.0) as usize;
         Some(Budget {
             clients,
-            upstreams: left / 4,
-            jobs: clients - (clients / 2).min(MAX_SPARE_CONNECTIONS),
+            upstreams: available / 4,
+            jobs: clients - (clients / 2).min(MAX_CONNECTIONS_WITHOUT_JOB),
             bytes,
         })
     }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -1,4 +1,4 @@
-//! A connection: a non-blocking socket and a ring buffer for each direction.
+//! A connection: a non-blocking socket with a ring buffer for each direction.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -11,67 +11,67 @@
 
 use super::ring::Ring;
 
-/// Most bytes of a connection that are buffered in a direction: a body of 64 KiB with its head.
+/// Most bytes buffered in each direction of a connection: a body of 64 KiB with its head.
 pub const MAX_BUFFERED_BYTES: usize = 96 * 1024;
 
-/// One connection.
+/// A connection.
 pub struct Conn {
     pub(super) stream: Rc<TcpStream>,
     pub(super) token: Option<RegistrationToken>,
     pub(super) tls: Option<Box<ServerConnection>>,
-    /// Bytes that were read and not handled yet.
+    /// Bytes read from the socket and not handled yet.
     pub rx: Ring,
-    /// Bytes to be written.
+    /// Bytes to be written to the socket.
     pub tx: Ring,
-    /// It has not come up yet.
+    /// Whether the connection is not established yet.
     pub connecting: bool,
-    /// The peer has ended its side.
+    /// Whether the peer has ended its side.
     pub eof: bool,
-    /// It is broken.
+    /// Whether the connection has failed: an error of the socket or of TLS was seen.
     pub broken: bool,
-    /// It never came up: nobody listens there.
+    /// Whether the connection was refused because nobody listens at the address.
     pub refused: bool,
-    /// The peer takes nothing any more; what it has sent can still be read.
-    pub takes_nothing: bool,
-    /// It is closed by a reset, so that the peer does not take it for an end.
-    aborts: bool,
-    /// It is to be closed once all is written.
+    /// Whether writing to the socket has failed; bytes that the peer has sent can still be read.
+    pub write_failed: bool,
+    /// Whether closing sends a reset, so that the peer does not take it for an orderly end.
+    resets_on_close: bool,
+    /// Whether the connection is being closed: it ends once all queued bytes are written.
     pub closing: bool,
-    /// The peer has asked that the next answer be the last.
-    pub closes_after_answer: bool,
-    /// Bytes that the socket has taken since it was opened, of TLS those of its records.
+    /// Whether the peer asked for the connection to be closed after the next response.
+    pub closes_after_response: bool,
+    /// Bytes that the socket has accepted since it was opened; with TLS, bytes of TLS records.
     pub sent: u64,
 }
 
 impl Conn {
-    /// A connection that was accepted.
+    /// Creates a connection from an accepted socket.
     ///
     /// # Errors
-    /// Where the socket's options cannot be set.
+    /// Returns an error if the options of the socket cannot be set.
     pub fn accepted(stream: TcpStream) -> io::Result<Conn> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        Ok(Conn::over(stream, false))
+        Ok(Conn::new(stream, false))
     }
 
-    /// Starts to open a connection. An error at once proves that nothing was sent.
+    /// Starts to open a connection.
     ///
     /// # Errors
-    /// Where the connection fails at once: nothing was sent.
+    /// Returns an error if the connection fails at once. This proves that nothing was sent.
     pub fn open(address: SocketAddr) -> io::Result<Conn> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         match socket.connect(&address.into()) {
             Ok(()) => {}
-            // EINPROGRESS has no portable kind; a connect that truly failed shows in `come_up`.
+            // EINPROGRESS has no portable kind; `poll_connected` finds out whether the connect failed.
             Err(e) if e.kind() == ErrorKind::WouldBlock || e.raw_os_error() == Some(115) => {}
             Err(e) => return Err(e),
         }
-        Ok(Conn::over(socket.into(), true))
+        Ok(Conn::new(socket.into(), true))
     }
 
-    fn over(stream: TcpStream, connecting: bool) -> Conn {
+    fn new(stream: TcpStream, connecting: bool) -> Conn {
         Conn {
             stream: Rc::new(stream),
             token: None,
@@ -82,16 +82,16 @@
             eof: false,
             broken: false,
             refused: false,
-            takes_nothing: false,
-            aborts: false,
+            write_failed: false,
+            resets_on_close: false,
             closing: false,
-            closes_after_answer: false,
+            closes_after_response: false,
             sent: 0,
         }
     }
 
-    /// Checks whether it has come up. True once it can be read and written.
-    pub fn come_up(&mut self) -> bool {
+    /// Checks whether the connection is established. Returns whether it can be read and written.
+    pub fn poll_connected(&mut self) -> bool {
         if self.connecting {
             match self.stream.take_error() {
                 Ok(None) if self.stream.peer_addr().is_ok() => self.connecting = false,
@@ -106,17 +106,18 @@
         !(self.connecting || self.broken)
     }
 
-    /// Reads `most` bytes at most, for a reader that takes turns with others. True if more may be there: it was not read up
-    /// to the end, nor until it would block. Not for TLS.
-    pub fn read_some(&mut self, most: usize) -> bool {
-        let mut left = most.min(self.rx.room());
+    /// Reads up to `max_bytes` bytes, for a relay that serves channels in turns. Returns whether more may be
+    /// available: neither the end of the stream was reached nor would the socket block. Not for TLS.
+    pub fn read_some(&mut self, max_bytes: usize) -> bool {
+        let mut left = max_bytes.min(self.rx.free_space());
         while left > 0 && !self.eof && !self.broken {
             let spare = self.rx.spare(left);
             match (&*self.stream).read(spare) {
                 Ok(0) => self.eof = true,
                 Ok(n) => {
-                    self.rx.filled(n);
-                    // A short read may have the peer's end behind it, which is not told again: read on.
+                    self.rx.commit(n);
+                    // Continue after a short read: the peer's FIN may follow the data, and edge-triggered
+                    // events do not report it again.
                     left -= n;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
@@ -127,77 +128,79 @@
         !(self.eof || self.broken)
     }
 
-    /// Writes bytes without the buffer, which must be empty. Returns how many the socket took. Not for TLS.
+    /// Writes bytes directly to the socket; `tx` must be empty. Returns how many the socket accepted. Not for
+    /// TLS.
     pub fn write_some(&mut self, bytes: &[u8]) -> usize {
-        let mut taken = 0;
-        while taken < bytes.len() && !(self.broken || self.takes_nothing) {
-            match (&*self.stream).write(&bytes[taken..]) {
-                Ok(n) if n > 0 => taken += n,
+        let mut written = 0;
+        while written < bytes.len() && !(self.broken || self.write_failed) {
+            match (&*self.stream).write(&bytes[written..]) {
+                Ok(n) if n > 0 => written += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                _ => self.takes_nothing = true,
+                _ => self.write_failed = true,
             }
         }
-        self.sent += taken as u64;
-        taken
+        self.sent += written as u64;
+        written
     }
 
-    /// Writes what is queued as far as the socket takes it.
+    /// Writes the queued bytes until the socket would block.
     pub fn write_queued(&mut self) {
-        if !(self.broken || self.takes_nothing || self.connecting) && self.flush().is_err() {
-            self.takes_nothing = true;
+        if !(self.broken || self.write_failed || self.connecting) && self.flush().is_err() {
+            self.write_failed = true;
         }
     }
 
-    /// Whether the peer has reset it, as far as the system knows without a read.
+    /// Whether the peer has reset the connection, as far as the system reports it without a read.
     pub fn is_reset(&mut self) -> bool {
         self.broken |= !matches!(self.stream.take_error(), Ok(None));
         self.broken
     }
 
-    /// Has the peer see a reset and not an end, for a message that only the connection's end delimits.
-    pub fn break_off(&mut self) {
-        self.aborts = true;
+    /// Makes closing send a reset instead of an orderly end, for a truncated message that only the end of the
+    /// connection delimits.
+    pub fn reset_on_close(&mut self) {
+        self.resets_on_close = true;
         let _ = socket2::SockRef::from(&*self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 
-    /// Moves bytes both ways as far as the socket lets them.
+    /// Writes queued bytes and reads into `rx` until the socket would block or `rx` is full.
     pub fn pump(&mut self) {
-        if !self.come_up() {
+        if !self.poll_connected() {
             return;
         }
-        // With TLS what is read may call for something to be written, as in the handshake.
+        // With TLS, reading may produce bytes to write, as in the handshake.
         let done = self.flush().and_then(|()| self.fill()).and_then(|()| self.flush());
         if done.is_err() {
-            // Writes the alert of TLS, if there is one.
+            // Writes the TLS alert, if there is one.
             let _ = self.flush();
             self.broken = true;
         }
     }
 
-    /// Whether all that was queued has been written.
+    /// Whether all queued bytes have been written.
     pub fn is_written(&self) -> bool {
         self.tx.is_empty() && self.tls.as_ref().is_none_or(|tls| !tls.wants_write())
     }
 
-    /// The peer's chain, once TLS has verified it.
+    /// Returns the peer's certificate chain, once TLS has verified it.
     pub fn peer_certificates(&self) -> Option<Vec<CertificateDer<'static>>> {
         let tls = self.tls.as_ref().filter(|tls| !tls.is_handshaking())?;
         Some(tls.peer_certificates()?.iter().map(|c| c.clone().into_owned()).collect())
     }
 
-    /// The peer's address.
+    /// Returns the peer's address.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         self.stream.peer_addr().ok()
     }
 
     fn fill(&mut self) -> io::Result<()> {
         let mut chunk = [0u8; 16 * 1024];
-        while !self.eof && self.rx.room() > 0 {
-            let room = self.rx.room().min(chunk.len());
+        while !self.eof && self.rx.free_space() > 0 {
+            let free = self.rx.free_space().min(chunk.len());
             let read = match &mut self.tls {
-                None => (&*self.stream).read(&mut chunk[..room]),
-                Some(tls) => decrypt(tls, &self.stream, &mut chunk[..room]),
+                None => (&*self.stream).read(&mut chunk[..free]),
+                Some(tls) => decrypt(tls, &self.stream, &mut chunk[..free]),
             };
             match read {
                 Ok(0) => self.eof = true,
@@ -216,8 +219,8 @@
         if let Some(tls) = &mut self.tls {
             while !self.tx.is_empty() || tls.wants_write() {
                 if !self.tx.is_empty() && !tls.is_handshaking() {
-                    let taken = tls.writer().write(self.tx.front())?;
-                    self.tx.consume(taken);
+                    let accepted = tls.writer().write(self.tx.front())?;
+                    self.tx.consume(accepted);
                 }
                 if !tls.wants_write() {
                     break;
@@ -245,15 +248,16 @@
         Ok(())
     }
 
-    /// Whether it is idle and usable: the socket shows neither an end nor stray bytes.
-    pub fn is_fresh(&self) -> bool {
+    /// Whether the connection is idle and can be used again: it is established, both buffers are empty, and
+    /// the socket shows no unread bytes, end or error.
+    pub fn is_reusable(&self) -> bool {
         self.has_nothing_to_read()
             && !(self.connecting || self.eof || self.broken)
             && self.rx.is_empty()
             && self.tx.is_empty()
     }
 
-    /// Whether the socket shows neither bytes, nor an end, nor an error. A signal during the call says nothing of it.
+    /// Whether the socket shows no bytes, end or error. Repeats a call that a signal interrupted.
     fn has_nothing_to_read(&self) -> bool {
         loop {
             match self.stream.peek(&mut [0]) {
@@ -264,8 +268,8 @@
         }
     }
 
-    /// Ends this side; the peer can still be read.
-    pub fn end_writing(&mut self) {
+    /// Ends the write side; the peer can still be read.
+    pub fn shut_down_write(&mut self) {
         if let Some(tls) = &mut self.tls {
             tls.send_close_notify();
             let _ = self.flush();
@@ -273,21 +277,22 @@
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Ends it. Bytes that are written already still go out, unless `break_off` was called.
-    pub fn shut(&self) {
-        // An orderly end would come before the break.
-        if !self.aborts {
+    /// Shuts the connection down. Bytes that the socket has accepted are still sent, unless `reset_on_close`
+    /// was called.
+    pub fn shut_down(&self) {
+        // A shutdown would send an orderly end (FIN) before the reset.
+        if !self.resets_on_close {
             let _ = self.stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// Reads decrypted bytes; reads from the socket only once all that TLS holds is taken.
-fn decrypt(tls: &mut ServerConnection, mut stream: &TcpStream, into: &mut [u8]) -> io::Result<usize> {
+/// Reads decrypted bytes. Reads from the socket only when TLS has no decrypted bytes left.
+fn decrypt(tls: &mut ServerConnection, mut stream: &TcpStream, buf: &mut [u8]) -> io::Result<usize> {
     loop {
-        match tls.reader().read(into) {
+        match tls.reader().read(buf) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            // A peer that ends without a TLS close_notify has ended all the same.
+            // A peer that closes without a TLS close_notify has ended its side all the same.
             Err(e) if e.kind() == ErrorKind::UnexpectedEof => return Ok(0),
             read => return read,
         }
--- a/src/net/head.rs
+++ b/src/net/head.rs
@@ -1,14 +1,14 @@
-//! Heads of HTTP/1.1 messages that are relayed: read off a buffer without their bodies, and written anew for the next
-//! hop (RFC 9110, section 7.6; RFC 9112, sections 3 and 6).
+//! Heads of relayed HTTP/1.1 messages: parsed without their bodies, and serialized for the next hop (RFC
+//! 9110, section 7.6; RFC 9112, sections 3 and 6).
 
 use super::Ring;
 use super::body::Framing;
 use super::http::{
-    Headers, MAX_HEADERS, MessageError, ParsedRequest, closes, head, header_value, owned, parse_request,
-    reason,
+    Headers, MAX_HEADERS, MessageError, ParsedRequest, closes_connection, head_length, header_value,
+    parse_request, reason_phrase, to_owned_headers,
 };
 
-/// Headers of one hop, which are never passed on. `Expect` is passed on, as the endpoint may answer it.
+/// Hop-by-hop headers, which are never forwarded. `Expect` is forwarded, because the endpoint may answer it.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -21,47 +21,48 @@
     "upgrade",
 ];
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
     /// The method.
     pub method: String,
     /// The target, in origin form.
     pub target: String,
-    /// All its headers.
+    /// All headers.
     pub headers: Headers,
-    /// How its body is delimited.
+    /// How the body is delimited.
     pub framing: Framing,
-    /// The client wants no further message on the connection.
+    /// Whether the client wants the connection closed after this request.
     pub close: bool,
-    /// It is of HTTP/1.0: no chunks and no interim answers are understood.
+    /// Whether the client uses HTTP/1.0, and so understands neither chunked bodies nor interim responses.
     pub is_http_1_0: bool,
 }
 
-/// An answer's head.
+/// The head of a response.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status.
     pub status: u16,
-    /// All its headers.
+    /// All headers.
     pub headers: Headers,
-    /// How its body is delimited.
+    /// How the body is delimited.
     pub framing: Framing,
-    /// The server wants no further message on the connection.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
 }
 
-fn values<'a>(headers: &'a Headers, name: &'a str) -> impl Iterator<Item = &'a str> {
+fn header_values<'a>(headers: &'a Headers, name: &'a str) -> impl Iterator<Item = &'a str> {
     headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
-/// Takes a request's head off the buffer, if it is complete.
+/// Takes the head of a request out of the buffer, if it is complete.
 ///
-/// Rejected, since two readers could see different messages in it: a length beside a transfer coding, two lengths, one that
-/// is no plain number, a coding other than `chunked`, a coding in HTTP/1.0, no or two `Host`s.
+/// Rejects heads in which two parsers could see different messages: a length beside a transfer coding, two
+/// lengths, a length that is not a plain number, a coding other than `chunked`, a coding in HTTP/1.0, and a
+/// missing (except in HTTP/1.0) or repeated `Host`.
 ///
 /// # Errors
-/// Where the bytes cannot become a valid head.
+/// Returns an error if the bytes cannot become a valid head.
 pub fn read_request(ring: &mut Ring) -> Result<Option<RequestHead>, MessageError> {
     let Some(parsed) = parse_request(ring.bytes())? else { return Ok(None) };
     let ParsedRequest { length, method, target, headers, version } = parsed;
@@ -69,14 +70,16 @@
     if !(target.starts_with('/') || target == "*") {
         return Err(MessageError::Malformed);
     }
-    if values(&headers, "host").count() != 1 && !(is_http_1_0 && header_value(&headers, "host").is_none()) {
+    if header_values(&headers, "host").count() != 1
+        && !(is_http_1_0 && header_value(&headers, "host").is_none())
+    {
         return Err(MessageError::Malformed);
     }
     let read = RequestHead {
         method,
         target,
         framing: framing(&headers, is_http_1_0)?.unwrap_or(Framing::Empty),
-        close: closes(&headers, version),
+        close: closes_connection(&headers, version),
         headers,
         is_http_1_0,
     };
@@ -84,30 +87,31 @@
     Ok(Some(read))
 }
 
-/// Takes an answer's head off the buffer, if it is complete; `to_head` tells that it answers a HEAD.
+/// Takes the head of a response out of the buffer, if it is complete; `is_head_request` says that it answers
+/// a HEAD request.
 ///
 /// # Errors
-/// Where the bytes cannot become a valid head.
-pub fn read_answer(ring: &mut Ring, to_head: bool) -> Result<Option<AnswerHead>, MessageError> {
-    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Response::new(&mut lines);
+/// Returns an error if the bytes cannot become a valid head.
+pub fn read_response(ring: &mut Ring, is_head_request: bool) -> Result<Option<ResponseHead>, MessageError> {
+    let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Response::new(&mut header_slots);
     let bytes = ring.bytes();
-    let Some(length) = head(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
-    let (status, headers) = (parsed.code.unwrap_or(0), owned(parsed.headers)?);
-    let stated = framing(&headers, parsed.version == Some(0))?;
-    let framing = match stated {
-        _ if to_head || status < 200 || matches!(status, 204 | 304) => Framing::Empty,
+    let Some(length) = head_length(parsed.parse(bytes), bytes.len())? else { return Ok(None) };
+    let (status, headers) = (parsed.code.unwrap_or(0), to_owned_headers(parsed.headers)?);
+    let declared = framing(&headers, parsed.version == Some(0))?;
+    let framing = match declared {
+        _ if is_head_request || status < 200 || matches!(status, 204 | 304) => Framing::Empty,
         Some(framing) => framing,
         None => Framing::UntilClose,
     };
-    let close = closes(&headers, parsed.version) || framing == Framing::UntilClose;
+    let close = closes_connection(&headers, parsed.version) || framing == Framing::UntilClose;
     ring.consume(length);
-    Ok(Some(AnswerHead { status, headers, framing, close }))
+    Ok(Some(ResponseHead { status, headers, framing, close }))
 }
 
 fn framing(headers: &Headers, is_http_1_0: bool) -> Result<Option<Framing>, MessageError> {
-    let mut codings = values(headers, "transfer-encoding");
-    let mut lengths = values(headers, "content-length");
+    let mut codings = header_values(headers, "transfer-encoding");
+    let mut lengths = header_values(headers, "content-length");
     match (codings.next(), lengths.next()) {
         (None, None) => Ok(None),
         (Some(coding), None) if codings.next().is_none() && !is_http_1_0 => {
@@ -130,9 +134,10 @@
     }
 }
 
-/// Headers that go on to the next hop: all but those of one hop and those that `Connection` names.
-pub fn onward(headers: &Headers) -> impl Iterator<Item = &(String, String)> {
-    let named: Vec<String> = values(headers, "connection")
+/// Returns the headers to forward to the next hop: all but hop-by-hop headers and those named in
+/// `Connection`.
+pub fn end_to_end_headers(headers: &Headers) -> impl Iterator<Item = &(String, String)> {
+    let named: Vec<String> = header_values(headers, "connection")
         .flat_map(|v| v.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
@@ -142,27 +147,28 @@
     })
 }
 
-/// Writes a request's head for the next hop, over a connection that is kept.
+/// Serializes the head of a request for the next hop, over a persistent connection.
 pub fn write_request(request: &RequestHead, framing: Framing) -> Vec<u8> {
     let mut out = format!("{} {} HTTP/1.1\r\n", request.method, request.target).into_bytes();
-    put(&mut out, onward(&request.headers), framing);
+    write_header_fields(&mut out, end_to_end_headers(&request.headers), framing);
     out.extend_from_slice(b"\r\n");
     out
 }
 
-/// Writes an answer's head for the client. `stated_length` is given where no body follows but its length is stated: to HEAD.
-pub fn write_answer(
-    answer: &AnswerHead,
+/// Serializes the head of a response for the client. `declared_length` is the `Content-Length` of a response
+/// to HEAD, which has no body.
+pub fn write_response(
+    response: &ResponseHead,
     framing: Framing,
-    stated_length: Option<u64>,
+    declared_length: Option<u64>,
     close: bool,
 ) -> Vec<u8> {
-    let words = reason(answer.status);
-    let mut out = format!("HTTP/1.1 {} {words}\r\n", answer.status).into_bytes();
-    put(&mut out, onward(&answer.headers), framing);
-    if let Some(length) = stated_length {
+    let phrase = reason_phrase(response.status);
+    let mut out = format!("HTTP/1.1 {} {phrase}\r\n", response.status).into_bytes();
+    write_header_fields(&mut out, end_to_end_headers(&response.headers), framing);
+    if let Some(length) = declared_length {
         out.extend_from_slice(format!("Content-Length: {length}\r\n").as_bytes());
-    } else if framing == Framing::Empty && !(answer.status < 200 || matches!(answer.status, 204 | 304)) {
+    } else if framing == Framing::Empty && !(response.status < 200 || matches!(response.status, 204 | 304)) {
         out.extend_from_slice(b"Content-Length: 0\r\n");
     }
     if close {
@@ -172,7 +178,11 @@
     out
 }
 
-fn put<'a>(out: &mut Vec<u8>, headers: impl Iterator<Item = &'a (String, String)>, framing: Framing) {
+fn write_header_fields<'a>(
+    out: &mut Vec<u8>,
+    headers: impl Iterator<Item = &'a (String, String)>,
+    framing: Framing,
+) {
     for (name, value) in headers {
         out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
     }
--- a/src/net/http/tests.rs
+++ b/src/net/http/tests.rs
@@ -8,14 +8,14 @@
     ring
 }
 
-/// Guards against a request whose body comes in chunks, as clients that write in pieces send it, being
-/// refused: it is read whole, however it is cut, and what follows it stays for the next request.
+/// Clients that write in pieces send chunked bodies. Such a request is read in full however it is split, and
+/// the bytes after it stay for the next request.
 #[test]
-fn a_chunked_request_is_read_whole_however_it_comes() {
+fn a_chunked_request_is_read_in_full_however_it_is_split() {
     let text = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;x=1\r\nhello\r\n6\r\n world\r\n0\r\nT: 1\r\n\r\nGET";
     for cut in 1..text.len() - 3 {
         let mut ring = ring(&text[..cut]);
-        assert!(read_request(&mut ring).unwrap().is_none(), "whole after {cut} bytes");
+        assert!(read_request(&mut ring).unwrap().is_none(), "complete after {cut} bytes");
     }
     let mut ring = ring(text);
     let message = read_request(&mut ring).unwrap().unwrap();
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -1,8 +1,9 @@
-//! A listener: its socket, its registration in the event loop, and what it does while the system refuses to accept.
+//! A listening socket, its registration in the event loop, and its behaviour while the system refuses to
+//! accept connections.
 //!
-//! The event loop tells of waiting connections at each turn until they are accepted. Where `accept` fails for a while, as
-//! without descriptors, that would be a loop that never rests; so the listener is paused, and tried again after a moment.
-//! Connections that wait meanwhile stay in the backlog.
+//! The event loop reports waiting connections on every turn until they are accepted. While `accept` keeps
+//! failing, for example for lack of descriptors, that would be a busy loop. So the listener is paused and
+//! retried after `ACCEPT_PAUSE`; waiting connections stay in the backlog.
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind};
@@ -17,102 +18,104 @@
 
 use super::Handler;
 
-/// Connections that may wait to be accepted at a listener.
-const MAX_WAITING_CONNECTIONS: i32 = 1024;
-/// How long a listener is left alone once the system refuses to accept: short beside a request's time, and long enough that
-/// the failing calls cost nothing.
+/// Length of the backlog of connections that wait to be accepted.
+const LISTEN_BACKLOG: i32 = 1024;
+/// Pause of a listener after the system has refused to accept. It is short compared with the time of a
+/// request, and long enough that the failing calls cost next to nothing.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Connections in a row that may fail one by one, as those that were aborted while they waited, before the listener pauses.
-const MAX_FAILED_CONNECTIONS: u32 = 64;
+/// Consecutive connections that may fail in `accept`, such as connections aborted while they waited, before
+/// the listener is paused.
+const MAX_CONSECUTIVE_ACCEPT_FAILURES: u32 = 64;
 
-/// Attempts to open a listener while the system has no room for its socket.
+/// Attempts to open a listener while the system lacks resources for its socket.
 const MAX_BIND_ATTEMPTS: u32 = 40;
 /// Time between two such attempts.
-const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What the last attempt to accept has shown.
+/// The result of the last attempt to accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptState {
-    /// Nothing waited.
+    /// No connection was waiting.
     Empty,
-    /// Connections may wait.
+    /// Connections may be waiting.
     Waiting,
-    /// The system refused; it is tried again after a pause.
+    /// The system refused; the listener is paused and will be retried.
     Paused,
 }
 
-/// What an error of `accept` says.
+/// The meaning of an error of `accept`.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AcceptError {
-    /// Nothing waits.
+    /// No connection is waiting.
     Empty,
-    /// One connection has failed before it was accepted: the next one may not.
-    OneConnection,
-    /// The system has no room for any.
-    NoRoom,
+    /// One connection failed before it was accepted; the next one may succeed.
+    ConnectionFailed,
+    /// The system lacks descriptors or memory for any connection.
+    Exhausted,
 }
 
 impl AcceptError {
-    /// Linux hands out errors of the network that a waiting connection had, as if they were the call's.
+    /// Classifies an error. On Linux `accept` also returns pending network errors of the waiting connection,
+    /// which say nothing about the next one.
     fn of(error: &io::Error) -> AcceptError {
         use rustix::io::Errno;
         match Errno::from_io_error(error) {
             Some(Errno::AGAIN) => AcceptError::Empty,
-            Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => AcceptError::NoRoom,
+            Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => AcceptError::Exhausted,
             _ if error.kind() == ErrorKind::WouldBlock => AcceptError::Empty,
-            _ => AcceptError::OneConnection,
+            _ => AcceptError::ConnectionFailed,
         }
     }
 }
 
-/// A listener that is open.
+/// An open listener.
 pub(super) struct Listener {
     socket: Rc<TcpListener>,
     token: RegistrationToken,
     state: Rc<Cell<AcceptState>>,
-    /// The pause is in the log, and nothing was accepted since.
-    is_reported: bool,
+    /// Whether the pause was logged and no connection was accepted since.
+    is_pause_logged: bool,
 }
 
 impl Listener {
-    /// Opens one. `number` is what its handler knows it by.
+    /// Opens a listener. `number` identifies it in the calls to its handler.
     pub(super) fn open<H: Handler>(
         handle: &LoopHandle<'static, H>,
         address: SocketAddr,
         shared: bool,
         number: usize,
     ) -> io::Result<(Listener, SocketAddr)> {
-        let socket = Rc::new(bind_patiently(address, shared)?);
+        let socket = Rc::new(bind_with_retry(address, shared)?);
         let local = socket.local_addr()?;
         let state = Rc::new(Cell::new(AcceptState::Empty));
-        // Level-triggered: what is left in the backlog is told again.
+        // Level-triggered, so that connections left in the backlog are reported again.
         let source = Generic::new(Rc::clone(&socket), Interest::READ, Mode::Level);
-        let state_seen = Rc::clone(&state);
+        let accept_state = Rc::clone(&state);
         let token = handle.insert_source(source, move |_, _, handler: &mut H| {
             handler.on_connections_waiting(number);
-            let is_paused = state_seen.get() == AcceptState::Paused;
+            let is_paused = accept_state.get() == AcceptState::Paused;
             Ok(if is_paused { PostAction::Disable } else { PostAction::Continue })
         });
         let token = token.map_err(|e| io::Error::other(e.to_string()))?;
-        Ok((Listener { socket, token, state, is_reported: false }, local))
+        Ok((Listener { socket, token, state, is_pause_logged: false }, local))
     }
 
-    /// Accepts one connection; none where nothing waits, or the system refuses.
+    /// Accepts one connection. Returns `None` if none is waiting or the system refuses.
     pub(super) fn accept<H: Handler>(&mut self, handle: &LoopHandle<'static, H>) -> Option<TcpStream> {
         if self.state.get() == AcceptState::Paused {
             return None;
         }
-        for _ in 0..MAX_FAILED_CONNECTIONS {
-            // The standard library's `accept` repeats an interrupted call for as long as it is interrupted.
+        for _ in 0..MAX_CONSECUTIVE_ACCEPT_FAILURES {
+            // Not the standard library's `accept`, which retries an interrupted call without limit.
             match SockRef::from(&*self.socket).accept() {
                 Ok((stream, _)) => {
                     self.state.set(AcceptState::Waiting);
-                    self.is_reported = false;
+                    self.is_pause_logged = false;
                     return Some(stream.into());
                 }
                 Err(e) => match AcceptError::of(&e) {
-                    AcceptError::OneConnection => {}
-                    AcceptError::NoRoom => break,
+                    AcceptError::ConnectionFailed => {}
+                    AcceptError::Exhausted => break,
                     AcceptError::Empty => {
                         self.state.set(AcceptState::Empty);
                         return None;
@@ -124,40 +127,41 @@
         None
     }
 
-    /// Leaves the listener alone for a moment.
+    /// Pauses the listener for `ACCEPT_PAUSE`.
     fn pause<H: Handler>(&mut self, handle: &LoopHandle<'static, H>) {
-        let (state, token, enabling) = (Rc::clone(&self.state), self.token, handle.clone());
+        let (state, token, loop_handle) = (Rc::clone(&self.state), self.token, handle.clone());
         let timer = Timer::from_duration(ACCEPT_PAUSE);
-        let resumes = handle.insert_source(timer, move |_, (), _| {
+        let armed = handle.insert_source(timer, move |_, (), _| {
             state.set(AcceptState::Waiting);
-            // Fails only where the listener was closed meanwhile.
-            let _ = enabling.enable(&token);
+            // Fails only if the listener was closed in the meantime.
+            let _ = loop_handle.enable(&token);
             TimeoutAction::Drop
         });
-        if resumes.is_ok() {
+        if armed.is_ok() {
             self.state.set(AcceptState::Paused);
-            if !std::mem::replace(&mut self.is_reported, true) {
+            if !std::mem::replace(&mut self.is_pause_logged, true) {
                 tracing::warn!(pause_ms = ACCEPT_PAUSE.as_millis() as u64, "listener paused");
             }
         }
     }
 
-    /// What the last attempt to accept has shown.
+    /// Returns the result of the last attempt to accept.
     pub(super) fn state(&self) -> AcceptState {
         self.state.get()
     }
 
-    /// Closes it.
+    /// Closes the listener.
     pub(super) fn close<H: Handler>(self, handle: &LoopHandle<'static, H>) {
         handle.remove(self.token);
     }
 }
 
-/// Binds a listener, though the system may have no room for a moment: a process that does not start for that is lost.
-fn bind_patiently(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
+/// Binds a listener, and retries while the system lacks resources: otherwise a short shortage would end the
+/// process at its start.
+fn bind_with_retry(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     for _ in 1..MAX_BIND_ATTEMPTS {
         match bind(address, shared) {
-            Err(e) if AcceptError::of(&e) == AcceptError::NoRoom => std::thread::sleep(BIND_RETRY_INTERVAL),
+            Err(e) if AcceptError::of(&e) == AcceptError::Exhausted => std::thread::sleep(BIND_RETRY_DELAY),
             bound => return bound,
         }
     }
@@ -167,13 +171,13 @@
 fn bind(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    // A port that the system picks cannot be known to a successor; shared, it could be one that another
-    // listener of the same user holds already.
+    // A successor process cannot know a port that the system picks. Shared, that port could also be one that
+    // another listener of the same user holds already.
     if shared && address.port() != 0 {
         socket.set_reuse_port(true)?;
     }
     socket.bind(&address.into())?;
-    socket.listen(MAX_WAITING_CONNECTIONS)?;
+    socket.listen(LISTEN_BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(TcpListener::from(socket))
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,12 +1,12 @@
-//! Sockets: connections with their buffers, listeners, the pool of idle connections, the budget of descriptors; and the
-//! reading and writing of HTTP/1.1 messages.
+//! Sockets (connections with their buffers, listeners, the pool of idle connections, the descriptor budget)
+//! and the parsing and serialization of HTTP/1.1 messages.
 //!
-//! Owns the sockets, their registration in the event loop, and the framing of HTTP; what a message means and what follows
-//! from it is the frontends'. A caller gets events through `Handler`, must read and write a connection until it would block
-//! (events are edge-triggered), and must close what it does not need any more.
+//! This module owns the sockets, their registration in the event loop, and HTTP framing. The frontends
+//! interpret the messages. A caller receives events through `Handler`, must read and write a connection until
+//! it would block (events are edge-triggered), and must close connections that it no longer needs.
 //!
-//! HTTP is read in two ways: `http` takes complete messages with bounded bodies, `head` takes heads alone, whose bodies
-//! `body` then reads as they come.
+//! HTTP is read in two ways: `http` reads complete messages with bounded bodies; `head` reads only heads, and
+//! `body` decodes their bodies incrementally.
 
 pub mod body;
 mod budget;
@@ -35,14 +35,14 @@
 
 use listener::Listener;
 
-/// A connection's id, never used again.
+/// The id of a connection; never reused.
 pub type ConnId = u64;
 
-/// What handles the events of sockets.
+/// Handles the events of sockets.
 pub trait Handler: Sized + 'static {
-    /// A connection can be read or written, has come up or has broken.
+    /// Called when a connection is readable or writable, has been established, or has failed.
     fn on_ready(&mut self, conn: ConnId);
-    /// A listener has connections to accept.
+    /// Called when a listener has connections to accept.
     fn on_connections_waiting(&mut self, listener: usize);
 }
 
@@ -50,22 +50,23 @@
 pub struct Net<H: Handler> {
     handle: LoopHandle<'static, H>,
     conns: FxHashMap<ConnId, Conn>,
-    /// Listeners by number; none once closed.
+    /// Listeners by number; `None` once closed.
     listeners: Vec<Option<Listener>>,
-    last: ConnId,
+    last_id: ConnId,
 }
 
 impl<H: Handler> Net<H> {
-    /// No connections yet.
+    /// Creates a set without connections and listeners.
     pub fn new(handle: LoopHandle<'static, H>) -> Net<H> {
-        Net { handle, conns: FxHashMap::default(), listeners: Vec::new(), last: 0 }
+        Net { handle, conns: FxHashMap::default(), listeners: Vec::new(), last_id: 0 }
     }
 
-    /// Opens a listener. Returns its number and the address that it got. A `shared` address may be held by another
-    /// process at once (`SO_REUSEPORT`), as the one that an upgrade replaces; the kernel deals connections out.
+    /// Opens a listener. Returns its number and its local address. With `shared`, another process may listen
+    /// at the same address (`SO_REUSEPORT`), such as the one that an upgrade replaces; the kernel distributes
+    /// connections between them.
     ///
     /// # Errors
-    /// Where the socket cannot be opened, bound, or registered for events.
+    /// Returns an error if the socket cannot be opened, bound, or registered for events.
     pub fn listen(&mut self, address: SocketAddr, shared: bool) -> io::Result<(usize, SocketAddr)> {
         let number = self.listeners.len();
         let (listener, local) = Listener::open(&self.handle, address, shared, number)?;
@@ -73,14 +74,14 @@
         Ok((number, local))
     }
 
-    /// Closes a listener. Connections that wait are reset by the system: accept them first.
+    /// Closes a listener. The system resets connections still in its backlog, so accept them first.
     pub fn close_listener(&mut self, listener: usize) {
         if let Some(listener) = self.listeners.get_mut(listener).and_then(Option::take) {
             listener.close(&self.handle);
         }
     }
 
-    /// Accepts one connection, if one waits and the system lets it.
+    /// Accepts one connection. Returns `None` if none is waiting or the system refuses.
     pub fn accept(&mut self, listener: usize) -> Option<ConnId> {
         while let Some(stream) = self.listeners.get_mut(listener)?.as_mut()?.accept(&self.handle) {
             match Conn::accepted(stream).and_then(|conn| self.add(conn)) {
@@ -91,7 +92,7 @@
         None
     }
 
-    /// Whether a listener's backlog was emptied by the last `accept`, or connections may wait there still.
+    /// Returns whether the last `accept` emptied a listener's backlog, or connections may still be waiting.
     pub fn accept_state(&self, listener: usize) -> AcceptState {
         let listener = self.listeners.get(listener).and_then(Option::as_ref);
         listener.map_or(AcceptState::Empty, Listener::state)
@@ -100,17 +101,18 @@
     /// Starts to open a connection.
     ///
     /// # Errors
-    /// Where the connection fails at once, or cannot be registered for events: nothing was sent.
+    /// Returns an error if the connection fails at once or cannot be registered for events. Nothing was sent
+    /// in that case.
     pub fn open(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         let conn = Conn::open(address)?;
         self.add(conn)
     }
 
     fn add(&mut self, mut conn: Conn) -> io::Result<ConnId> {
-        self.last += 1;
-        let id = self.last;
-        // Edge-triggered: `pump` goes on until the socket would block, and is called again once a full buffer
-        // has been read.
+        self.last_id += 1;
+        let id = self.last_id;
+        // Edge-triggered: `pump` continues until the socket would block, and is called again once a full
+        // buffer has been read.
         let source = Generic::new(Rc::clone(&conn.stream), Interest::BOTH, Mode::Edge);
         let token = self
             .handle
@@ -124,19 +126,19 @@
         Ok(id)
     }
 
-    /// Puts TLS on a connection that was just accepted.
+    /// Adds TLS to a connection that was just accepted. Returns false if the connection is gone.
     pub fn start_tls(&mut self, id: ConnId, tls: rustls::ServerConnection) -> bool {
         let Some(conn) = self.conns.get_mut(&id) else { return false };
         conn.tls = Some(Box::new(tls));
         true
     }
 
-    /// A connection that is open.
+    /// Returns an open connection.
     pub fn conn(&mut self, id: ConnId) -> Option<&mut Conn> {
         self.conns.get_mut(&id)
     }
 
-    /// Two connections that are open, for bytes that go from one to the other.
+    /// Returns two open connections, to relay bytes between them.
     pub fn pair(&mut self, one: ConnId, other: ConnId) -> Option<[&mut Conn; 2]> {
         match self.conns.get_disjoint_mut([&one, &other]) {
             [Some(one), Some(other)] => Some([one, other]),
@@ -144,7 +146,8 @@
         }
     }
 
-    /// Queues bytes and writes what can be written. False where they do not fit or the connection is gone.
+    /// Queues bytes and writes what the socket accepts. Returns false if they do not fit or the connection is
+    /// gone.
     pub fn write(&mut self, id: ConnId, bytes: &[u8]) -> bool {
         let Some(conn) = self.conns.get_mut(&id) else { return false };
         let queued = conn.tx.push(bytes);
@@ -152,10 +155,10 @@
         queued
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection immediately.
     pub fn close(&mut self, id: ConnId) {
         if let Some(conn) = self.conns.remove(&id) {
-            conn.shut();
+            conn.shut_down();
             if let Some(token) = conn.token {
                 self.handle.remove(token);
             }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,33 +1,37 @@
-//! The pool: idle connections to endpoints, newest used first; and which peers are known to keep a connection alive.
+//! Pool of idle connections to endpoints, most recently used first. Also tracks which peers keep connections
+//! alive.
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::ConnId;
 
-/// A connection that is open so long after a response has been kept alive, in milliseconds: a peer that closes after each
-/// response, without a word of it, has done so by then, and its end has come.
-const KEEP_ALIVE_PROOF_MS: f64 = 50.0;
+/// Time after a response, in milliseconds, after which a connection that is still open counts as kept alive.
+/// A peer that closes after each response without sending `Connection: close` has done so by then, and its
+/// FIN has arrived.
+const KEEP_ALIVE_CONFIRMED_MS: f64 = 50.0;
 
-/// A connection that was taken out of the pool.
+/// A connection taken out of the pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PooledConnection {
-    /// Which one.
+    /// The connection.
     pub conn: ConnId,
-    /// How long it was idle, in milliseconds.
+    /// How long it has been idle, in milliseconds.
     pub idle_ms: f64,
 }
 
-/// Idle connections of each peer with the time at which each fell idle.
+/// Idle connections of each peer, with the time at which each became idle.
 pub struct Pool<K> {
     idle: FxHashMap<K, Vec<(ConnId, f64)>>,
     max_idle_ms: f64,
-    /// Peers of which a connection has been kept alive, and none has ended too soon since.
+    /// Peers that have kept a connection alive, and have not closed one within `KEEP_ALIVE_CONFIRMED_MS`
+    /// since.
     keep_alive: FxHashSet<K>,
 }
 
 impl<K: std::hash::Hash + Eq + Copy> Pool<K> {
-    /// A pool for peers that close what has been idle for `limit_ms` milliseconds. It gives a connection up well before: a
-    /// request that crosses the closing would be lost.
+    /// Creates a pool for peers that close connections after `limit_ms` milliseconds without a request. The
+    /// pool gives connections up well before that: a request sent while the peer closes the connection would
+    /// be lost.
     pub fn new(limit_ms: f64) -> Pool<K> {
         let mut pool =
             Pool { idle: FxHashMap::default(), max_idle_ms: 0.0, keep_alive: FxHashSet::default() };
@@ -35,82 +39,83 @@
         pool
     }
 
-    /// Takes over another limit, in milliseconds.
+    /// Replaces the time after which peers close idle connections, in milliseconds.
     pub fn set_idle_limit(&mut self, limit_ms: f64) {
         self.max_idle_ms = (limit_ms * 0.8).min(limit_ms - 500.0).max(0.0);
     }
 
-    /// Takes out the connection to a peer that has been idle for the shortest time, if that is within the limit. For a request
-    /// that `is_harmed_by_reset` only one that is known to be kept alive: guards against a request that crosses the end of a
-    /// connection that was used just before, and may have run.
+    /// Takes the most recently used connection to a peer, if it has been idle for less than the limit. For a
+    /// request that `is_harmed_by_reset` it must be known to be kept alive: on a connection that was used
+    /// just before, the peer's FIN may be in flight, and it would remain unknown whether the request has run.
     ///
-    /// The caller must tell by `on_looked_at` whether it was still open.
+    /// The caller must report through `on_checked` whether the connection was still open.
     pub fn take(&mut self, peer: K, now: f64, is_harmed_by_reset: bool) -> Option<PooledConnection> {
-        let needs_proof = is_harmed_by_reset && !self.keep_alive.contains(&peer);
-        let min_idle_ms = if needs_proof { KEEP_ALIVE_PROOF_MS } else { 0.0 };
+        let needs_confirmation = is_harmed_by_reset && !self.keep_alive.contains(&peer);
+        let min_idle_ms = if needs_confirmation { KEEP_ALIVE_CONFIRMED_MS } else { 0.0 };
         let list = self.idle.get_mut(&peer)?;
-        let at = list.iter().rposition(|&(_, since)| now - since >= min_idle_ms)?;
-        let idle_ms = now - list[at].1;
+        let index = list.iter().rposition(|&(_, since)| now - since >= min_idle_ms)?;
+        let idle_ms = now - list[index].1;
         if idle_ms >= self.max_idle_ms {
             return None;
         }
-        Some(PooledConnection { conn: list.remove(at).0, idle_ms })
+        Some(PooledConnection { conn: list.remove(index).0, idle_ms })
     }
 
-    /// Takes out the connection to a peer that was used last, where that was so short a time ago that its end may be on the
-    /// way. Gives the time as well from which on it is known to be kept alive, if it is open then.
-    pub fn take_unproven(&mut self, peer: K, now: f64) -> Option<(ConnId, f64)> {
+    /// Takes the most recently used connection to a peer if it was used so recently that the peer's FIN may
+    /// still be in flight. Also returns the time from which it counts as kept alive if it is still open.
+    pub fn take_unconfirmed(&mut self, peer: K, now: f64) -> Option<(ConnId, f64)> {
         let list = self.idle.get_mut(&peer)?;
-        let &(conn, since) = list.last().filter(|&&(_, since)| now - since < KEEP_ALIVE_PROOF_MS)?;
+        let &(conn, since) = list.last().filter(|&&(_, since)| now - since < KEEP_ALIVE_CONFIRMED_MS)?;
         list.pop();
-        Some((conn, since + KEEP_ALIVE_PROOF_MS))
+        Some((conn, since + KEEP_ALIVE_CONFIRMED_MS))
     }
 
-    /// Takes out any connection to a peer.
+    /// Takes the most recently used connection to a peer, whatever its idle time.
     pub fn take_any(&mut self, peer: K) -> Option<ConnId> {
         Some(self.idle.get_mut(&peer)?.pop()?.0)
     }
 
-    /// A connection has been open for long enough after its last response.
+    /// Records that a connection stayed open for `KEEP_ALIVE_CONFIRMED_MS` after its last response.
     pub fn on_kept_alive(&mut self, peer: K) {
-        self.on_looked_at(peer, KEEP_ALIVE_PROOF_MS, true);
+        self.on_checked(peer, KEEP_ALIVE_CONFIRMED_MS, true);
     }
 
-    /// A connection was seen to be open, or ended by its peer, so long after its last response.
-    pub fn on_looked_at(&mut self, peer: K, idle_ms: f64, is_open: bool) {
-        let is_proof = idle_ms >= KEEP_ALIVE_PROOF_MS;
-        if is_open && is_proof {
+    /// Records that a connection was found open, or closed by its peer, `idle_ms` milliseconds after its last
+    /// response.
+    pub fn on_checked(&mut self, peer: K, idle_ms: f64, is_open: bool) {
+        let is_confirmation = idle_ms >= KEEP_ALIVE_CONFIRMED_MS;
+        if is_open && is_confirmation {
             self.keep_alive.insert(peer);
-        } else if !is_open && !is_proof {
+        } else if !is_open && !is_confirmation {
             self.keep_alive.remove(&peer);
         }
     }
 
-    /// An idle connection was ended by its peer.
-    pub fn on_ended(&mut self, peer: K, id: ConnId, now: f64) {
+    /// Records that the peer closed an idle connection, and removes it.
+    pub fn on_closed_by_peer(&mut self, peer: K, id: ConnId, now: f64) {
         let list = self.idle.get(&peer);
         let since =
             list.and_then(|list| list.iter().find(|&&(other, _)| other == id)).map(|&(_, since)| since);
         if let Some(since) = since {
-            self.on_looked_at(peer, now - since, false);
+            self.on_checked(peer, now - since, false);
             self.remove(peer, id);
         }
     }
 
-    /// Puts a connection back that is idle from now on.
+    /// Adds a connection that is idle from now on.
     pub fn put(&mut self, peer: K, id: ConnId, now: f64) {
         self.idle.entry(peer).or_default().push((id, now));
     }
 
-    /// Takes out a connection that was closed.
+    /// Removes a connection that was closed.
     pub fn remove(&mut self, peer: K, id: ConnId) {
         if let Some(list) = self.idle.get_mut(&peer) {
             list.retain(|&(other, _)| other != id);
         }
     }
 
-    /// Takes out the connections that have been idle for too long.
-    pub fn expired(&mut self, now: f64) -> Vec<ConnId> {
+    /// Removes and returns the connections that have been idle for too long.
+    pub fn take_expired(&mut self, now: f64) -> Vec<ConnId> {
         let mut out = Vec::new();
         for list in self.idle.values_mut() {
             let old = list.iter().take_while(|&&(_, since)| now - since >= self.max_idle_ms).count();
@@ -120,8 +125,8 @@
         out
     }
 
-    /// Takes out the connection that has been idle longest.
-    pub fn oldest(&mut self) -> Option<ConnId> {
+    /// Removes and returns the connection that has been idle for the longest time.
+    pub fn take_oldest(&mut self) -> Option<ConnId> {
         let (&peer, _) = self
             .idle
             .iter()
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Which idle connection a request gets, by what is known of its peer.
+//! Tests of which idle connection a request gets, depending on what is known of its peer.
 
 use super::*;
 
@@ -13,29 +13,29 @@
 }
 
 #[test]
-fn a_request_that_a_reset_harms_waits_for_proof_that_its_peer_keeps_connections() {
+fn a_request_harmed_by_a_reset_needs_a_connection_known_to_be_kept_alive() {
     let mut pool = pool();
     pool.put(PEER, 7, 100.0);
-    assert_eq!(taken(&mut pool, 149.0, true), None, "its end may be on the way");
+    assert_eq!(taken(&mut pool, 149.0, true), None, "the FIN of its peer may be in flight");
     assert_eq!(pool.take(PEER, 150.0, true), Some(PooledConnection { conn: 7, idle_ms: 50.0 }));
-    pool.on_looked_at(PEER, 50.0, true);
+    pool.on_checked(PEER, 50.0, true);
     pool.put(PEER, 7, 200.0);
-    assert_eq!(taken(&mut pool, 200.0, true), Some(7), "it is kept alive");
+    assert_eq!(taken(&mut pool, 200.0, true), Some(7), "the peer is known to keep it alive");
 }
 
-/// Guards against a connection past its idle limit that is taken as one that was just used.
+/// A connection past its idle limit must not be taken as one that was just used.
 #[test]
-fn a_connection_that_was_just_used_says_when_it_has_outlived_its_response() {
+fn a_just_used_connection_reports_when_it_counts_as_kept_alive() {
     let mut pool = pool();
     pool.put(PEER, 7, 100.0);
-    assert_eq!(pool.take_unproven(PEER, 110.0), Some((7, 150.0)));
+    assert_eq!(pool.take_unconfirmed(PEER, 110.0), Some((7, 150.0)));
     pool.put(PEER, 7, 200.0);
-    assert_eq!(pool.take_unproven(PEER, 60_000.0), None);
+    assert_eq!(pool.take_unconfirmed(PEER, 60_000.0), None);
     assert_eq!(taken(&mut pool, 60_000.0, false), None);
 }
 
 #[test]
-fn any_other_request_takes_the_newest() {
+fn any_other_request_takes_the_newest_connection() {
     let mut pool = pool();
     pool.put(PEER, 7, 100.0);
     pool.put(PEER, 8, 160.0);
@@ -44,16 +44,16 @@
 }
 
 #[test]
-fn a_peer_that_ends_a_connection_soon_after_a_response_loses_its_proof() {
+fn a_peer_that_closes_soon_after_a_response_no_longer_counts_as_keeping_alive() {
     let mut pool = pool();
-    pool.on_looked_at(PEER, 60.0, true);
-    // The end of one that was idle for long is the usual limit.
+    pool.on_checked(PEER, 60.0, true);
+    // Closing after a long idle time is the peer's usual idle limit, and no sign that it does not keep alive.
     pool.put(PEER, 7, 100.0);
-    pool.on_ended(PEER, 7, 5_000.0);
+    pool.on_closed_by_peer(PEER, 7, 5_000.0);
     pool.put(PEER, 8, 5_000.0);
     pool.put(PEER, 9, 5_000.0);
     assert_eq!(taken(&mut pool, 5_001.0, true), Some(9));
-    pool.on_ended(PEER, 8, 5_002.0);
+    pool.on_closed_by_peer(PEER, 8, 5_002.0);
     pool.put(PEER, 9, 5_003.0);
     assert_eq!(taken(&mut pool, 5_004.0, true), None);
 }
--- a/src/net/ring.rs
+++ b/src/net/ring.rs
@@ -1,11 +1,11 @@
-//! A ring buffer with a bound: one for each direction of a connection.
+//! A ring buffer with a size limit; a connection has one for each direction.
 
-/// Bytes of room that an empty buffer keeps, so that small messages do not allocate each time.
+/// Capacity in bytes that an empty buffer keeps by default, so that small messages do not allocate each time.
 const RETAINED_BYTES: usize = 4096;
 
-/// Bytes in order, `limit` at most.
+/// A byte queue that holds up to `limit` bytes.
 pub struct Ring {
-    /// All of it may be read into: it holds zeros or bytes that were dropped.
+    /// Always initialized (zeros or consumed bytes), so that callers can read into any free part of it.
     store: Vec<u8>,
     head: usize,
     len: usize,
@@ -14,65 +14,67 @@
 }
 
 impl Ring {
-    /// An empty buffer; room is made as bytes come.
+    /// Creates an empty buffer. It allocates as bytes arrive.
     pub fn new(limit: usize) -> Ring {
         Ring { store: Vec::new(), head: 0, len: 0, limit, retained: RETAINED_BYTES }
     }
 
-    /// Sets another bound, and the bytes of room that it keeps when it is empty. Bytes that it holds above the bound stay.
+    /// Sets the size limit and the capacity that the buffer keeps while empty. Bytes held above a lower limit
+    /// stay.
     pub fn set_limit(&mut self, limit: usize, retained: usize) {
         (self.limit, self.retained) = (limit, retained);
-        self.trim();
+        self.release_if_empty();
     }
 
-    /// Bytes that still fit.
-    pub fn room(&self) -> usize {
+    /// Returns how many bytes can be added.
+    pub fn free_space(&self) -> usize {
         self.limit.saturating_sub(self.len)
     }
 
-    /// Bytes held.
+    /// Returns the number of bytes held.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds no bytes.
+    /// Whether the buffer holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds all of `bytes`. False, and nothing is added, where they do not fit.
+    /// Adds all of `bytes`. Returns false, and adds nothing, if they do not fit.
     pub fn push(&mut self, mut bytes: &[u8]) -> bool {
-        if bytes.len() > self.room() {
+        if bytes.len() > self.free_space() {
             return false;
         }
         while !bytes.is_empty() {
             let spare = self.spare(bytes.len());
             let count = spare.len().min(bytes.len());
             spare[..count].copy_from_slice(&bytes[..count]);
-            self.filled(count);
+            self.commit(count);
             bytes = &bytes[count..];
         }
         true
     }
 
-    /// A piece of free room of `most` bytes at most, to be written to; empty only where nothing fits. The caller must call
-    /// `filled` with the bytes that it has written.
-    pub fn spare(&mut self, most: usize) -> &mut [u8] {
-        let most = most.min(self.room());
-        if self.len + most > self.store.len() {
+    /// Returns a contiguous free part of the buffer of up to `max_bytes` bytes, to be written to; it is empty
+    /// only if `max_bytes` is 0 or the buffer is full. The caller must call `commit` with the number of bytes
+    /// written.
+    pub fn spare(&mut self, max_bytes: usize) -> &mut [u8] {
+        let max_bytes = max_bytes.min(self.free_space());
+        if self.len + max_bytes > self.store.len() {
             self.make_contiguous();
-            let size = (self.len + most).next_power_of_two().min(self.limit.max(self.len + most));
+            let size = (self.len + max_bytes).next_power_of_two().min(self.limit.max(self.len + max_bytes));
             self.store.resize(size, 0);
         }
         let size = self.store.len().max(1);
         let tail = (self.head + self.len) % size;
         let end = if tail < self.head { self.head } else { self.store.len() };
-        let end = end.min(tail + most);
+        let end = end.min(tail + max_bytes);
         &mut self.store[tail..end]
     }
 
-    /// Adds `count` bytes that were written to the spare room.
-    pub fn filled(&mut self, count: usize) {
+    /// Adds `count` bytes that were written to the part returned by `spare`.
+    pub fn commit(&mut self, count: usize) {
         self.len = (self.len + count).min(self.store.len());
     }
 
@@ -83,13 +85,13 @@
         }
     }
 
-    /// All bytes, as one piece.
+    /// Returns all bytes as one contiguous slice.
     pub fn bytes(&mut self) -> &[u8] {
         self.make_contiguous();
         &self.store[self.head..self.head + self.len]
     }
 
-    /// The bytes up to where the buffer wraps.
+    /// Returns the bytes up to the point where the buffer wraps around.
     pub fn front(&self) -> &[u8] {
         &self.store[self.head..(self.head + self.len).min(self.store.len())]
     }
@@ -99,11 +101,12 @@
         let count = count.min(self.len);
         self.len -= count;
         self.head = if self.len == 0 { 0 } else { (self.head + count) % self.store.len() };
-        self.trim();
+        self.release_if_empty();
     }
 
-    /// Guards against every connection keeping the room of its largest message for good.
-    fn trim(&mut self) {
+    /// Frees the storage of an empty buffer if it has grown, so that a connection does not keep the memory of
+    /// its largest message.
+    fn release_if_empty(&mut self) {
         if self.len == 0 && self.store.len() > self.retained {
             self.store = Vec::new();
         }
--- a/src/net/ring/tests.rs
+++ b/src/net/ring/tests.rs
@@ -7,9 +7,9 @@
 use super::*;
 
 proptest! {
-    /// Whatever is pushed, filled and consumed in turn comes out in order, and never more than fits.
+    /// Bytes that are pushed or committed are consumed in order, and the buffer never exceeds its limit.
     #[test]
-    fn it_is_a_queue(steps in proptest::collection::vec((0usize..5000, 0usize..5000, any::<bool>()), 1..60)) {
+    fn it_behaves_like_a_bounded_queue(steps in proptest::collection::vec((0usize..5000, 0usize..5000, any::<bool>()), 1..60)) {
         let (mut ring, mut model, mut next) = (Ring::new(10_000), VecDeque::new(), 0u8);
         for (add, drop, direct) in steps {
             if direct {
@@ -19,8 +19,8 @@
                     model.push_back(*byte);
                 }
                 let count = spare.len();
-                prop_assert!(count > 0 || add == 0 || ring.room() == 0);
-                ring.filled(count);
+                prop_assert!(count > 0 || add == 0 || ring.free_space() == 0);
+                ring.commit(count);
             } else {
                 let bytes: Vec<u8> = (0..add).map(|i| (i as u8).wrapping_mul(31)).collect();
                 let fits = add <= 10_000 - model.len();
--- a/src/net/splice.rs
+++ b/src/net/splice.rs
@@ -1,5 +1,5 @@
-//! Pipes of the system, through which bytes go from one socket to another without a copy into the process: Linux's
-//! `splice`, by rustix's safe calls.
+//! Kernel pipes that move bytes from one socket to another with Linux's `splice`, without copying them into
+//! the process. Uses rustix's safe wrappers.
 
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
@@ -9,66 +9,67 @@
 
 use super::Conn;
 
-/// Bytes that a pipe holds: the system's default, 16 pages of 4 KiB.
+/// Capacity of a pipe in bytes: the system default, 16 pages of 4 KiB.
 pub const PIPE_CAPACITY_BYTES: usize = 64 * 1024;
 
-/// How many pipes there may be. Each takes two descriptors, and `PIPE_CAPACITY_BYTES` bytes of the system's memory.
+/// Opens pipes up to a limit. Each pipe takes two descriptors and `PIPE_CAPACITY_BYTES` bytes of kernel
+/// memory.
 #[derive(Clone)]
 pub struct Pipes {
-    most: usize,
-    out: Rc<()>,
+    max_open: usize,
+    open_count: Rc<()>,
 }
 
 impl Pipes {
-    /// `most` pipes at most; 0: none.
-    pub fn new(most: usize) -> Pipes {
-        Pipes { most, out: Rc::new(()) }
+    /// Allows up to `max_open` open pipes; 0 allows none.
+    pub fn new(max_open: usize) -> Pipes {
+        Pipes { max_open, open_count: Rc::new(()) }
     }
 
-    /// Takes over another bound; open pipes above it go on.
-    pub fn reconfigure(&mut self, most: usize) {
-        self.most = most;
+    /// Replaces the limit. Pipes that are already open stay open.
+    pub fn reconfigure(&mut self, max_open: usize) {
+        self.max_open = max_open;
     }
 
-    /// Opens a pipe. None where there may be no more, or the system has none.
+    /// Opens a pipe. Returns `None` if the limit is reached or the system refuses.
     pub fn open(&self) -> Option<Pipe> {
-        if Rc::strong_count(&self.out) > self.most {
+        if Rc::strong_count(&self.open_count) > self.max_open {
             return None;
         }
         let (read, write) = pipe_with(PipeFlags::NONBLOCK | PipeFlags::CLOEXEC).ok()?;
-        Some(Pipe { read, write, held: 0, _counted: Rc::clone(&self.out) })
+        Some(Pipe { read, write, held: 0, _open_count: Rc::clone(&self.open_count) })
     }
 }
 
-/// A pipe.
+/// A pipe that holds bytes on their way from one socket to another.
 pub struct Pipe {
     read: OwnedFd,
     write: OwnedFd,
     held: usize,
-    _counted: Rc<()>,
+    _open_count: Rc<()>,
 }
 
 impl Pipe {
-    /// Bytes in it.
+    /// Returns the number of bytes in the pipe.
     pub fn held(&self) -> usize {
         self.held
     }
 }
 
-/// Never blocks; pages may be moved in place of copied.
+/// Never block; let the kernel move pages instead of copying them.
 const SPLICE_FLAGS: SpliceFlags = SpliceFlags::NONBLOCK.union(SpliceFlags::MOVE);
 
 impl Conn {
-    /// Moves `most` bytes at most into a pipe. Returns how many, and whether there may be more at once. Not for TLS, and only
-    /// while `rx` is empty.
-    pub fn splice_in(&mut self, pipe: &mut Pipe, most: usize) -> (usize, bool) {
+    /// Moves up to `max_bytes` bytes from the socket into a pipe. Returns how many, and whether there may be
+    /// more at once. Not for TLS, and only while `rx` is empty.
+    pub fn splice_in(&mut self, pipe: &mut Pipe, max_bytes: usize) -> (usize, bool) {
         while !(self.eof || self.broken) {
             match splice(
                 &*self.stream,
                 None,
                 &pipe.write,
                 None,
-                most.min(PIPE_CAPACITY_BYTES - pipe.held),
+                max_bytes.min(PIPE_CAPACITY_BYTES - pipe.held),
                 SPLICE_FLAGS,
             ) {
                 Ok(0) => self.eof = true,
@@ -84,21 +85,22 @@
         (0, false)
     }
 
-    /// Moves the bytes of a pipe to the peer as far as it takes them. Returns how many. Only while `tx` is empty.
+    /// Moves the bytes of a pipe to the socket until it would block. Returns how many. Only while `tx` is
+    /// empty.
     pub fn splice_out(&mut self, pipe: &mut Pipe) -> usize {
-        let mut taken = 0;
-        while pipe.held > 0 && !(self.broken || self.takes_nothing) {
+        let mut written = 0;
+        while pipe.held > 0 && !(self.broken || self.write_failed) {
             match splice(&pipe.read, None, &*self.stream, None, pipe.held, SPLICE_FLAGS) {
                 Ok(count) if count > 0 => {
                     pipe.held -= count;
-                    taken += count;
+                    written += count;
                 }
                 Err(Errno::AGAIN) => break,
                 Err(Errno::INTR) => {}
-                _ => self.takes_nothing = true,
+                _ => self.write_failed = true,
             }
         }
-        self.sent += taken as u64;
-        taken
+        self.sent += written as u64;
+        written
     }
 }
