--- a/src/frontend/http/attempts.rs
+++ b/src/frontend/http/attempts.rs
@@ -42,7 +42,7 @@
             true => WritePermission::Granted,
             false => self.upstreams.write_permission(id.job),
         };
-        let is_intact = net.conn(conn).is_some_and(|conn| conn.is_fresh());
+        let is_intact = net.conn(conn).is_some_and(|conn| conn.is_reusable());
         if is_valid && is_intact && self.upstreams.is_write_delayed(conn) {
             // The endpoint may be closing a connection that was used just before. A request that crosses the
             // close may have run, and would have to be answered as failed; so the attempt waits (see
--- a/src/frontend/http/responses.rs
+++ b/src/frontend/http/responses.rs
@@ -25,7 +25,7 @@
         if let Some(client) = self.clients.get_mut(id) {
             (client.job, client.idle_since_ms) = (None, now_ms);
         }
-        let close = net.conn(id).is_some_and(|conn| conn.closes_after_answer);
+        let close = net.conn(id).is_some_and(|conn| conn.closes_after_response);
         self.respond_with_answer(net, id, answer, close);
         self.clients.answered.push(id);
     }
@@ -88,7 +88,7 @@
         // An upgrade link stays open until the process ends: the process at its other end could not open
         // another one.
         let is_ending = self.has_stopped_accepting() && client.is_none_or(|client| !client.is_upgrade_link);
-        let is_last = net.conn(id).is_some_and(|conn| conn.closes_after_answer);
+        let is_last = net.conn(id).is_some_and(|conn| conn.closes_after_response);
         is_last || is_sent_away || is_ending || matches!(status, 400 | 413 | 501)
     }
 }
