--- a/src/frontend/streaming/answers.rs
+++ b/src/frontend/streaming/answers.rs
@@ -91,8 +91,7 @@
             self.end_attempt(net, stream, Outcome::Error);
             return 0;
         };
-        if upstream.eof && upstream.rx.is_empty() && !relay.decoder.is_done() && relay.decoder.on_eof()
-        {
+        if upstream.eof && upstream.rx.is_empty() && !relay.decoder.is_done() && relay.decoder.on_eof() {
             // All that came before the end was the body.
             blocked = relay.relay_buffered(upstream, client, |_| ()).unwrap_or(false);
         }
