--- a/src/flow/hold.rs
+++ b/src/flow/hold.rs
@@ -8,7 +8,7 @@
     Head,
     /// Dispatch once a prefix of the body, or all of it, has been received.
     Prefix,
-    /// As `Prefix`, but only if the prefix arrived at the minimum pace; otherwise the client is given up.
+    /// As `Prefix`, but only if the prefix arrived at the minimum pace; otherwise the request is rejected.
     Pace,
 }
 
@@ -19,7 +19,7 @@
     Wait,
     /// Dispatch the request.
     Dispatch,
-    /// Give the client up, because it sends too slowly.
+    /// Reject the request, because its client sends too slowly.
     GiveUp,
 }
 
--- a/src/flow/meter.rs
+++ b/src/flow/meter.rs
@@ -60,8 +60,8 @@
         }
         self.last_progress_at = now;
         self.bytes += bytes as f64;
-        // A window that is over starts anew here, so that bytes above the minimum count only for this window.
-        // Without that a fast start would make up for a long slow rest.
+        // Start a new window once this one is complete, so that bytes above the minimum count only for the
+        // window in which they were transferred. Otherwise a fast start would make up for a long slow rest.
         if self.bytes >= self.required_bytes()
             && self.waited_ms + self.waiting_since.map_or(0.0, |since| now - since) >= self.pace.window_ms
         {
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -76,7 +76,7 @@
     pub stream: StreamId,
     /// The channel of the stream.
     pub direction: Direction,
-    /// The most bytes to read; 0 means that nothing is read.
+    /// Maximum number of bytes to read; 0 means that nothing is read.
     pub read_limit: usize,
 }
 
--- a/src/flow/tests.rs
+++ b/src/flow/tests.rs
@@ -279,9 +279,9 @@
         let (window, pool) = (6_000, 9_000);
         let mut flow = flow(6, window, pool);
         let (mut held, mut now) = ([0usize; 6], 0.0);
-        for (stream, what, size) in steps {
+        for (stream, event, size) in steps {
             now += 1.0;
-            match what {
+            match event {
                 0 => flow.on_readable(stream, Direction::Up, now),
                 1 => flow.on_writable(stream, Direction::Up, now),
                 _ => {
@@ -289,7 +289,7 @@
                     let at = turn.stream as usize;
                     let read = turn.read_limit.min(size);
                     held[at] += read;
-                    let written = if what == 2 { held[at].min(size) } else { 0 };
+                    let written = if event == 2 { held[at].min(size) } else { 0 };
                     held[at] -= written;
                     let more = read == turn.read_limit;
                     let result = TurnResult {
--- a/src/flow/turns.rs
+++ b/src/flow/turns.rs
@@ -8,8 +8,8 @@
 /// 20 ms late behind 200 full-speed streams, and a small request needs two turns.
 pub const SHORT_CHANNEL_BYTES: u64 = 64 * 1024;
 
-/// Turns of short channels before a waiting long channel gets one: limits the share that small requests take
-/// from long streams.
+/// Turns of short channels before a waiting long channel gets one. This limits the share that small requests
+/// take from long streams.
 pub const MAX_SHORT_TURNS_IN_A_ROW: usize = 8;
 
 /// A channel of a stream.
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -50,8 +50,9 @@
 /// Why a body is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// A chunk header line has no hexadecimal size of at most 15 digits, or invalid characters behind it.
-    #[error("chunk header does not start with a valid hexadecimal size")]
+    /// A chunk header line is not a hexadecimal size of at most 15 digits followed by valid extensions or CR
+    /// LF.
+    #[error("chunk header is not a hexadecimal size followed by extensions or CR LF")]
     ChunkSize,
     /// A chunk header line exceeds `MAX_CHUNK_LINE_BYTES`, or all extensions together exceed the limit.
     #[error("chunk extensions exceed the size limit")]
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -4,7 +4,7 @@
 /// Descriptors reserved for the event loop, signals, standard streams, listeners, discovery and connections
 /// being accepted.
 const RESERVED_DESCRIPTORS: usize = 48;
-/// Most descriptors that the budget distributes; memory is not planned for more.
+/// Maximum number of descriptors that the budget distributes; memory is not planned for more.
 const MAX_DESCRIPTORS: usize = 4096;
 
 /// Client connections that remain available without a job when the limit on jobs is reached.
@@ -25,9 +25,9 @@
 }
 
 impl Budget {
-    /// Distributes `max_descriptors` descriptors. A quarter goes to endpoints: a connection to an endpoint is
-    /// in use only until it has accepted the job, a client's until the job is done. Returns `None` if there
-    /// are too few descriptors to serve.
+    /// Distributes `max_descriptors` descriptors. A quarter goes to endpoints: a job occupies a connection to
+    /// an endpoint only until the endpoint has accepted it, but a client connection until it is done. Returns
+    /// `None` if there are too few descriptors to serve.
     ///
     /// A quarter of the memory is for what clients send, because buffers double as they grow and bodies are
     /// copied once when they are forwarded. The rest is for responses, the program itself and the endpoint
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -11,7 +11,7 @@
 
 use super::ring::Ring;
 
-/// Most bytes buffered in each direction of a connection: a body of 64 KiB with its head.
+/// Maximum number of bytes buffered in each direction of a connection: a body of 64 KiB with its head.
 pub const MAX_BUFFERED_BYTES: usize = 96 * 1024;
 
 /// A connection.
@@ -35,7 +35,8 @@
     pub write_failed: bool,
     /// Whether closing sends a reset, so that the peer does not take it for an orderly end.
     resets_on_close: bool,
-    /// Whether the connection is being closed: it ends once all queued bytes are written.
+    /// Set by a frontend that closes the connection: no further request is handled, and the connection ends
+    /// once all queued bytes are written.
     pub closing: bool,
     /// Whether the peer asked for the connection to be closed after the next response.
     pub closes_after_response: bool,
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -119,8 +119,9 @@
     }
 }
 
-/// Takes a complete response out of the buffer. Returns `None` while bytes are missing; `at_eof` says that no
-/// more bytes will arrive.
+/// Takes a complete response out of the buffer. Returns `None` while bytes are missing. `at_eof` says that no
+/// more bytes will arrive, which ends a body without a length; a response truncated by the end yields `None`
+/// as well.
 ///
 /// # Errors
 /// Returns an error if the bytes cannot become a valid response.
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -30,8 +30,8 @@
 
 impl<K: std::hash::Hash + Eq + Copy> Pool<K> {
     /// Creates a pool for peers that close connections after `limit_ms` milliseconds without a request. The
-    /// pool gives connections up well before that: a request sent while the peer closes the connection would
-    /// be lost.
+    /// pool gives connections up well before that, because a request sent while the peer closes its
+    /// connection would be lost.
     pub fn new(limit_ms: f64) -> Pool<K> {
         let mut pool =
             Pool { idle: FxHashMap::default(), max_idle_ms: 0.0, keep_alive: FxHashSet::default() };
@@ -45,8 +45,10 @@
     }
 
     /// Takes the most recently used connection to a peer, if it has been idle for less than the limit. For a
-    /// request that `is_harmed_by_reset` it must be known to be kept alive: on a connection that was used
-    /// just before, the peer's FIN may be in flight, and it would remain unknown whether the request has run.
+    /// request that `is_harmed_by_reset`, takes only a connection known to be kept alive: one to a peer that
+    /// has kept a connection alive before, or one that has been idle for `KEEP_ALIVE_CONFIRMED_MS`. On any
+    /// other connection the peer's FIN may be in flight, and it would remain unknown whether the request has
+    /// run.
     ///
     /// The caller must report through `on_checked` whether the connection was still open.
     pub fn take(&mut self, peer: K, now: f64, is_harmed_by_reset: bool) -> Option<PooledConnection> {
