--- a/src/core/stages/accept.rs
+++ b/src/core/stages/accept.rs
@@ -1,4 +1,4 @@
-//! Accept: counts a request and assigns its id. From here on each request gets exactly one final answer.
+//! Accept: counts a request and assigns its id. From here on the dispatcher owes it one final answer.
 
 use crate::core::counters::Counters;
 use crate::core::jobs::Jobs;
