--- a/src/frontend/streaming/answers.rs
+++ b/src/frontend/streaming/answers.rs
@@ -1,7 +1,7 @@
-//! Answers: passed on from an endpoint to the client, as they come.
+//! Responses: forwarding of heads, and relaying of bodies from an endpoint to the client.
 
 use super::StreamingFrontend;
-use super::exchange::{AnswerState, RequestPhase, Upstream};
+use super::exchange::{RequestPhase, ResponseState, Upstream};
 use super::transfer::{BodyRelay, Relayed};
 use crate::flow::{Direction, StreamId, Turn, TurnResult};
 use crate::frontend::Sockets;
@@ -10,49 +10,51 @@
 use crate::net::{MAX_BUFFERED_BYTES, Pipe, http};
 use crate::routing::Outcome;
 
-/// Interim answers (of status 1xx) that are passed on for one request: a bound on what an endpoint can have a client read.
-const MAX_INTERIM_ANSWERS: u8 = 16;
+/// Maximum number of interim (1xx) responses that are forwarded for one request, so that an endpoint cannot
+/// flood a client.
+const MAX_INTERIM_RESPONSES: u8 = 16;
 
 impl StreamingFrontend {
-    /// Handles the head of an answer: passes it on, or ends the attempt.
-    pub(super) fn begin_answer(&mut self, net: &mut Sockets, stream: StreamId, answer: &ResponseHead) {
+    /// Handles the head of a final response: forwards it to the client, or ends the attempt.
+    pub(super) fn on_response_head(&mut self, net: &mut Sockets, stream: StreamId, response: &ResponseHead) {
         let now = self.now();
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         let (Some(job), Some(Upstream { conn, .. })) = (exchange.job, exchange.upstream) else { return };
-        let declined = http::header_value(&answer.headers, "srv-declined") == Some("1");
-        if declined && matches!(answer.status, 503 | 504) && exchange.prefix.is_some() {
+        let declined = http::header_value(&response.headers, "srv-declined") == Some("1");
+        if declined && matches!(response.status, 503 | 504) && exchange.prefix.is_some() {
             return self.end_attempt(net, stream, Outcome::Full);
         }
-        let Ok(decoder) = Decoder::new(answer.framing, exchange.class_rules.max_body_bytes) else {
+        let Ok(decoder) = Decoder::new(response.framing, exchange.class_rules.max_body_bytes) else {
             return self.end_attempt(net, stream, Outcome::NoRetry);
         };
-        let framing = match answer.framing {
+        let framing = match response.framing {
             Framing::Chunked | Framing::UntilClose if exchange.head.is_http_1_0 => Framing::UntilClose,
             Framing::UntilClose => Framing::Chunked,
             other => other,
         };
-        // An answer before the body's end leaves the connections in the middle of a message.
+        // After a response that comes before the end of the request body, the connections are in the middle
+        // of a message and cannot be reused.
         exchange.closes_client |= framing == Framing::UntilClose || !exchange.decoder.is_done();
-        let stated_length = match answer.framing {
+        let stated_length = match response.framing {
             Framing::Empty if exchange.head.method == "HEAD" => {
-                http::header_value(&answer.headers, "content-length").and_then(|v| v.parse().ok())
+                http::header_value(&response.headers, "content-length").and_then(|v| v.parse().ok())
             }
             _ => None,
         };
-        // Guards against an answer to an attempt that has ended.
+        // The core ignores a response to an attempt that has already ended.
         if !self.core.on_response_started(job, exchange.attempt) {
             return;
         }
-        exchange.answer_deadline = f64::INFINITY;
-        let bytes = head::write_response(answer, framing, stated_length, exchange.closes_client);
+        exchange.response_deadline = f64::INFINITY;
+        let bytes = head::write_response(response, framing, stated_length, exchange.closes_client);
         let done = decoder.is_done();
-        let closes_upstream = answer.close || !matches!(exchange.request, RequestPhase::Done);
-        exchange.answer = Some(AnswerState {
+        let closes_upstream = response.close || !matches!(exchange.request, RequestPhase::Done);
+        exchange.response = Some(ResponseState {
             decoder,
             framing,
             last_chunk_written: false,
             pipe: None,
-            status: answer.status,
+            status: response.status,
             closes_upstream,
         });
         let Some([client, upstream]) = net.pair(exchange.client, conn) else { return };
@@ -68,22 +70,23 @@
         }
     }
 
-    /// Takes a turn of the channel down.
-    pub(super) fn relay_answer(&mut self, net: &mut Sockets, turn: Turn) -> usize {
+    /// Relays a part of a response body, in a turn of the downward channel.
+    pub(super) fn relay_response(&mut self, net: &mut Sockets, turn: Turn) -> usize {
         let (now, stream) = (self.now(), turn.stream);
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return 0 };
-        let (Some(answer), Some(Upstream { conn, .. })) = (&mut exchange.answer, exchange.upstream) else {
+        let (Some(response), Some(Upstream { conn, .. })) = (&mut exchange.response, exchange.upstream)
+        else {
             self.flow.on_turn_finished(turn, TurnResult::default(), now);
             return 0;
         };
         let Some([client, upstream]) = net.pair(exchange.client, conn) else { return 0 };
         let sent = client.sent;
-        let is_chunked = answer.framing == Framing::Chunked;
+        let is_chunked = response.framing == Framing::Chunked;
         let mut relay = BodyRelay {
-            decoder: &mut answer.decoder,
+            decoder: &mut response.decoder,
             is_chunked,
-            last_chunk_written: &mut answer.last_chunk_written,
-            pipe: &mut answer.pipe,
+            last_chunk_written: &mut response.last_chunk_written,
+            pipe: &mut response.pipe,
             pipes: &self.pipes,
         };
         let relayed = relay.relay(upstream, client, turn.read_limit, |_| ());
@@ -92,15 +95,15 @@
             return 0;
         };
         if upstream.eof && upstream.rx.is_empty() && !relay.decoder.is_done() && relay.decoder.on_eof() {
-            // All that came before the end was the body.
+            // The body is delimited by the end of the connection, so it is complete now.
             blocked = relay.relay_buffered(upstream, client, |_| ()).unwrap_or(false);
         }
-        let done = answer.decoder.is_done();
+        let done = response.decoder.is_done();
         let written = (client.sent - sent) as usize;
-        let piped = answer.pipe.as_ref().map_or(0, Pipe::held);
+        let piped = response.pipe.as_ref().map_or(0, Pipe::held);
         let held = client.tx.len() + piped + if done { 0 } else { upstream.rx.len() };
         let (gone, ended) = (client.write_failed || client.broken, upstream.eof || upstream.broken);
-        self.counters.down += written as u64;
+        self.counters.bytes_down += written as u64;
         self.flow.on_turn_finished(turn, TurnResult { read, more, written, held, blocked, full }, now);
         if gone {
             self.on_client_left(net, stream);
@@ -108,23 +111,23 @@
             self.flow.on_source_ended(stream, Direction::Down, now);
             if held == 0
                 && (!is_chunked
-                    || self.exchanges[&stream].answer.as_ref().is_some_and(|d| d.last_chunk_written))
+                    || self.exchanges[&stream].response.as_ref().is_some_and(|d| d.last_chunk_written))
             {
-                self.on_answer_relayed(net, stream);
+                self.on_response_relayed(net, stream);
             }
         } else if ended && !blocked {
-            // Guards against an answer that looks complete and is not.
+            // The response is incomplete, and must not look complete to the client.
             self.end_attempt(net, stream, Outcome::Reset);
         }
         read + written
     }
 
-    /// All of the answer is written.
-    fn on_answer_relayed(&mut self, net: &mut Sockets, stream: StreamId) {
+    /// Reports a completely written response to the core, and releases the upstream connection.
+    fn on_response_relayed(&mut self, net: &mut Sockets, stream: StreamId) {
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         exchange.is_complete = true;
         let (job, attempt) = (exchange.job, exchange.attempt);
-        let (status, close) = exchange.answer.as_ref().map_or((0, true), |d| (d.status, d.closes_upstream));
+        let (status, close) = exchange.response.as_ref().map_or((0, true), |d| (d.status, d.closes_upstream));
         let outcome = if status < 500 { Outcome::Served } else { Outcome::Error };
         let report = self.release_upstream(net, stream, !close);
         if let Some(job) = job {
@@ -132,26 +135,28 @@
         }
     }
 
-    /// Passes an interim answer on. False where there are too many, or its client takes none.
-    pub(super) fn forward_interim(
+    /// Forwards an interim response. Returns false if it is a 101, there are too many of them, or it does not
+    /// fit into the client's buffer. For HTTP/1.0 clients it is dropped, because that version has no interim
+    /// responses.
+    pub(super) fn forward_interim_response(
         &mut self,
         net: &mut Sockets,
         stream: StreamId,
-        answer: &ResponseHead,
+        response: &ResponseHead,
     ) -> bool {
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return false };
-        exchange.interim_answers += 1;
-        if answer.status == 101 || exchange.interim_answers > MAX_INTERIM_ANSWERS {
+        exchange.interim_responses += 1;
+        if response.status == 101 || exchange.interim_responses > MAX_INTERIM_RESPONSES {
             return false;
         }
         if exchange.head.is_http_1_0 {
             return true;
         }
-        net.write(exchange.client, &head::write_response(answer, Framing::Empty, None, false))
+        net.write(exchange.client, &head::write_response(response, Framing::Empty, None, false))
     }
 
-    /// Whether an exchange is a HEAD's.
-    pub(super) fn is_to_head(&self, stream: StreamId) -> bool {
+    /// Whether the request of an exchange is a HEAD request.
+    pub(super) fn is_head_request(&self, stream: StreamId) -> bool {
         self.exchanges.get(&stream).is_some_and(|e| e.head.method == "HEAD")
     }
 }
--- a/src/frontend/streaming/clients.rs
+++ b/src/frontend/streaming/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: their connections, the heads of their requests, what is rejected before its body is read, and the frontend's own
-//! answers.
+//! Client connections: reading request heads, rejecting requests before their bodies are read, and sending
+//! the frontend's own responses.
 
 use super::StreamingFrontend;
 use super::exchange::{Exchange, RequestPhase};
@@ -10,30 +10,33 @@
 use crate::net::http::{self, MAX_HEAD_BYTES, MessageError};
 use crate::net::{ConnId, MAX_BUFFERED_BYTES};
 
-/// How long a client may take to end its side once its last answer is written, in milliseconds.
+/// How long a lingering close waits for the client to close its side after the last response, in
+/// milliseconds.
 const LINGER_TIMEOUT_MS: f64 = 1000.0;
-/// Bytes of a rejected request that are read and dropped in a turn, lest they keep its client from its answer.
-const MAX_DRAINED_BYTES: usize = 1 << 20;
-/// Methods that are not passed on: they ask for a tunnel, or for the request back with its secrets.
+/// Bytes that a lingering close reads and discards per call. Unread bytes in the socket would reset the
+/// connection on close, and the client would lose the response.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+/// Methods that are not forwarded: CONNECT asks for a tunnel, and TRACE echoes the request,
+/// including its credentials.
 const REJECTED_METHODS: [&str; 2] = ["CONNECT", "TRACE"];
 
-/// What a client's connection is at.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientState {
-    /// Between requests.
+    /// No request is in progress.
     Idle,
-    /// Some of a head has come.
+    /// A part of a request head has been received.
     ReadingHead,
-    /// At a request of this stream.
+    /// The exchange with this id is in progress.
     Busy(StreamId),
-    /// Its last answer is written or queued; what it still sends is dropped.
-    Ending,
+    /// Lingering close: the last response is written or queued, and further input is discarded.
+    Lingering,
 }
 
-/// A connection that was accepted.
+/// An accepted client connection.
 pub(super) struct Client {
     state: ClientState,
-    /// When the state that it is in runs out, in milliseconds of the clock.
+    /// When the current state times out, in milliseconds of the clock.
     pub deadline: f64,
 }
 
@@ -47,27 +50,28 @@
 }
 
 impl StreamingFrontend {
-    /// Accepts the connections that wait. At the bound the one that has been idle longest makes room; where all are at a
-    /// request, a new one gets a 503 and is closed.
+    /// Accepts waiting connections. At the connection limit, the connection that has been idle longest is
+    /// closed in favour of the new one. If none is idle, the new connection gets a 503 and is closed.
     pub fn accept(&mut self, net: &mut Sockets) {
         for _ in 0..64 {
             if self.clients.len() >= self.config.table.connections {
                 let idle = self.clients.iter().filter(|(_, c)| c.state == ClientState::Idle);
                 let idle = idle.min_by(|a, b| a.1.deadline.total_cmp(&b.1.deadline)).map(|(&id, _)| id);
                 if let Some(idle) = idle {
-                    // What has come by now is accepted or rejected first.
+                    // A request that has already arrived on the idle connection is handled instead of lost.
                     self.on_client_ready(net, idle);
                     if self.clients.get(&idle).is_some_and(|c| c.state == ClientState::Idle) {
-                        self.drop_client(net, idle);
+                        self.disconnect_client(net, idle);
                     }
                 }
             }
             let Some(id) = net.accept(self.listener) else { return };
-            // Guards against a backlog that keeps the loop awake and its clients without an answer.
+            // Connections left in the backlog would keep the listener readable, so that the event loop spins,
+            // and their clients would get no response.
             if self.clients.len() >= self.config.table.connections {
                 self.counters.rejected_full += 1;
-                let advice = [("Retry-After", self.config.table.retry_after_s.ceil().to_string())];
-                net.write(id, &http::write_response(503, &advice, b"too many connections\n", true));
+                let retry_after = [("Retry-After", self.config.table.retry_after_s.ceil().to_string())];
+                net.write(id, &http::write_response(503, &retry_after, b"too many connections\n", true));
                 net.close(id);
                 continue;
             }
@@ -82,14 +86,15 @@
         let Some(conn) = net.conn(id) else { return };
         match state {
             ClientState::Busy(stream) => {
-                // While nobody reads it, only this tells that it is gone.
+                // While flow control does not read the connection, only this check detects a reset by the
+                // client.
                 if conn.is_reset() {
                     return self.on_client_left(net, stream);
                 }
                 self.flow.on_readable(stream, Direction::Up, now);
                 self.flow.on_writable(stream, Direction::Down, now);
             }
-            ClientState::Ending => self.drain(net, id),
+            ClientState::Lingering => self.discard_input(net, id),
             ClientState::Idle | ClientState::ReadingHead => self.read_head(net, id),
         }
     }
@@ -100,24 +105,24 @@
             let Some(conn) = net.conn(id) else { return };
             conn.write_queued();
             let more = conn.read_some((MAX_HEAD_BYTES + 1).saturating_sub(conn.rx.len()));
-            // Empty lines before a request are passed over (RFC 9112, 2.2).
+            // Empty lines before a request are ignored (RFC 9112, 2.2).
             while conn.rx.front().starts_with(b"\r\n") {
                 conn.rx.consume(2);
             }
-            let (gone, begun) = (conn.eof || conn.broken, !conn.rx.is_empty());
+            let (is_closed, has_input) = (conn.eof || conn.broken, !conn.rx.is_empty());
             let read = head::read_request(&mut conn.rx);
             let Some(client) = self.clients.get_mut(&id) else { return };
-            if begun && client.state == ClientState::Idle {
+            if has_input && client.state == ClientState::Idle {
                 (client.state, client.deadline) =
                     (ClientState::ReadingHead, now + self.config.table.head_s * 1e3);
             }
             return match read {
-                Ok(Some(head)) => self.request(net, id, head),
-                Ok(None) if gone => self.drop_client(net, id),
+                Ok(Some(head)) => self.on_request_head(net, id, head),
+                Ok(None) if is_closed => self.disconnect_client(net, id),
                 Ok(None) if more => continue,
                 Ok(None) => {}
-                Err(bad) => {
-                    let status = match bad {
+                Err(error) => {
+                    let status = match error {
                         MessageError::Malformed => 400,
                         MessageError::TooLarge => 413,
                         MessageError::Unsupported => 501,
@@ -128,13 +133,14 @@
         }
     }
 
-    /// Answers a request that was not accepted, and ends the connection: what comes behind its head is not read.
-    fn reject_unread(&mut self, net: &mut Sockets, id: ConnId, status: u16, why: &str) {
+    /// Rejects a request whose body was not read, and closes the connection, since the body would be read as
+    /// the next request.
+    fn reject_unread(&mut self, net: &mut Sockets, id: ConnId, status: u16, body: &str) {
         self.counters.rejected_unread += 1;
-        self.reply(net, id, status, 0.0, why, true);
+        self.reply(net, id, status, 0.0, body, true);
     }
 
-    fn request(&mut self, net: &mut Sockets, id: ConnId, head: RequestHead) {
+    fn on_request_head(&mut self, net: &mut Sockets, id: ConnId, head: RequestHead) {
         let now = self.now();
         let name = head.target.split(['/', '?']).nth(1).unwrap_or("");
         let Some(class) = self.config.table.class.iter().position(|c| c.name == name) else {
@@ -144,8 +150,8 @@
             return self.reject_unread(net, id, 405, "no such method here\n");
         }
         let class_rules = &self.config.classes[class];
-        let up = match Decoder::new(head.framing, class_rules.max_body_bytes) {
-            Ok(up) => up,
+        let decoder = match Decoder::new(head.framing, class_rules.max_body_bytes) {
+            Ok(decoder) => decoder,
             Err(BodyError::TooLong) => {
                 return self.reject_unread(net, id, 413, "the body is longer than its class allows\n");
             }
@@ -153,19 +159,20 @@
         };
         let tenant =
             http::header_value(&head.headers, &self.config.table.tenant_header).unwrap_or("").to_string();
-        if self.is_past_last_call() {
+        if self.has_stopped_accepting() {
             return self.reply(net, id, 503, 0.0, "stopping\n", true);
         }
-        if let Err(full) = self.admission.enter(&tenant) {
+        if let Err(error) = self.admission.enter(&tenant) {
             self.counters.rejected_full += 1;
-            let close = !up.is_done();
-            let advice = self.config.table.retry_after_s * 1e3;
-            return self.reply(net, id, 503, advice, &format!("{full}\n"), close);
+            let close = !decoder.is_done();
+            let retry_after_ms = self.config.table.retry_after_s * 1e3;
+            return self.reply(net, id, 503, retry_after_ms, &format!("{error}\n"), close);
         }
-        // The endpoint is to say whether it wants the body: there is nothing to hold the request for.
-        let asks = http::header_value(&head.headers, "expect").is_some();
-        let when = if asks { DispatchCondition::Head } else { class_rules.dispatch };
-        let hold =
+        // With `Expect: 100-continue` a client sends no body before the endpoint asks for it, so there
+        // is no prefix to wait for.
+        let expects_continue = http::header_value(&head.headers, "expect").is_some();
+        let when = if expects_continue { DispatchCondition::Head } else { class_rules.dispatch };
+        let held =
             HeldRequest::new(when, class_rules.prefix_bytes, class_rules.allowance.pace.min_bytes_per_s, now);
         let (class_rules, close) = (class_rules.clone(), head.close);
         self.last_stream += 1;
@@ -175,43 +182,43 @@
             (client.state, client.deadline) = (ClientState::Busy(stream), f64::INFINITY);
         }
         if let Some(conn) = net.conn(id) {
-            // What a window lets in beside what came with the head.
-            let most = class_rules.allowance.window + MAX_HEAD_BYTES + 1;
-            conn.rx.set_limit(most.max(MAX_BUFFERED_BYTES), class_rules.allowance.window);
+            // A window of body bytes, in addition to those that arrived together with the head.
+            let limit = class_rules.allowance.window + MAX_HEAD_BYTES + 1;
+            conn.rx.set_limit(limit.max(MAX_BUFFERED_BYTES), class_rules.allowance.window);
         }
-        let whole = up.is_done();
-        let exchange = Exchange::new(id, class, class_rules, tenant, head, up, hold, close);
+        let is_body_received = decoder.is_done();
+        let exchange = Exchange::new(id, class, class_rules, tenant, head, decoder, held, close);
         self.exchanges.insert(stream, exchange);
-        if whole || asks {
-            return self.route(net, stream);
+        if is_body_received || expects_continue {
+            return self.submit_job(net, stream);
         }
         self.flow.hold(stream, Direction::Up, now);
     }
 
-    /// Writes the frontend's own answer to a client that is at no stream (any more). `retry_after` is in milliseconds; 0
-    /// gives no advice.
+    /// Sends one of the frontend's own responses to a client that has no exchange, or whose exchange was
+    /// removed. `retry_after_ms` becomes the `Retry-After` header; 0 omits the header.
     pub(super) fn reply(
         &mut self,
         net: &mut Sockets,
         id: ConnId,
         status: u16,
-        retry_after: f64,
-        why: &str,
+        retry_after_ms: f64,
+        body: &str,
         close: bool,
     ) {
-        let close = close || self.is_past_last_call();
+        let close = close || self.has_stopped_accepting();
         let mut headers = vec![("Content-Type", "text/plain".to_string())];
-        if retry_after > 0.0 {
-            headers.push(("Retry-After", format!("{}", (retry_after / 1e3).ceil())));
+        if retry_after_ms > 0.0 {
+            headers.push(("Retry-After", format!("{}", (retry_after_ms / 1e3).ceil())));
         }
-        if !net.write(id, &http::write_response(status, &headers, why.as_bytes(), close)) {
-            return self.drop_client(net, id);
+        if !net.write(id, &http::write_response(status, &headers, body.as_bytes(), close)) {
+            return self.disconnect_client(net, id);
         }
-        if close { self.end_client(net, id) } else { self.free_client(net, id) }
+        if close { self.start_lingering_close(net, id) } else { self.set_client_idle(net, id) }
     }
 
-    /// A client's connection is between requests again; its next one may have come.
-    pub(super) fn free_client(&mut self, net: &mut Sockets, id: ConnId) {
+    /// Makes a client connection idle after an exchange. Its next request may already be buffered.
+    pub(super) fn set_client_idle(&mut self, net: &mut Sockets, id: ConnId) {
         let deadline = self.now() + self.config.table.idle_s * 1e3;
         let (Some(client), Some(conn)) = (self.clients.get_mut(&id), net.conn(id)) else { return };
         (client.state, client.deadline) = (ClientState::Idle, deadline);
@@ -219,94 +226,95 @@
         self.clients_to_read.push(id);
     }
 
-    /// A client's connection ends once its answer is written. What it still sends is read and dropped for a while: a
-    /// close with bytes unread would take the answer back.
-    pub(super) fn end_client(&mut self, net: &mut Sockets, id: ConnId) {
+    /// Starts the lingering close of a client connection: once the response is written, input is read and
+    /// discarded until the client closes its side or `LINGER_TIMEOUT_MS` has passed. A close with unread
+    /// input would reset the connection, and the client could lose the response.
+    pub(super) fn start_lingering_close(&mut self, net: &mut Sockets, id: ConnId) {
         let deadline = self.now() + LINGER_TIMEOUT_MS;
         let (Some(client), Some(conn)) = (self.clients.get_mut(&id), net.conn(id)) else { return };
-        if client.state != ClientState::Ending {
-            (client.state, client.deadline) = (ClientState::Ending, deadline);
+        if client.state != ClientState::Lingering {
+            (client.state, client.deadline) = (ClientState::Lingering, deadline);
             conn.rx.consume(conn.rx.len());
             conn.rx.set_limit(MAX_BUFFERED_BYTES, 0);
             self.clients_to_read.push(id);
         }
     }
 
-    fn drain(&mut self, net: &mut Sockets, id: ConnId) {
+    fn discard_input(&mut self, net: &mut Sockets, id: ConnId) {
         let Some(conn) = net.conn(id) else { return };
         conn.write_queued();
         if conn.is_written() && !conn.closing {
             conn.closing = true;
             conn.shut_down_write();
         }
-        let mut drained = 0;
+        let mut discarded = 0;
         loop {
             let more = conn.read_some(MAX_BUFFERED_BYTES);
-            drained += conn.rx.len();
+            discarded += conn.rx.len();
             conn.rx.consume(conn.rx.len());
             if conn.eof && conn.closing || conn.broken {
-                return self.drop_client(net, id);
+                return self.disconnect_client(net, id);
             }
             if !more {
                 return;
             }
-            // Guards against a client that sends without end: others have their turn.
-            if drained >= MAX_DRAINED_BYTES {
+            // A client that sends without end must not keep the event loop from other connections.
+            if discarded >= MAX_DISCARDED_BYTES {
                 return self.clients_to_read.push(id);
             }
         }
     }
 
-    pub(super) fn drop_client(&mut self, net: &mut Sockets, id: ConnId) {
+    pub(super) fn disconnect_client(&mut self, net: &mut Sockets, id: ConnId) {
         let stream = self.clients.get(&id).and_then(Client::stream);
-        // Its stream may have ended, and the frontend's own answer have found no room.
+        // The exchange may already be gone, if the frontend's own response did not fit into the buffer.
         match stream.filter(|stream| self.exchanges.contains_key(stream)) {
             Some(stream) => self.on_client_left(net, stream),
-            None => self.cut_client(net, id),
+            None => self.close_client(net, id),
         }
     }
 
-    /// Forgets a client's connection whose stream is over.
-    pub(super) fn cut_client(&mut self, net: &mut Sockets, id: ConnId) {
+    /// Closes a client connection that has no exchange.
+    pub(super) fn close_client(&mut self, net: &mut Sockets, id: ConnId) {
         self.clients.remove(&id);
         net.close(id);
     }
 
     pub(super) fn expire_clients(&mut self, net: &mut Sockets, now: f64) {
-        let over = self.clients.iter().filter(|(_, c)| c.deadline <= now).map(|(&id, c)| (id, c.state));
-        let mut over: Vec<(ConnId, ClientState)> = over.collect();
-        over.sort_unstable_by_key(|&(id, _)| id);
-        for (id, at) in over {
-            match at {
+        let expired = self.clients.iter().filter(|(_, c)| c.deadline <= now).map(|(&id, c)| (id, c.state));
+        let mut expired: Vec<(ConnId, ClientState)> = expired.collect();
+        expired.sort_unstable_by_key(|&(id, _)| id);
+        for (id, state) in expired {
+            match state {
                 ClientState::ReadingHead => {
                     self.reject_unread(net, id, 408, "the request's head took too long\n");
                 }
-                _ => self.drop_client(net, id),
+                _ => self.disconnect_client(net, id),
             }
         }
     }
 
-    /// Closes connections between requests, once the program stops.
+    /// Closes idle client connections during a shutdown.
     pub(super) fn close_idle(&mut self, net: &mut Sockets) {
         let idle = self.clients.iter().filter(|(_, c)| c.state == ClientState::Idle).map(|(&id, _)| id);
         for id in idle.collect::<Vec<_>>() {
-            // What has come by now is read first, and rejected.
+            // A request that has already arrived is read and rejected first.
             self.on_client_ready(net, id);
             let written = net.conn(id).is_none_or(|conn| conn.tx.is_empty());
             if written && self.clients.get(&id).is_some_and(|c| c.state == ClientState::Idle) {
-                self.drop_client(net, id);
+                self.disconnect_client(net, id);
             }
         }
     }
 
-    /// Dispatches a request whose body is held, once it is time to.
+    /// Dispatches a held request once its dispatch condition is met, or rejects it if the client is too slow.
     pub(super) fn dispatch_if_ready(&mut self, net: &mut Sockets, stream: StreamId, now: f64) {
         let Some(exchange) = self.exchanges.get(&stream) else { return };
         let RequestPhase::Held(hold) = &exchange.request else { return };
         let received = exchange.prefix.as_ref().map_or(0, Vec::len);
         match hold.decide(received, exchange.decoder.is_done(), now) {
             crate::flow::HoldDecision::Wait => {}
-            crate::flow::HoldDecision::Dispatch => self.route(net, stream),
+            crate::flow::HoldDecision::Dispatch => self.submit_job(net, stream),
             crate::flow::HoldDecision::GiveUp => {
                 self.counters.slow_clients += 1;
                 self.reject(net, stream, 408, 0.0);
--- a/src/frontend/streaming/endings.rs
+++ b/src/frontend/streaming/endings.rs
@@ -1,4 +1,4 @@
-//! How attempts and exchanges end: served, rejected, cut, or given up.
+//! Ending of attempts and exchanges: complete responses, rejections, aborts and timeouts.
 
 use super::StreamingFrontend;
 use super::exchange::{Exchange, RequestPhase, Upstream};
@@ -8,12 +8,12 @@
 use crate::routing::{LoadReport, Outcome};
 
 impl StreamingFrontend {
-    /// An attempt has ended otherwise than with a complete answer. The core decides what follows.
+    /// Ends an attempt that has no complete response. The core decides whether the job is retried or fails.
     pub(super) fn end_attempt(&mut self, net: &mut Sockets, stream: StreamId, outcome: Outcome) {
         let now = self.now();
         let report = self.release_upstream(net, stream, false);
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
-        exchange.answer_deadline = f64::INFINITY;
+        exchange.response_deadline = f64::INFINITY;
         exchange.request = RequestPhase::Paused;
         exchange.pipe = None;
         let (job, attempt) = (exchange.job, exchange.attempt);
@@ -24,17 +24,17 @@
         }
     }
 
-    /// Takes the connection to the endpoint off an exchange, and gives its slot back. The connection is used again where
-    /// `keep` allows it, or closed.
+    /// Detaches the upstream connection from an exchange and releases the endpoint's slot. The connection is
+    /// pooled if `keep` is set and it is usable, and closed otherwise. Returns the load of the endpoint.
     pub(super) fn release_upstream(&mut self, net: &mut Sockets, stream: StreamId, keep: bool) -> LoadReport {
         let upstream = self.exchanges.get_mut(&stream).and_then(|e| e.upstream.take());
         let Some(Upstream { conn, endpoint }) = upstream else { return LoadReport::default() };
         self.slots.release(endpoint);
-        self.free_upstream(net, conn, keep);
+        self.pool_or_close_upstream(net, conn, keep);
         self.slots.report(endpoint)
     }
 
-    /// Takes an exchange out, with all that it holds but its client's connection.
+    /// Removes an exchange and releases all its resources except the client's connection.
     fn remove(&mut self, net: &mut Sockets, stream: StreamId) -> Option<Exchange> {
         self.release_upstream(net, stream, false);
         let exchange = self.exchanges.remove(&stream)?;
@@ -42,32 +42,33 @@
         self.admission.leave(&exchange.tenant);
         if let Some(job) = exchange.job {
             self.streams.remove(&job);
-            // Where the job has not ended already.
+            // Cancels the job if it has not ended yet.
             self.core.on_client_left(job);
         }
         Some(exchange)
     }
 
-    /// Ends an exchange whose answer was relayed completely.
+    /// Ends an exchange whose response was relayed completely.
     pub(super) fn finish(&mut self, net: &mut Sockets, stream: StreamId) {
         let Some(exchange) = self.remove(net, stream) else { return };
         self.counters.completed += 1;
         if exchange.closes_client {
-            self.end_client(net, exchange.client);
+            self.start_lingering_close(net, exchange.client);
         } else {
-            self.free_client(net, exchange.client);
+            self.set_client_idle(net, exchange.client);
         }
     }
 
-    /// Gives the frontend's own final answer: a status, or where the answer has begun, a break that the client sees.
-    /// `retry_after` is in milliseconds; 0 gives no advice.
-    pub(super) fn reject(&mut self, net: &mut Sockets, stream: StreamId, status: u16, retry_after: f64) {
+    /// Ends an exchange with a response of the frontend's own. If the endpoint's response has already begun,
+    /// the client connection is closed such that the client can tell that the response is incomplete.
+    /// `retry_after_ms` becomes the `Retry-After` header; 0 omits the header.
+    pub(super) fn reject(&mut self, net: &mut Sockets, stream: StreamId, status: u16, retry_after_ms: f64) {
         if self.exchanges.get(&stream).is_some_and(|e| e.is_complete) {
             return self.finish(net, stream);
         }
         let Some(exchange) = self.remove(net, stream) else { return };
-        let Some(answer) = exchange.answer else {
-            let why = match status {
+        let Some(response) = exchange.response else {
+            let body = match status {
                 400 => "the body does not read\n",
                 408 => "too slow\n",
                 413 => "the body is longer than its class allows\n",
@@ -75,51 +76,52 @@
                 _ => "failed\n",
             };
             let close = exchange.closes_client || !exchange.decoder.is_done();
-            return self.reply(net, exchange.client, status, retry_after, why, close);
+            return self.reply(net, exchange.client, status, retry_after_ms, body, close);
         };
-        self.counters.cut += 1;
-        if answer.framing == Framing::UntilClose
+        self.counters.aborted += 1;
+        if response.framing == Framing::UntilClose
             && let Some(conn) = net.conn(exchange.client)
         {
             conn.reset_on_close();
         }
-        self.cut_client(net, exchange.client);
+        self.close_client(net, exchange.client);
     }
 
-    /// The client has gone: the exchange ends without an answer.
+    /// Ends an exchange without a response, because its client has disconnected.
     pub(super) fn on_client_left(&mut self, net: &mut Sockets, stream: StreamId) {
         if let Some(exchange) = self.remove(net, stream) {
-            self.cut_client(net, exchange.client);
+            self.close_client(net, exchange.client);
         }
     }
 
-    /// Gives up peers that are too slow or too silent, and endpoints that do not begin to answer.
+    /// Gives up peers that are too slow or silent, and endpoints whose response has not begun in time.
     pub(super) fn expire_streams(&mut self, net: &mut Sockets, now: f64) {
-        for given in self.flow.expire(now) {
-            self.counters.count_given_up(&given);
-            let is_client = (given.direction == Direction::Up) == (given.side == Side::Source);
+        for failed_peer in self.flow.expire(now) {
+            self.counters.count_failed_peer(&failed_peer);
+            let is_client = (failed_peer.direction == Direction::Up) == (failed_peer.side == Side::Source);
             if is_client {
-                self.reject(net, given.stream, 408, 0.0);
+                self.reject(net, failed_peer.stream, 408, 0.0);
             } else {
-                self.end_attempt(net, given.stream, Outcome::TimedOut);
+                self.end_attempt(net, failed_peer.stream, Outcome::TimedOut);
             }
         }
-        let late = self.exchanges.iter().filter(|(_, e)| e.answer_deadline <= now).map(|(&stream, _)| stream);
-        let mut late: Vec<StreamId> = late.collect();
-        late.sort_unstable();
-        for stream in late {
+        let overdue =
+            self.exchanges.iter().filter(|(_, e)| e.response_deadline <= now).map(|(&stream, _)| stream);
+        let mut overdue: Vec<StreamId> = overdue.collect();
+        overdue.sort_unstable();
+        for stream in overdue {
             self.counters.silent_servers += 1;
             self.end_attempt(net, stream, Outcome::TimedOut);
         }
     }
 
-    /// Ends all streams: the time that a stop leaves them is over.
-    pub(super) fn cut_all(&mut self, net: &mut Sockets) {
+    /// Aborts all exchanges when the time limit of a shutdown is reached.
+    pub(super) fn abort_all(&mut self, net: &mut Sockets) {
         let mut streams: Vec<StreamId> = self.exchanges.keys().copied().collect();
         streams.sort_unstable();
         for stream in streams {
-            let taken = self.exchanges.get(&stream).is_some_and(|e| e.job.is_some());
-            self.reject(net, stream, if taken { 502 } else { 503 }, 0.0);
+            let was_accepted = self.exchanges.get(&stream).is_some_and(|e| e.job.is_some());
+            self.reject(net, stream, if was_accepted { 502 } else { 503 }, 0.0);
         }
     }
 }
--- a/src/frontend/streaming/exchange.rs
+++ b/src/frontend/streaming/exchange.rs
@@ -1,8 +1,10 @@
-//! An exchange: a request and its answer, from the request's head until both bodies have passed.
+//! An exchange: a request and its response, from the head of the request until both bodies are relayed.
+//!
+//! The phases of a request:
 //!
 //! ```text
-//! Held --dispatched--> Paused --the core sends an attempt--> Relaying --all is with the endpoint--> Done
-//!                        ^------the attempt ended or was cancelled------/
+//! Held --dispatched--> Paused --the core sends an attempt--> Relaying --request fully written--> Done
+//!                        ^----the attempt ended or was cancelled----/
 //! ```
 
 use super::config::StreamClass;
@@ -12,106 +14,107 @@
 use crate::net::{Conn, ConnId, Pipe};
 use crate::routing::{EndpointId, JobId};
 
-/// What the request's body is at.
+/// The phase of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestPhase {
-    /// Its prefix is held until it is dispatched.
+    /// The request is not dispatched yet; a prefix of its body is collected.
     Held(HeldRequest),
-    /// The core is to send an attempt, or the body goes no further: nothing of it is read.
+    /// The body is not read: the core has not sent an attempt yet, or no endpoint accepts more of the body.
     Paused,
-    /// It is relayed to an endpoint.
+    /// The body is relayed to an endpoint.
     Relaying,
-    /// All of it is with the endpoint.
+    /// The whole request is written to the endpoint.
     Done,
 }
 
-/// How far a request's body has got after a turn.
+/// The progress of a request body after a turn.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestProgress {
-    /// More of it is to come, or to be written.
-    Underway,
-    /// The client's connection broke.
-    ClientGone,
-    /// The endpoint reads no more of it.
-    NotTaken,
-    /// All of it was read; `is_written` once the endpoint's socket has taken all.
-    Ended { is_written: bool },
-    /// The client ended its side before the body's end.
-    CutShort,
+    /// More of the body must be received or written.
+    InProgress,
+    /// The client's connection failed.
+    ClientDisconnected,
+    /// The endpoint accepts no more of the body.
+    UpstreamWriteFailed,
+    /// The whole body was read; `is_written` once it is also written to the endpoint's socket.
+    Complete { is_written: bool },
+    /// The client shut down its side of the connection before the end of the body.
+    Truncated,
 }
 
 impl RequestProgress {
-    /// The progress after a turn. `unwritten` are the bytes still to be written of a body whose end was read; `blocked` tells
-    /// that the endpoint's socket takes no more for now.
+    /// Returns the progress after a turn. `unwritten` is the number of bytes still to be written if the end
+    /// of the body was read. `blocked` means that the endpoint's socket accepts no more bytes for now.
     pub fn of(client: &Conn, upstream: &Conn, unwritten: Option<usize>, blocked: bool) -> RequestProgress {
         if client.broken {
-            RequestProgress::ClientGone
+            RequestProgress::ClientDisconnected
         } else if upstream.write_failed {
-            RequestProgress::NotTaken
+            RequestProgress::UpstreamWriteFailed
         } else if let Some(unwritten) = unwritten {
-            RequestProgress::Ended { is_written: unwritten == 0 }
+            RequestProgress::Complete { is_written: unwritten == 0 }
         } else if client.eof && !blocked {
-            RequestProgress::CutShort
+            RequestProgress::Truncated
         } else {
-            RequestProgress::Underway
+            RequestProgress::InProgress
         }
     }
 }
 
-/// The answer, from when its head was passed on.
-pub(super) struct AnswerState {
+/// The state of a response whose head was forwarded.
+pub(super) struct ResponseState {
     pub decoder: Decoder,
     pub framing: Framing,
-    /// The last chunk was written.
+    /// Whether the last chunk is written or queued.
     pub last_chunk_written: bool,
-    /// Through which a long body goes, where it may.
+    /// The pipe through which a long body is spliced.
     pub pipe: Option<Pipe>,
     pub status: u16,
-    /// The connection to the endpoint cannot be used again after it.
+    /// Whether the connection to the endpoint cannot be reused after this response.
     pub closes_upstream: bool,
 }
 
-/// The connection of an attempt, and the endpoint at its other end.
+/// The connection of an attempt, and its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Upstream {
     pub conn: ConnId,
     pub endpoint: EndpointId,
 }
 
-/// An exchange.
+/// A request, its attempts and its response.
 pub(super) struct Exchange {
     pub client: ConnId,
     pub class: usize,
     pub class_rules: StreamClass,
     pub tenant: String,
     pub head: RequestHead,
-    /// Reads the request's body.
+    /// Decoder of the request body.
     pub decoder: Decoder,
-    /// What was read of the request's body so far, while all of that is here: then the request can be sent (again).
+    /// All payload read of the request body so far, as long as it is short enough to be kept. With it the
+    /// request can be sent, or sent again; without it no further attempt is possible.
     pub prefix: Option<Vec<u8>>,
     pub request: RequestPhase,
-    /// The last chunk of the request was written.
+    /// Whether the last chunk of the request is written or queued.
     pub last_chunk_written: bool,
-    /// Through which a long body goes, where it may.
+    /// The pipe through which a long request body is spliced.
     pub pipe: Option<Pipe>,
-    /// The job, once the core has taken it.
+    /// The job, once the core has accepted it.
     pub job: Option<JobId>,
-    /// The number of the last attempt at the job.
+    /// Number of the latest attempt at the job.
     pub attempt: usize,
-    /// The connection that the attempt has, and its endpoint.
+    /// The connection of the current attempt.
     pub upstream: Option<Upstream>,
-    pub answer: Option<AnswerState>,
-    pub interim_answers: u8,
-    /// When the answer must have begun, in milliseconds of the clock.
-    pub answer_deadline: f64,
-    /// The client's connection ends with the exchange.
+    pub response: Option<ResponseState>,
+    pub interim_responses: u8,
+    /// Deadline for the start of the response, in milliseconds of the clock.
+    pub response_deadline: f64,
+    /// Whether the client's connection is closed after the exchange.
     pub closes_client: bool,
-    /// All of the answer was written.
+    /// Whether the whole response is written.
     pub is_complete: bool,
 }
 
 impl Exchange {
-    #[expect(clippy::too_many_arguments, reason = "all that a request's head tells")]
+    #[expect(clippy::too_many_arguments, reason = "all of it comes from the head of the request")]
     pub fn new(
         client: ConnId,
         class: usize,
@@ -119,7 +122,7 @@
         tenant: String,
         head: RequestHead,
         decoder: Decoder,
-        hold: HeldRequest,
+        held: HeldRequest,
         closes_client: bool,
     ) -> Exchange {
         Exchange {
@@ -130,23 +133,23 @@
             head,
             decoder,
             prefix: Some(Vec::new()),
-            request: RequestPhase::Held(hold),
+            request: RequestPhase::Held(held),
             last_chunk_written: false,
             pipe: None,
             job: None,
             attempt: 0,
             upstream: None,
-            answer: None,
-            interim_answers: 0,
-            answer_deadline: f64::INFINITY,
+            response: None,
+            interim_responses: 0,
+            response_deadline: f64::INFINITY,
             closes_client,
             is_complete: false,
         }
     }
 
-    /// The request as far as it can be sent now: its head and what was read of its body. None where some of that is not
-    /// here any more.
-    pub fn opening(&mut self) -> Option<Vec<u8>> {
+    /// Serializes the request as far as it has been received: its head and the prefix of its body. Returns
+    /// `None` if payload that was already read is no longer buffered.
+    pub fn available_request_bytes(&mut self) -> Option<Vec<u8>> {
         let prefix = self.prefix.as_ref()?;
         let mut out = head::write_request(&self.head, self.head.framing);
         if self.head.framing == Framing::Chunked {
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -1,11 +1,13 @@
-//! The streaming frontend: HTTP/1.1 whose endpoints answer on the same connection, with bodies of any length relayed as
-//! they come.
+//! The streaming frontend: an HTTP/1.1 reverse proxy that relays request and response bodies of any length
+//! while they arrive. Endpoints respond on the connection that carried the request.
 //!
-//! Owns the connections of its listener and those to its endpoints, and the exchanges between them. It decides nothing: which
-//! endpoint gets a request, whether it is sent again and which requests are rejected is the core's; which connection is read
-//! next, how much, and which peer is too slow is `flow`'s.
+//! It owns the client connections of its listener, the connections to its endpoints and the exchanges between
+//! them, but makes no routing decisions. The core decides which endpoint gets a request, whether a request is
+//! retried and which requests are rejected. `flow` decides which connection is read next, how much is read,
+//! and which peer is too slow.
 //!
-//! The caller must call `on_ready` and `accept` as its sockets are ready, and `tick` at `next_deadline` at the latest.
+//! The caller must call `on_ready` and `accept` when its sockets are ready, and `tick` no later than
+//! `next_deadline`.
 
 mod answers;
 mod clients;
@@ -35,24 +37,25 @@
 use exchange::Exchange;
 use upstream::UpstreamConnection;
 
-/// Bytes moved before the loop polls the sockets again: it bounds what small requests wait for beside full-speed streams.
+/// Bytes that one tick transfers before the event loop polls the sockets again. It bounds how long small
+/// requests wait while other streams transfer at full speed.
 const MAX_BYTES_PER_TICK: usize = 1 << 20;
 
-/// Why a file that was read again is not taken over.
+/// The reason why a configuration that was read again cannot be applied without a restart.
 #[derive(Debug, Error)]
 pub enum IncompatibleConfig {
-    /// It begins or ends with discovery.
-    #[error("to begin or end with `discovery` takes a restart")]
+    /// `discovery` was added or removed.
+    #[error("adding or removing `discovery` needs a restart")]
     Discovery,
-    /// It has other classes.
-    #[error("other classes take a restart")]
+    /// Classes were added, removed, renamed or reordered.
+    #[error("changes to the list of classes need a restart")]
     Classes,
-    /// Its settings take a restart.
+    /// A change in the core's settings needs a restart.
     #[error(transparent)]
     Settings(#[from] IncompatibleSettings),
 }
 
-/// The frontend.
+/// The streaming frontend, driven by the event loop of its caller.
 pub struct StreamingFrontend {
     core: Core,
     config: Config,
@@ -68,17 +71,17 @@
     pipes: Pipes,
     discovery: Option<Discovery>,
     counters: Counters,
-    /// The last stream's id.
+    /// Id of the stream that was opened last; ids are never reused.
     last_stream: StreamId,
-    /// Client connections that may hold a next request.
+    /// Client connections that may have buffered input, to be read in the next tick.
     clients_to_read: Vec<ConnId>,
     shutdown: Option<Shutdown>,
-    /// When streams that still run are cut, in milliseconds of the clock.
-    cut_at_ms: f64,
+    /// When a shutdown aborts the streams that are still open, in milliseconds of the clock.
+    abort_at_ms: f64,
 }
 
 impl StreamingFrontend {
-    /// A frontend on a listener that is open.
+    /// Creates a frontend on an open listener.
     pub fn new(config: Config, seed: u64, clock: Clock, listener: usize) -> StreamingFrontend {
         let discovery = config.table.discovery.map(|address| Discovery::new(address, Some(address), 0, seed));
         let mut core = Core::new(config.site.clone(), seed, clock, config.bounds.total);
@@ -104,16 +107,16 @@
             last_stream: 0,
             clients_to_read: Vec::new(),
             shutdown: None,
-            cut_at_ms: f64::INFINITY,
+            abort_at_ms: f64::INFINITY,
             config,
         }
     }
 
-    /// Checks whether a file that was read again can be taken over without a restart: open streams name classes by their
-    /// numbers.
+    /// Checks whether a configuration that was read again can be applied without a restart. The classes must
+    /// stay the same, because open streams refer to them by index.
     ///
     /// # Errors
-    /// Where a change needs a restart.
+    /// If a change needs a restart.
     pub fn check_compatible(&self, config: &Config) -> Result<(), IncompatibleConfig> {
         if config.table.discovery.is_some() != self.discovery.is_some() {
             return Err(IncompatibleConfig::Discovery);
@@ -125,7 +128,8 @@
         Ok(self.core.check_compatible(&config.site)?)
     }
 
-    /// Takes over a compatible file. Open streams go on under the class that they began with.
+    /// Applies a configuration that `check_compatible` has accepted. Open streams keep the class rules that
+    /// they started with.
     pub fn reload(&mut self, net: &mut Sockets, config: Config) {
         self.core.reconfigure(config.site.clone(), config.bounds.total);
         self.pool.set_idle_limit(config.site.connection_idle_ms);
@@ -149,23 +153,23 @@
         self.carry_out(net);
     }
 
-    /// Its core.
+    /// Returns the core of this frontend.
     pub fn core(&self) -> &Core {
         &self.core
     }
 
-    /// Its listener.
+    /// Returns the listener that was given to `new`.
     pub fn listener(&self) -> usize {
         self.listener
     }
 
-    /// Descriptors that a configuration may take: one for each client's connection, one to an endpoint for each stream, and
-    /// two for each pipe.
+    /// Returns the number of file descriptors that a configuration can use: one per client connection, one
+    /// upstream connection per stream, and two per pipe.
     pub fn descriptors(config: &Config) -> usize {
         config.table.connections + config.bounds.total + 2 * config.table.pipes
     }
 
-    /// What it counts beside its core.
+    /// Returns the counters of the core and of this frontend as text, one per line.
     pub fn counters(&self) -> String {
         format!("{}{}held {}\n", self.core.counters(), self.counters, self.flow.held())
     }
@@ -174,13 +178,13 @@
         self.core.clock().now()
     }
 
-    /// Whether a connection is one of its own.
+    /// Whether a connection belongs to this frontend.
     pub fn owns(&self, conn: ConnId) -> bool {
         let discovery = self.discovery.as_ref().is_some_and(|d| d.owns(conn));
         discovery || self.clients.contains_key(&conn) || self.upstreams.contains_key(&conn)
     }
 
-    /// A connection can be read or written, came up or broke.
+    /// Handles a connection that became readable or writable, was established, or failed.
     pub fn on_ready(&mut self, net: &mut Sockets, conn: ConnId) {
         if self.clients.contains_key(&conn) {
             self.on_client_ready(net, conn);
@@ -193,7 +197,8 @@
         self.carry_out(net);
     }
 
-    /// Hands the core what discovery has brought.
+    /// Passes a discovery update on to the core, and closes idle connections to endpoints that restarted or
+    /// moved.
     fn apply_discovery(&mut self, net: &mut Sockets, update: Option<DiscoveryUpdate>) {
         for endpoint in update.map(|update| update.apply(&mut self.core)).unwrap_or_default() {
             self.close_idle_upstreams(net, endpoint);
@@ -203,7 +208,7 @@
         }
     }
 
-    /// Carries out what the core has decided, until nothing follows from it any more.
+    /// Carries out the core's commands, including those that result from them, until there are none left.
     fn carry_out(&mut self, net: &mut Sockets) {
         while let Some(command) = self.core.next_command() {
             match command {
@@ -211,8 +216,9 @@
                     self.send(net, job, attempt, endpoint);
                 }
                 Command::Cancel { job, attempt } => self.cancel(net, job, attempt),
-                Command::Answer { job, answer } => self.answer(net, job, &answer),
-                // What a probe would ask is counted here: the streams at each endpoint.
+                Command::Answer { job, answer } => self.on_final_answer(net, job, &answer),
+                // A probe asks an endpoint for its load. This frontend counts the streams of each endpoint
+                // itself, so it answers the probe at once.
                 Command::Probe { endpoint } => {
                     let report = self.slots.report(endpoint);
                     self.core.on_probe_ended(endpoint, true, 0.0, report);
@@ -227,8 +233,8 @@
         }
     }
 
-    /// Gives a job's final answer, where it was not given already.
-    fn answer(&mut self, net: &mut Sockets, job: JobId, answer: &FinalAnswer) {
+    /// Handles the core's final answer to a job. Does nothing if the job's exchange has already ended.
+    fn on_final_answer(&mut self, net: &mut Sockets, job: JobId, answer: &FinalAnswer) {
         let Some(&stream) = self.streams.get(&job) else { return };
         match answer {
             FinalAnswer::Served(_) => self.finish(net, stream),
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Does what is due by now, and moves bytes for a while.
+    /// Handles expired deadlines, and then transfers about `MAX_BYTES_PER_TICK` bytes of bodies.
     pub fn tick(&mut self, net: &mut Sockets) {
         let now = self.now();
         self.core.tick();
@@ -255,53 +261,55 @@
             self.apply_discovery(net, update);
         }
         self.carry_out(net);
-        let mut moved = 0;
-        while moved < MAX_BYTES_PER_TICK
+        let mut transferred = 0;
+        while transferred < MAX_BYTES_PER_TICK
             && let Some(turn) = self.flow.next_turn()
         {
-            // A turn that moves nothing costs a call or two: as much as some bytes do.
-            moved += self.take_turn(net, turn).max(4096);
+            // A turn without bytes still costs a system call or two, so it is charged a minimum.
+            transferred += self.take_turn(net, turn).max(4096);
             self.carry_out(net);
         }
-        if self.is_past_last_call() {
+        if self.has_stopped_accepting() {
             self.core.reject_new_jobs();
             self.close_idle(net);
-            if now >= self.cut_at_ms {
-                self.cut_all(net);
+            if now >= self.abort_at_ms {
+                self.abort_all(net);
             }
             self.carry_out(net);
         }
     }
 
-    /// When `tick` is to be called next.
+    /// Returns when `tick` must be called next, in milliseconds of the clock.
     pub fn next_deadline(&self) -> f64 {
         let now = self.now();
         if self.flow.has_turns() || !self.clients_to_read.is_empty() {
             return now;
         }
-        let clients = self.clients.values().map(|c| c.deadline);
-        let servers = self.upstreams.values().map(|s| s.connect_deadline);
-        let stop = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.accepts_until_ms.max(now + 20.0));
+        let clients = self.clients.values().map(|client| client.deadline);
+        let upstreams = self.upstreams.values().map(|upstream| upstream.connect_deadline);
+        let shutdown =
+            self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.accepts_until_ms.max(now + 20.0));
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let discovery = self.discovery.as_ref().map_or(f64::INFINITY, Discovery::next_deadline);
-        let due = wake.min(stop).min(discovery).min(self.flow.next_deadline());
-        let answers = self.exchanges.values().map(|e| e.answer_deadline);
-        clients.chain(servers).chain(answers).fold(due, f64::min)
+        let due = wake.min(shutdown).min(discovery).min(self.flow.next_deadline());
+        let responses = self.exchanges.values().map(|e| e.response_deadline);
+        clients.chain(upstreams).chain(responses).fold(due, f64::min)
     }
 
-    /// Begins to stop.
+    /// Begins a graceful shutdown, which ends after `stop_s` at the latest.
     pub fn stop(&mut self) {
-        let span = self.config.table.stop_s * 1e3;
-        self.cut_at_ms = self.cut_at_ms.min(self.now() + span);
-        self.shutdown.get_or_insert_with(|| Shutdown::begin_with_kill_after(&mut self.core, span));
+        let span_ms = self.config.table.stop_s * 1e3;
+        self.abort_at_ms = self.abort_at_ms.min(self.now() + span_ms);
+        self.shutdown.get_or_insert_with(|| Shutdown::begin_with_kill_after(&mut self.core, span_ms));
     }
 
-    /// Whether it is past its last call.
-    fn is_past_last_call(&self) -> bool {
+    /// Whether a shutdown has reached the time from which new requests are rejected.
+    fn has_stopped_accepting(&self) -> bool {
         self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.accepts_until_ms)
     }
 
-    /// Whether all requests are answered, and the answers are written as far as the peers read.
+    /// Whether the shutdown is complete: all exchanges have ended, and all responses are written or their
+    /// clients have had their time to read them.
     pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
         let now = self.now();
         let open = self.core.open_jobs() + self.exchanges.len();
--- a/src/frontend/streaming/relay.rs
+++ b/src/frontend/streaming/relay.rs
@@ -1,4 +1,5 @@
-//! Requests: handed to the core, held until they are dispatched, and relayed to the endpoint that it has chosen.
+//! Request bodies: held until the request is dispatched, and relayed to the endpoint that the core has
+//! chosen.
 
 use super::StreamingFrontend;
 use super::exchange::{RequestPhase, RequestProgress, Upstream};
@@ -9,7 +10,7 @@
 use crate::net::body::{BodyError, Framing};
 use crate::net::{Pipe, Pipes};
 
-/// The status that tells a client what is wrong with its body.
+/// Returns the status and the text with which a request is rejected whose body is malformed or too long.
 fn status_of(error: BodyError) -> (u16, &'static str) {
     match error {
         BodyError::TooLong => (413, "the body is longer than its class allows\n"),
@@ -17,15 +18,15 @@
     }
 }
 impl StreamingFrontend {
-    /// Hands a request to the core, which sends an attempt or rejects it.
-    pub(super) fn route(&mut self, net: &mut Sockets, stream: StreamId) {
+    /// Submits a request to the core as a job. The core commands an attempt, or rejects the job.
+    pub(super) fn submit_job(&mut self, net: &mut Sockets, stream: StreamId) {
         let now = self.now();
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         exchange.request = RequestPhase::Paused;
         self.flow.pause(stream, Direction::Up, now);
         let request = JobRequest {
             class: exchange.class,
-            deadline_ms: now + exchange.class_rules.answer_start_limit_ms,
+            deadline_ms: now + exchange.class_rules.response_start_limit_ms,
             slots: 1.0,
             work_ms: None,
             partition: 0,
@@ -42,15 +43,15 @@
         }
     }
 
-    /// Takes a channel's turn. Returns the bytes that it moved.
+    /// Carries out a turn of a channel. Returns the bytes that were read and written.
     pub(super) fn take_turn(&mut self, net: &mut Sockets, turn: Turn) -> usize {
         match turn.direction {
             Direction::Up => self.relay_request(net, turn),
-            Direction::Down => self.relay_answer(net, turn),
+            Direction::Down => self.relay_response(net, turn),
         }
     }
 
-    /// Takes a turn of the channel up.
+    /// Relays a part of a request body, in a turn of the upward channel.
     fn relay_request(&mut self, net: &mut Sockets, turn: Turn) -> usize {
         let (now, stream) = (self.now(), turn.stream);
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return 0 };
@@ -66,8 +67,8 @@
         let Some([client, upstream]) = net.pair(exchange.client, conn) else { return 0 };
         if !upstream.poll_connected() {
             let held = client.rx.len() + upstream.tx.len();
-            let moved = TurnResult { more: true, held, blocked: true, full: true, ..TurnResult::default() };
-            self.flow.on_turn_finished(turn, moved, now);
+            let result = TurnResult { more: true, held, blocked: true, full: true, ..TurnResult::default() };
+            self.flow.on_turn_finished(turn, result, now);
             return 0;
         }
         let sent = upstream.sent;
@@ -77,7 +78,8 @@
             is_chunked: exchange.head.framing == Framing::Chunked,
             last_chunk_written: &mut exchange.last_chunk_written,
             pipe: &mut exchange.pipe,
-            // A prefix that is still complete is kept as it passes, which a pipe would hide.
+            // While the prefix is still complete, the relayed payload is added to it. Bytes in a kernel pipe
+            // could not be copied.
             pipes: if prefix.is_some() { &Pipes::new(0) } else { &self.pipes },
         };
         let relayed =
@@ -95,13 +97,13 @@
         let piped = exchange.pipe.as_ref().map_or(0, Pipe::held);
         let held = upstream.tx.len() + piped + if done { 0 } else { client.rx.len() };
         let progress = RequestProgress::of(client, upstream, done.then_some(held), blocked);
-        self.counters.up += written as u64;
+        self.counters.bytes_up += written as u64;
         self.flow.on_turn_finished(turn, TurnResult { read, more, written, held, blocked, full }, now);
         self.on_request_progress(net, stream, progress, now);
         read + written
     }
 
-    /// Does what follows from how far a request's body has got.
+    /// Reacts to the progress of a request body after a turn.
     fn on_request_progress(
         &mut self,
         net: &mut Sockets,
@@ -110,34 +112,35 @@
         now: f64,
     ) {
         match progress {
-            RequestProgress::Underway => {}
-            RequestProgress::ClientGone => self.on_client_left(net, stream),
-            RequestProgress::NotTaken => {
+            RequestProgress::InProgress => {}
+            RequestProgress::ClientDisconnected => self.on_client_left(net, stream),
+            RequestProgress::UpstreamWriteFailed => {
                 let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
                 exchange.request = RequestPhase::Paused;
                 exchange.closes_client = true;
                 self.flow.pause(stream, Direction::Up, now);
-                // The endpoint may have answered why before it stopped to read.
-                self.read_answer(net, stream);
+                // The endpoint may have sent an error response before it closed the connection.
+                self.read_response_heads(net, stream);
             }
-            RequestProgress::Ended { is_written } => {
+            RequestProgress::Complete { is_written } => {
                 self.flow.on_source_ended(stream, Direction::Up, now);
                 if is_written {
                     self.on_request_relayed(stream, now);
                 }
             }
-            // Half a body is no body: the endpoint sees its connection break off, the client an error.
-            RequestProgress::CutShort => self.reject(net, stream, 400, 0.0),
+            // An incomplete body must not look complete to the endpoint: its connection is closed before the
+            // end of the message, and the client gets an error.
+            RequestProgress::Truncated => self.reject(net, stream, 400, 0.0),
         }
     }
 
-    /// All of the request is with its endpoint: the time until its answer begins counts from now.
+    /// Handles a request that is fully written to its endpoint, and starts the time limit for the response.
     fn on_request_relayed(&mut self, stream: StreamId, now: f64) {
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         exchange.request = RequestPhase::Done;
-        let answer_has_begun = exchange.answer.is_some();
-        exchange.answer_deadline =
-            if answer_has_begun { f64::INFINITY } else { now + exchange.class_rules.answer_timeout_ms };
+        let response_has_begun = exchange.response.is_some();
+        exchange.response_deadline =
+            if response_has_begun { f64::INFINITY } else { now + exchange.class_rules.response_timeout_ms };
         let (job, attempt) = (exchange.job, exchange.attempt);
         self.flow.pause(stream, Direction::Up, now);
         if let Some(job) = job {
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Takes a turn of a request that is held: what has come goes to its prefix.
+    /// Adds received body bytes to the prefix of a held request, in a turn of the upward channel.
     fn hold_request(&mut self, net: &mut Sockets, turn: Turn) -> usize {
         let (now, stream) = (self.now(), turn.stream);
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return 0 };
@@ -160,13 +163,13 @@
                 Err(error) => break Some(error),
             };
             conn.rx.consume(step.skip);
-            let some = step
+            let payload_len = step
                 .payload
                 .min(exchange.class_rules.prefix_bytes - prefix.len().min(exchange.class_rules.prefix_bytes));
-            prefix.extend_from_slice(&conn.rx.bytes()[..some]);
-            exchange.decoder.consume_payload(some);
-            conn.rx.consume(some);
-            if some == 0 && step.skip == 0 || exchange.decoder.is_done() {
+            prefix.extend_from_slice(&conn.rx.bytes()[..payload_len]);
+            exchange.decoder.consume_payload(payload_len);
+            conn.rx.consume(payload_len);
+            if payload_len == 0 && step.skip == 0 || exchange.decoder.is_done() {
                 break None;
             }
         };
--- a/src/frontend/streaming/table.rs
+++ b/src/frontend/streaming/table.rs
@@ -1,53 +1,54 @@
-//! The table `stream` of the operator's file as it is written, with the defaults of its keys. The names of its types stand in
-//! the messages of serde, and stay.
+//! The table `stream` of the operator's file as it is written, with the defaults of its keys. Error messages
+//! of serde contain the names of these types, so renaming a type changes messages that operators see.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-/// The table as it is written. All spans end in their unit.
+/// The table `stream`, not yet validated. The suffix of a key is the unit of its value.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Table {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Client connections at most.
+    /// Maximum number of client connections.
     pub connections: usize,
-    /// The memory for bodies on their way, in MiB.
+    /// Memory for buffered bodies, in MiB.
     pub memory_mb: f64,
-    /// Bytes read of one stream before others have their turn, in KiB.
+    /// Size of a turn: how much of a channel is read before the next channel has its turn, in KiB.
     pub turn_kb: f64,
-    /// Pipes through which long bodies with a length go past the process, at most; each takes two descriptors. 0: none.
+    /// Maximum number of kernel pipes, through which long bodies with a known length are spliced instead of
+    /// copied. Each pipe uses two descriptors. 0 disables splicing.
     pub pipes: usize,
-    /// How long a client may take for a request's head.
+    /// Time limit for receiving the head of a request.
     pub head_s: f64,
-    /// How long a connection may stand idle.
+    /// Time after which an idle client connection is closed.
     pub idle_s: f64,
-    /// How long an endpoint keeps an idle connection.
+    /// Time for which endpoints keep an idle connection open; none is reused after that time.
     pub server_idle_s: f64,
-    /// How long a connection to an endpoint may take to come up.
+    /// Time limit for establishing a connection to an endpoint.
     pub connect_s: f64,
-    /// How long streams may go on after SIGTERM.
+    /// Time after SIGTERM at which the streams that are still open are aborted.
     pub stop_s: f64,
-    /// The header that names a request's tenant.
+    /// Name of the request header that contains the tenant.
     pub tenant_header: String,
-    /// The `Retry-After` of a rejection.
+    /// Value of `Retry-After` in rejections by this frontend, and upper limit for the core's.
     pub retry_after_s: f64,
-    /// Attempts at one request at most.
+    /// Maximum number of attempts per request.
     pub attempts: usize,
-    /// How many dispatchers there are, and the number of this one.
+    /// Number of dispatchers that share the endpoints.
     pub dispatchers: u32,
-    /// Number of this dispatcher, from 0.
+    /// Index of this dispatcher, counted from 0.
     pub number: u32,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub discovery: Option<SocketAddr>,
-    /// The endpoints, where there is no discovery.
+    /// The endpoints, if there is no discovery service.
     pub servers: Vec<ServerTable>,
-    /// Bounds on streams.
+    /// Bounds on concurrent streams.
     pub streams: StreamsTable,
-    /// The slow start of an endpoint.
+    /// Slow start of an endpoint.
     pub cold: ColdTable,
-    /// The classes.
+    /// The classes of requests.
     pub class: Vec<ClassTable>,
 }
 
@@ -78,18 +79,18 @@
     }
 }
 
-/// An endpoint of the file.
+/// An endpoint that the file lists.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerTable {
-    /// Its name.
+    /// Unique name of the endpoint.
     pub name: String,
-    /// Its address.
+    /// Address of the endpoint.
     pub dial: SocketAddr,
-    /// Its size relative to the other endpoints'.
+    /// Capacity of the endpoint relative to the others.
     #[serde(default = "one")]
     pub share: f64,
-    /// It finishes its requests and gets no new ones.
+    /// Whether the endpoint drains: it finishes its requests and gets no new ones.
     #[serde(default)]
     pub draining: bool,
 }
@@ -98,15 +99,15 @@
     1.0
 }
 
-/// Bounds on streams.
+/// Bounds on concurrent streams.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StreamsTable {
-    /// In all.
+    /// Maximum number of streams in total.
     pub total: usize,
-    /// Of one tenant.
+    /// Maximum number of streams per tenant.
     pub tenant: usize,
-    /// At one endpoint.
+    /// Maximum number of streams per endpoint.
     pub server: usize,
 }
 
@@ -116,15 +117,15 @@
     }
 }
 
-/// The slow start of an endpoint: what it can take after its own start.
+/// Slow start: how the capacity of an endpoint ramps up after the endpoint has started.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ColdTable {
-    /// Part of its capacity that it has then.
+    /// Fraction of its full capacity that an endpoint has right after its start.
     pub from: f64,
-    /// When it has all.
+    /// Time after its start at which an endpoint has its full capacity.
     pub warm_s: f64,
-    /// Multiple of its capacity that pushes it over.
+    /// Load, as a multiple of its current capacity, that overloads an endpoint during slow start.
     pub multiple: f64,
 }
 
@@ -134,64 +135,64 @@
     }
 }
 
-/// Whether a class may run twice.
+/// Whether the requests of a class may be retried after they may have run.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum RepeatTable {
-    /// Any number of times.
+    /// The requests are idempotent.
     Safe,
-    /// Never.
+    /// The requests are not idempotent, and never run twice.
     Never,
 }
 
-/// When a class's requests are dispatched.
+/// The condition under which the requests of a class are dispatched.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum DispatchTable {
-    /// At the head.
+    /// As soon as the head is received.
     Head,
-    /// Once a prefix is held.
+    /// Once a prefix of the body is received.
     Prefix,
-    /// As with a prefix, if the client kept the least pace.
+    /// Like `Prefix`, but only if the client has sent at the least pace or faster.
     Pace,
 }
 
-/// A class.
+/// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassTable {
-    /// Its name: the first part of the path.
+    /// Name of the class: the first segment of the path of its requests.
     pub name: String,
-    /// Whether it may run twice.
+    /// Whether its requests may run twice.
     pub repeat: RepeatTable,
-    /// How long a request may wait for an endpoint.
+    /// Latency objective for the wait for an endpoint.
     #[serde(default = "wait_s")]
     pub wait_s: f64,
-    /// How long a request may take until its answer begins.
+    /// Time limit from the submission of a request to the core until its response begins.
     #[serde(default = "longest_s")]
     pub longest_s: f64,
-    /// How long the answer may take to begin once all of the request is with its endpoint.
+    /// Time limit from the end of the request body until the response begins.
     #[serde(default = "answer_s")]
     pub answer_s: f64,
-    /// Most of a body, each way, in MiB.
+    /// Longest body in each direction, in MiB.
     #[serde(default = "body_mb")]
     pub body_mb: f64,
-    /// Bytes held each way, in KiB.
+    /// Buffer window of a stream in each direction, in KiB.
     #[serde(default = "kb")]
     pub window_kb: f64,
-    /// The prefix that is held, and can be sent again, in KiB.
+    /// Size of the body prefix that is held before dispatch and kept for a retry, in KiB.
     #[serde(default = "kb")]
     pub hold_kb: f64,
-    /// When its requests are dispatched.
+    /// The condition under which its requests are dispatched.
     #[serde(default = "dispatch")]
     pub dispatch: DispatchTable,
-    /// Least pace of a peer that is waited for, in KiB a second.
+    /// Least pace of a peer while the stream waits for it, in KiB per second.
     #[serde(default = "least")]
     pub least_kb_s: f64,
-    /// The time waited over which it is measured.
+    /// Time spent waiting over which the pace is measured.
     #[serde(default = "over_s")]
     pub over_s: f64,
-    /// Longest wait without a byte.
+    /// Longest wait for a peer without any byte transferred.
     #[serde(default = "silence_s")]
     pub silence_s: f64,
 }
--- a/src/frontend/streaming/upstream.rs
+++ b/src/frontend/streaming/upstream.rs
@@ -1,4 +1,4 @@
-//! Endpoints: connections to them, new ones or out of the pool, the attempts that they get, and the heads of their answers.
+//! Upstream connections: opening and pooling them, sending attempts, and reading response heads.
 
 use std::net::SocketAddr;
 
@@ -11,24 +11,25 @@
 use crate::net::{ConnId, MAX_BUFFERED_BYTES};
 use crate::routing::{EndpointId, JobId, Outcome};
 
-/// A connection to an endpoint.
+/// An open connection to an endpoint, in use by a stream or idle in the pool.
 pub(super) struct UpstreamConnection {
     endpoint: EndpointId,
     stream: Option<StreamId>,
-    /// When it must have come up, in milliseconds of the clock.
+    /// Deadline for establishing the connection, in milliseconds of the clock.
     pub connect_deadline: f64,
-    /// Bytes that its socket had taken before this attempt.
-    sent_before: u64,
+    /// Bytes written to the socket before the current attempt.
+    sent_before_attempt: u64,
 }
 
 impl StreamingFrontend {
-    /// Sends an attempt, as far as its request's body has come.
+    /// Starts an attempt: acquires a connection and queues the request as far as it has been received.
     pub(super) fn send(&mut self, net: &mut Sockets, job: JobId, attempt: usize, endpoint: EndpointId) {
         let now = self.now();
         let Some(&stream) = self.streams.get(&job) else { return };
-        let opening = self.exchanges.get_mut(&stream).and_then(Exchange::opening);
-        // Guards against half a body: what was relayed beyond the prefix is not here any more.
-        let Some(opening) = opening else {
+        let request_bytes = self.exchanges.get_mut(&stream).and_then(Exchange::available_request_bytes);
+        // The endpoint must not get an incomplete body: payload that was relayed beyond the prefix is no
+        // longer buffered.
+        let Some(request_bytes) = request_bytes else {
             return self.end_unsent_attempt(job, attempt, Outcome::NoRetry, endpoint);
         };
         if !self.slots.acquire(endpoint) {
@@ -41,44 +42,46 @@
         let Some(exchange) = self.exchanges.get_mut(&stream) else { return };
         (exchange.upstream, exchange.attempt, exchange.request) =
             (Some(Upstream { conn, endpoint }), attempt, RequestPhase::Relaying);
-        let waiting = net.conn(exchange.client).map_or(0, |c| c.rx.len());
+        let buffered = net.conn(exchange.client).map_or(0, |c| c.rx.len());
         let done = exchange.decoder.is_done();
         let Some(conn) = net.conn(conn) else { return };
-        if !conn.tx.push(&opening) {
+        if !conn.tx.push(&request_bytes) {
             return self.end_attempt(net, stream, Outcome::NoRetry);
         }
-        let held = conn.tx.len() + if done { 0 } else { waiting };
+        let held = conn.tx.len() + if done { 0 } else { buffered };
         self.flow.release(stream, Direction::Up, held, now);
         if done {
             self.flow.on_source_ended(stream, Direction::Up, now);
         }
     }
 
-    /// Reports to the core that an attempt ended before anything of it was sent.
+    /// Reports to the core that an attempt ended before any byte of it was sent.
     fn end_unsent_attempt(&mut self, job: JobId, attempt: usize, outcome: Outcome, endpoint: EndpointId) {
         let report = self.slots.report(endpoint);
         self.core.on_attempt_ended(job, attempt, outcome, report, Vec::new());
     }
 
-    /// A connection to an endpoint: an idle one that is still usable, or a new one. None proves that nothing was sent.
+    /// Returns a connection to an endpoint: a pooled one that is still usable, or a new one. If it returns
+    /// `None`, nothing was sent.
     fn acquire(&mut self, net: &mut Sockets, endpoint: EndpointId, stream: StreamId) -> Option<ConnId> {
         let now = self.now();
         while let Some(id) = self.pool.take(endpoint, now, false).map(|pooled| pooled.conn) {
-            // Guards against a connection that the peer has closed: a request written there would be lost.
+            // A request written to a connection that the peer has already closed would be lost.
             if let Some(conn) = net.conn(id).filter(|conn| conn.is_reusable()) {
-                let sent_before = conn.sent;
+                let sent_before_attempt = conn.sent;
                 let upstream = UpstreamConnection {
                     endpoint,
                     stream: Some(stream),
                     connect_deadline: f64::INFINITY,
-                    sent_before,
+                    sent_before_attempt,
                 };
                 self.upstreams.insert(id, upstream);
                 return Some(id);
             }
             self.close_upstream(net, id);
         }
-        // Idle connections to others make room: there is one for each stream that there may be.
+        // The limit is one connection per permitted stream, so idle connections to other endpoints are
+        // closed.
         while self.upstreams.len() >= self.config.bounds.total
             && let Some(idle) = self.pool.take_oldest()
         {
@@ -89,24 +92,25 @@
         let connect_deadline = now + self.config.site.connect_timeout_ms;
         self.upstreams.insert(
             id,
-            UpstreamConnection { endpoint, stream: Some(stream), connect_deadline, sent_before: 0 },
+            UpstreamConnection { endpoint, stream: Some(stream), connect_deadline, sent_before_attempt: 0 },
         );
         Some(id)
     }
 
-    /// Cancels an attempt.
+    /// Cancels an attempt and closes its connection. Does nothing if a later attempt has replaced it.
     pub(super) fn cancel(&mut self, net: &mut Sockets, job: JobId, attempt: usize) {
         let Some(&stream) = self.streams.get(&job) else { return };
         let Some(exchange) = self.exchanges.get_mut(&stream).filter(|e| e.attempt == attempt) else { return };
-        (exchange.request, exchange.answer_deadline) = (RequestPhase::Paused, f64::INFINITY);
+        (exchange.request, exchange.response_deadline) = (RequestPhase::Paused, f64::INFINITY);
         let now = self.now();
         self.flow.pause(stream, Direction::Up, now);
         self.flow.pause(stream, Direction::Down, now);
         self.release_upstream(net, stream, false);
     }
 
-    /// A connection has no attempt any more: it goes to the pool where `keep` allows it and it is usable, or is closed.
-    pub(super) fn free_upstream(&mut self, net: &mut Sockets, id: ConnId, keep: bool) {
+    /// Returns a connection without an attempt to the pool if `keep` is set and it is usable, and closes it
+    /// otherwise.
+    pub(super) fn pool_or_close_upstream(&mut self, net: &mut Sockets, id: ConnId, keep: bool) {
         let now = self.now();
         let (Some(upstream), Some(conn)) = (self.upstreams.get_mut(&id), net.conn(id)) else { return };
         let is_usable =
@@ -126,7 +130,7 @@
         }
     }
 
-    /// Closes idle connections to an endpoint that has another address or was started again.
+    /// Closes the idle connections to an endpoint that has moved or restarted.
     pub(super) fn close_idle_upstreams(&mut self, net: &mut Sockets, endpoint: EndpointId) {
         while let Some(id) = self.pool.take_any(endpoint) {
             self.close_upstream(net, id);
@@ -138,7 +142,8 @@
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         let (stream, Some(conn)) = (upstream.stream, net.conn(id)) else { return };
         let Some(stream) = stream else {
-            // An idle one that sends bytes, or ends. An event for bytes that were read meanwhile is neither.
+            // An idle connection that receives bytes or is closed by the peer cannot be reused. A late event
+            // for bytes that were already read is harmless.
             if !conn.is_reusable() {
                 self.close_upstream(net, id);
             }
@@ -150,29 +155,29 @@
             }
             return;
         }
-        // It may have been found connected elsewhere: the limit on connecting no longer counts all the same.
+        // `relay_request` may have found the connection established already, without clearing the deadline.
         upstream.connect_deadline = f64::INFINITY;
         self.flow.on_writable(stream, Direction::Up, now);
-        if self.exchanges.get(&stream).is_some_and(|e| e.answer.is_some()) {
+        if self.exchanges.get(&stream).is_some_and(|e| e.response.is_some()) {
             self.flow.on_readable(stream, Direction::Down, now);
         } else {
-            self.read_answer(net, stream);
+            self.read_response_heads(net, stream);
         }
     }
 
-    /// Reads what the endpoint sends before the answer's body.
-    pub(super) fn read_answer(&mut self, net: &mut Sockets, stream: StreamId) {
-        let to_head = self.is_to_head(stream);
+    /// Reads response heads from the endpoint, up to and including the final one.
+    pub(super) fn read_response_heads(&mut self, net: &mut Sockets, stream: StreamId) {
+        let is_head_request = self.is_head_request(stream);
         loop {
-            let Some(exchange) = self.exchanges.get(&stream).filter(|e| e.answer.is_none()) else { return };
+            let Some(exchange) = self.exchanges.get(&stream).filter(|e| e.response.is_none()) else { return };
             let Some(Upstream { conn, .. }) = exchange.upstream else { return };
             let Some(conn) = net.conn(conn) else { return };
             let more = conn.read_some((MAX_HEAD_BYTES + 1).saturating_sub(conn.rx.len()));
             let ended = conn.eof || conn.broken;
-            match head::read_response(&mut conn.rx, to_head) {
-                Ok(Some(answer)) if answer.status >= 200 => return self.begin_answer(net, stream, &answer),
-                Ok(Some(answer)) => {
-                    if !self.forward_interim(net, stream, &answer) {
+            match head::read_response(&mut conn.rx, is_head_request) {
+                Ok(Some(head)) if head.status >= 200 => return self.on_response_head(net, stream, &head),
+                Ok(Some(head)) => {
+                    if !self.forward_interim_response(net, stream, &head) {
                         return self.end_attempt(net, stream, Outcome::Error);
                     }
                 }
@@ -184,25 +189,25 @@
         }
     }
 
-    /// The connection of an attempt broke before an answer. Only where no byte of the attempt was written is it sure that it
-    /// never ran: an HTTP server may begin with the first.
+    /// Ends an attempt whose connection failed before the response. The request certainly has not run only if
+    /// none of its bytes was written, because an HTTP server may start processing at the first byte.
     fn on_upstream_broken(&mut self, net: &mut Sockets, stream: StreamId) {
         let id = self.exchanges.get(&stream).and_then(|e| e.upstream).map(|upstream| upstream.conn);
         let Some(id) = id else { return };
-        let sent_before = self.upstreams.get(&id).map_or(0, |s| s.sent_before);
+        let sent_before_attempt = self.upstreams.get(&id).map_or(0, |s| s.sent_before_attempt);
         let sent = net.conn(id).map_or(0, |c| c.sent);
-        let outcome = if sent > sent_before { Outcome::Reset } else { Outcome::Unreachable };
+        let outcome = if sent > sent_before_attempt { Outcome::Reset } else { Outcome::Unreachable };
         self.end_attempt(net, stream, outcome);
     }
 
     pub(super) fn expire_upstreams(&mut self, net: &mut Sockets, now: f64) {
-        let over =
+        let expired =
             self.upstreams.iter().filter(|(_, s)| s.connect_deadline <= now).map(|(&id, s)| (id, s.stream));
-        let mut over: Vec<(ConnId, Option<StreamId>)> = over.collect();
-        over.sort_unstable_by_key(|&(id, _)| id);
-        for (id, stream) in over {
+        let mut expired: Vec<(ConnId, Option<StreamId>)> = expired.collect();
+        expired.sort_unstable_by_key(|&(id, _)| id);
+        for (id, stream) in expired {
             match stream {
-                // Only connecting has a time limit of its own.
+                // `connect_deadline` is finite only while the connection is being established.
                 Some(stream) => self.on_upstream_broken(net, stream),
                 None => self.close_upstream(net, id),
             }
