--- a/src/frontend/gearman/admin.rs
+++ b/src/frontend/gearman/admin.rs
@@ -1,4 +1,4 @@
-//! The administrative protocol: lines of text.
+//! The administrative protocol, which is line-based text.
 
 use super::GearmanFrontend;
 use super::workers::Worker;
@@ -6,7 +6,7 @@
 use crate::net::ConnId;
 
 impl GearmanFrontend {
-    /// Answers a line of the administrative protocol.
+    /// Answers a command of the administrative protocol.
     pub(super) fn on_admin_line(&mut self, net: &mut Sockets, id: ConnId, line: &str) {
         let text = match line {
             "" => return,
@@ -19,22 +19,23 @@
         self.send(net, id, text.into_bytes());
     }
 
-    /// A line for each function: its name, its jobs, those that run, and the ready workers that can run it.
+    /// Returns a line per function: its name, and the numbers of its open jobs, of its running jobs, and of
+    /// ready workers that can run it.
     fn functions_text(&self) -> String {
         let workers = || self.peers.values().filter_map(|p| p.worker.as_ref());
         let mut out = String::new();
-        for (at, function) in self.config.functions.iter().enumerate() {
-            let all = self.jobs.values().filter(|j| j.function == at).count();
+        for (index, function) in self.config.functions.iter().enumerate() {
+            let all = self.jobs.values().filter(|j| j.function == index).count();
             let running = workers().flat_map(Worker::running);
-            let running = running.filter(|s| self.jobs.get(s).is_some_and(|j| j.function == at)).count();
-            let able = workers().filter(|w| w.is_ready() && w.functions().any(|f| f == at)).count();
+            let running = running.filter(|s| self.jobs.get(s).is_some_and(|j| j.function == index)).count();
+            let ready = workers().filter(|w| w.is_ready() && w.functions().any(|f| f == index)).count();
             let name = String::from_utf8_lossy(&function.name);
-            out.push_str(&format!("{name}\t{all}\t{running}\t{able}\n"));
+            out.push_str(&format!("{name}\t{all}\t{running}\t{ready}\n"));
         }
         out + ".\n"
     }
 
-    /// A line for each connection: its number, address, client id and functions.
+    /// Returns a line per connection: its id, address, client id and functions.
     fn workers_text(&self) -> String {
         let mut ids: Vec<ConnId> = self.peers.keys().copied().collect();
         ids.sort_unstable();
--- a/src/frontend/gearman/config.rs
+++ b/src/frontend/gearman/config.rs
@@ -1,4 +1,4 @@
-//! The operator's file of this front.
+//! The configuration of the Gearman frontend: a JSON file of its own, or a table of the operator's file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,147 +10,147 @@
 use crate::routing::{Class, Settings};
 use crate::settings::{ClientClass, SettingsError, Site};
 
-/// Connections at most where the file names no bound.
+/// Connection limit if the file does not set one.
 const DEFAULT_PEERS: f64 = 128.0;
-/// Most connections that the file may ask for: each has buffers of its own.
+/// Upper bound on the connection limit, because each connection has its own buffers.
 const MAX_PEERS: f64 = 1024.0;
-/// Jobs in the record where the file names no bound.
+/// Bound on the jobs in the record if the file does not set one.
 const DEFAULT_RECORD_ENTRIES: f64 = 65_536.0;
-/// Bytes in the record where the file names no bound.
+/// Bound on the bytes in the record if the file does not set one.
 const DEFAULT_RECORD_BYTES: f64 = 67_108_864.0;
-/// How long an answer is kept where the file does not say, in seconds.
+/// How long an answer is kept if the file does not set it, in seconds.
 const DEFAULT_KEEP_S: f64 = 300.0;
 
-/// What is wrong with the file.
+/// An error in the configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// It has no settings, nor has the deployment.
+    /// Neither the file nor the deployment has settings.
     #[error("no `settings`")]
     NoSettings,
-    /// The settings do not read.
+    /// The settings are not valid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// It has no address to listen at.
+    /// The address to listen on is missing.
     #[error("no `listen`")]
     NoListen,
-    /// The address to listen at does not read.
-    #[error("`listen` is no address: {0}")]
+    /// The address to listen on is not valid.
+    #[error("`listen` is not a socket address: {0}")]
     Listen(String),
-    /// It has no table of functions.
+    /// The table of functions is missing.
     #[error("no `functions`")]
     NoFunctionTable,
-    /// It offers no function.
-    #[error("no functions")]
+    /// The table of functions is empty.
+    #[error("`functions` is empty")]
     NoFunctions,
     /// The name of a function is not valid.
-    #[error("function \"{0}\": a name has no blanks and is not empty")]
+    #[error("function \"{0}\": a name must not be empty and must not contain blanks or control characters")]
     FunctionName(String),
-    /// A function names no class.
+    /// A function has no class.
     #[error("function {0}: no `class`")]
     NoClass(String),
-    /// A function names a class that the settings do not have.
+    /// The class of a function is not in the settings.
     #[error("function {function}: the settings have no class {class}")]
     UnknownClass {
-        /// The function.
+        /// Name of the function.
         function: String,
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// A function names a tenant that the settings do not have.
+    /// The tenant of a function is not in the settings.
     #[error("function {function}: the settings have no tenant {tenant}")]
     UnknownTenant {
-        /// The function.
+        /// Name of the function.
         function: String,
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
     },
-    /// There are more kinds of workers than numbers for them.
-    #[error("too many kinds")]
+    /// There are more kinds of workers than 16-bit indexes for them.
+    #[error("too many kinds of workers")]
     TooManyKinds,
-    /// The part on identities is not valid.
+    /// The table `identity` is not valid.
     #[error(transparent)]
     Identity(#[from] IdentityFilesError),
-    /// A client's identity names a tenant that the settings do not have.
+    /// The tenant of a client's identity is not in the settings.
     #[error("identity {id}: the settings have no tenant {tenant}")]
     UnknownIdentityTenant {
-        /// The identity.
+        /// SPIFFE ID of the client.
         id: String,
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
     },
 }
 
-/// A function that is offered.
+/// A function that clients can submit jobs for.
 #[derive(Clone, Debug)]
 pub struct Function {
-    /// Its name.
+    /// Name of the function.
     pub name: Vec<u8>,
-    /// The tenant whose jobs it carries.
+    /// Name of the tenant that the function's jobs belong to.
     pub tenant: String,
-    /// How long a client waits at most, in milliseconds; it is the class's.
+    /// How long clients wait for an answer at most, in milliseconds, from the function's class.
     pub max_wait_ms: f64,
-    /// Its kind of worker, by number.
+    /// Index of the kind of workers that run the function.
     pub kind: usize,
 }
 
-/// All that the file says.
+/// The validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where clients and workers connect.
+    /// Address that clients and workers connect to.
     pub listen: SocketAddr,
-    /// Connections at most.
+    /// Maximum number of connections.
     pub peers: usize,
-    /// The functions; each has a class of its own in `site`.
+    /// The functions. Each has its own class in `site`, at the same index.
     pub functions: Vec<Function>,
     /// Names of the kinds of workers.
     pub kinds: Vec<String>,
-    /// The settings with a class for each function.
+    /// The settings of the core, with a class per function.
     pub site: Site,
-    /// Jobs in the record, and bytes in it.
+    /// Bounds on the record: number of jobs, and bytes.
     pub record: (usize, usize),
-    /// How long an answer is kept for sure, in milliseconds.
+    /// How long the answer of a non-idempotent job is guaranteed to be kept, in milliseconds.
     pub keep_ms: f64,
-    /// Where peers prove who they are.
+    /// The identity files, if peers must authenticate.
     pub identity: Option<IdentityFiles>,
 }
 
-/// The functions that were read so far, with the kinds of workers that they name and a class each.
+/// The functions read so far, with their classes and kinds of workers.
 #[derive(Default)]
-struct Offered {
+struct FunctionTable {
     functions: Vec<Function>,
     kinds: Vec<String>,
     classes: Vec<Class>,
     client_classes: Vec<ClientClass>,
 }
 
-impl Offered {
-    /// Adds the function of a line.
-    fn add(&mut self, site: &Site, name: &str, line: &JsonValue) -> Result<(), ConfigError> {
+impl FunctionTable {
+    /// Adds a function from its entry in the table of functions.
+    fn add(&mut self, site: &Site, name: &str, entry: &JsonValue) -> Result<(), ConfigError> {
         if name.is_empty() || name.bytes().any(|b| b <= b' ') {
             return Err(ConfigError::FunctionName(name.to_string()));
         }
-        let class = text(line, "class").ok_or_else(|| ConfigError::NoClass(name.to_string()))?;
-        let at = site.client_classes.iter().position(|known| known.name == class);
-        let at = at.ok_or_else(|| ConfigError::UnknownClass {
+        let class = text(entry, "class").ok_or_else(|| ConfigError::NoClass(name.to_string()))?;
+        let class_index = site.client_classes.iter().position(|known| known.name == class);
+        let class_index = class_index.ok_or_else(|| ConfigError::UnknownClass {
             function: name.to_string(),
             class: class.to_string(),
         })?;
-        let tenant = text(line, "tenant").unwrap_or("").to_string();
+        let tenant = text(entry, "tenant").unwrap_or("").to_string();
         if !tenant.is_empty() && !site.tenants.contains(&tenant) {
             return Err(ConfigError::UnknownTenant { function: name.to_string(), tenant });
         }
-        let kind = self.kind(text(line, "kind").unwrap_or(name));
-        let mut class = site.settings.classes[at].clone();
+        let kind = self.kind_index(text(entry, "kind").unwrap_or(name));
+        let mut class = site.settings.classes[class_index].clone();
         class.kind = Some(u16::try_from(kind).map_err(|_| ConfigError::TooManyKinds)?);
         self.classes.push(class);
-        self.client_classes.push(site.client_classes[at].clone());
-        let max_wait_ms = site.client_classes[at].max_wait_ms;
+        self.client_classes.push(site.client_classes[class_index].clone());
+        let max_wait_ms = site.client_classes[class_index].max_wait_ms;
         self.functions.push(Function { name: name.as_bytes().to_vec(), tenant, max_wait_ms, kind });
         Ok(())
     }
 
-    /// The number of a kind of workers, which is added where it is new.
-    fn kind(&mut self, name: &str) -> usize {
+    /// Returns the index of a kind of workers, and adds the kind if it is new.
+    fn kind_index(&mut self, name: &str) -> usize {
         self.kinds.iter().position(|known| known == name).unwrap_or_else(|| {
             self.kinds.push(name.to_string());
             self.kinds.len() - 1
@@ -158,40 +158,42 @@
     }
 }
 
-/// Sets what this frontend needs whatever the settings say.
-fn set_for_gearman(settings: &mut Settings) {
-    // One dispatcher with a list of its own: workers connect to it, are not probed, and are all in its zone.
+/// Overrides the settings that this frontend depends on.
+fn override_settings(settings: &mut Settings) {
+    // The endpoint list is private to this dispatcher: workers connect to it, are not probed, and count as
+    // local to its zone.
     (settings.number, settings.dispatchers, settings.zone) = (0, 1, 0);
     (settings.live_sizes, settings.must_subscribe, settings.zones_cost) = (false, false, false);
     (settings.capabilities.may_probe, settings.reports_load, settings.reports_start) = (false, true, true);
-    // A job that has not started waits in this program, not at a worker.
+    // A job that has not started is queued in this process and not at a worker, so it can be cancelled, which
+    // frees its slot.
     (settings.capabilities.may_cancel, settings.capabilities.cancel_frees_slot) = (true, true);
 }
 
 impl Config {
-    /// Reads the file; the settings are its own or, without such, the deployment's.
+    /// Parses and validates the file. If it has no settings of its own, those of the deployment apply.
     ///
     /// # Errors
-    /// Where a part is missing or does not read, or a name is not one of the settings'.
+    /// If a part is missing or not valid, or a class or a tenant is not in the settings.
     pub fn read(file: &JsonValue, deployment: Option<&JsonValue>) -> Result<Config, ConfigError> {
         let settings = field(file, "settings").or(deployment).ok_or(ConfigError::NoSettings)?;
         let mut site = Site::read(settings)?;
         let listen = text(file, "listen").ok_or(ConfigError::NoListen)?;
         let listen = listen.parse().map_err(|_| ConfigError::Listen(listen.to_string()))?;
-        let lines = field(file, "functions").and_then(JsonValue::get);
-        let lines: &std::collections::HashMap<String, JsonValue> =
-            lines.ok_or(ConfigError::NoFunctionTable)?;
-        let lines: BTreeMap<&String, &JsonValue> = lines.iter().collect();
-        let mut offered = Offered::default();
-        for (name, line) in lines {
-            offered.add(&site, name, line)?;
+        let entries = field(file, "functions").and_then(JsonValue::get);
+        let entries: &std::collections::HashMap<String, JsonValue> =
+            entries.ok_or(ConfigError::NoFunctionTable)?;
+        let entries: BTreeMap<&String, &JsonValue> = entries.iter().collect();
+        let mut table = FunctionTable::default();
+        for (name, entry) in entries {
+            table.add(&site, name, entry)?;
         }
-        if offered.functions.is_empty() {
+        if table.functions.is_empty() {
             return Err(ConfigError::NoFunctions);
         }
-        let Offered { functions, kinds, classes, client_classes } = offered;
+        let FunctionTable { functions, kinds, classes, client_classes } = table;
         (site.settings.classes, site.client_classes) = (classes, client_classes);
-        set_for_gearman(&mut site.settings);
+        override_settings(&mut site.settings);
         let record = field(file, "record").unwrap_or(&JsonValue::Null);
         let bound = |name, default: f64| number(record, name).unwrap_or(default).max(1.0) as usize;
         let identity = field(file, "identity").map(IdentityFiles::read).transpose()?;
@@ -213,7 +215,7 @@
         })
     }
 
-    /// A function's number.
+    /// Returns the index of a function.
     pub fn function(&self, name: &[u8]) -> Option<usize> {
         self.functions.iter().position(|f| f.name == name)
     }
--- a/src/frontend/gearman/identity.rs
+++ b/src/frontend/gearman/identity.rs
@@ -1,7 +1,8 @@
-//! Identities: X.509-SVIDs of SPIFFE over mutual TLS, and what each identity may do.
+//! Authentication with SPIFFE X.509-SVIDs over mutual TLS, and the roles of the identities.
 //!
-//! Owns the identity files, which it reads again once they change, and the roles of the identities that the operator
-//! lists. Connections and packets are the frontend's; it must call `reread` each time it does what is due.
+//! Owns the identity files, which it reloads when they change, and the roles of the identities that the
+//! operator lists. The frontend owns the connections and packets, and must call `reload_if_changed` in each
+//! tick.
 
 mod errors;
 
@@ -19,27 +20,27 @@
 
 pub use errors::{IdentityError, IdentityFilesError, InvalidSpiffeId, RoleError, SvidError};
 
-/// Time between two checks whether the files have changed, in milliseconds.
+/// Interval between two checks whether the files have changed, in milliseconds.
 const RELOAD_INTERVAL_MS: f64 = 1000.0;
 
-/// The operator's part on identities.
+/// The table `identity` of the operator's file.
 #[derive(Clone, Debug)]
 pub struct IdentityFiles {
-    /// The program's X.509-SVID with its chain, its key, and the trust bundle, all PEM.
+    /// PEM files of the program's X.509-SVID with its chain, of its private key, and of the trust bundle.
     pub files: [PathBuf; 3],
-    /// The trust domain.
+    /// Trust domain of the program and of all peers.
     pub trust_domain: String,
-    /// IDs of clients, each with its tenant.
+    /// SPIFFE IDs of clients, each with its tenant.
     pub clients: Vec<(String, String)>,
-    /// IDs of workers.
+    /// SPIFFE IDs of workers.
     pub workers: Vec<String>,
 }
 
 impl IdentityFiles {
-    /// Reads the operator's part.
+    /// Parses and validates the table.
     ///
     /// # Errors
-    /// Where a part is missing, or the trust domain or an identity is not valid.
+    /// If a field is missing, or the trust domain or a SPIFFE ID is not valid.
     pub fn read(part: &JsonValue) -> Result<IdentityFiles, IdentityFilesError> {
         let required = |name| text(part, name).ok_or(IdentityFilesError::NoField(name));
         let trust_domain = required("trust_domain")?.to_string();
@@ -55,7 +56,8 @@
             clients.push((id.clone(), tenant.clone()));
         }
         let workers = texts(part, "workers");
-        if let Some(id) = clients.iter().map(|c| &c.0).chain(&workers).find(|id| domain(id).is_err()) {
+        if let Some(id) = clients.iter().map(|c| &c.0).chain(&workers).find(|id| trust_domain_of(id).is_err())
+        {
             return Err(IdentityFilesError::SpiffeId(id.clone()));
         }
         Ok(IdentityFiles {
@@ -67,70 +69,70 @@
     }
 }
 
-/// What a peer may do.
+/// The permissions of a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Role {
-    /// The tenant whose functions it may submit; none: any.
+    /// The tenant whose functions the peer may submit; with `None`, any function.
     tenant: Option<String>,
     client: bool,
     worker: bool,
 }
 
 impl Default for Role {
-    /// Where identities are off, all peers may do all.
+    /// Returns the role of all peers if identities are not configured: every permission.
     fn default() -> Role {
         Role { tenant: None, client: true, worker: true }
     }
 }
 
 impl Role {
-    /// Whether it may submit jobs of a function that carries a tenant's jobs.
+    /// Whether the peer may submit jobs of a function that belongs to a tenant.
     pub fn may_submit(&self, tenant: &str) -> bool {
         self.client && self.tenant.as_ref().is_none_or(|own| own == tenant)
     }
 
-    /// Whether it may take jobs.
+    /// Whether the peer may act as a worker.
     pub fn may_work(&self) -> bool {
         self.worker
     }
 }
 
-/// What tells that a file has changed: when it was modified, and its size. None where it cannot be read.
-type Stamp = Option<(SystemTime, u64)>;
+/// Modification time and size of a file, by which changes are detected. `None` if the file cannot be read.
+type Fingerprint = Option<(SystemTime, u64)>;
 
-/// The program's identity, as last read.
+/// The program's identity, as last loaded successfully.
 pub struct Identity {
     files: IdentityFiles,
     config: Arc<ServerConfig>,
-    stamps: [Stamp; 3],
-    /// When the files are checked next, in milliseconds of the clock.
+    fingerprints: [Fingerprint; 3],
+    /// Time of the next check for changed files, in milliseconds of the clock.
     next_check: f64,
 }
 
 impl Identity {
-    /// Reads the files.
+    /// Loads the identity files.
     ///
     /// # Errors
-    /// Where a file cannot be read, or the certificate is not of the trust domain or not a leaf's.
+    /// If a file cannot be read, or the certificate is not of the trust domain or is not a leaf certificate.
     pub fn load(files: IdentityFiles) -> Result<Identity, IdentityError> {
-        let stamps = stamps(&files);
-        let config = config(&files)?;
-        Ok(Identity { files, config, stamps, next_check: 0.0 })
+        let fingerprints = fingerprints(&files);
+        let config = load_tls_config(&files)?;
+        Ok(Identity { files, config, fingerprints, next_check: 0.0 })
     }
 
-    /// Reads the files again if they have changed. Files that do not read, as when only some of them are
-    /// replaced yet, leave the old ones in force.
-    pub fn reread(&mut self, now: f64) {
+    /// Reloads the files if they have changed. If they are not valid, for example because only some of them
+    /// are replaced yet, the previous identity stays in force.
+    pub fn reload_if_changed(&mut self, now: f64) {
         if now < self.next_check {
             return;
         }
         self.next_check = now + RELOAD_INTERVAL_MS;
-        let stamps = stamps(&self.files);
-        if stamps == self.stamps {
+        let fingerprints = fingerprints(&self.files);
+        if fingerprints == self.fingerprints {
             return;
         }
-        self.stamps = stamps;
-        match config(&self.files) {
+        self.fingerprints = fingerprints;
+        match load_tls_config(&self.files) {
             Ok(config) => {
                 self.config = config;
                 crate::say("the identity files were read again");
@@ -139,18 +141,18 @@
         }
     }
 
-    /// A new TLS session of the server's side.
+    /// Returns a new server-side TLS session, or `None` if TLS cannot create one.
     pub fn new_tls_session(&self) -> Option<ServerConnection> {
         ServerConnection::new(Arc::clone(&self.config)).ok()
     }
 
-    /// What the holder of a verified chain may do.
+    /// Returns the role of a peer with a verified certificate chain.
     ///
     /// # Errors
-    /// Where the certificate is not a valid X.509-SVID of the trust domain, or its identity is not listed.
+    /// If the certificate is not a valid X.509-SVID of the trust domain, or its identity is not listed.
     pub fn role(&self, chain: &[CertificateDer<'_>]) -> Result<Role, RoleError> {
         let id = spiffe_id(chain.first().ok_or(RoleError::NoCertificate)?)?;
-        if domain(&id)? != self.files.trust_domain {
+        if trust_domain_of(&id)? != self.files.trust_domain {
             return Err(RoleError::TrustDomain(id));
         }
         let tenant = self.files.clients.iter().find(|(client, _)| *client == id).map(|(_, t)| t.clone());
@@ -162,14 +164,14 @@
     }
 }
 
-fn stamps(files: &IdentityFiles) -> [Stamp; 3] {
+fn fingerprints(files: &IdentityFiles) -> [Fingerprint; 3] {
     files.files.each_ref().map(|path| {
         let meta = std::fs::metadata(path).ok()?;
         Some((meta.modified().ok()?, meta.len()))
     })
 }
 
-/// All certificates of a file, one at least.
+/// Reads all certificates of a PEM file, which must have at least one.
 fn read_certificates(path: &PathBuf) -> Result<Vec<CertificateDer<'static>>, IdentityError> {
     let certificates = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
     match certificates {
@@ -179,13 +181,13 @@
     }
 }
 
-fn config(files: &IdentityFiles) -> Result<Arc<ServerConfig>, IdentityError> {
+fn load_tls_config(files: &IdentityFiles) -> Result<Arc<ServerConfig>, IdentityError> {
     let [certificate, key, bundle] = &files.files;
     let rejected = |path: &PathBuf, cause| IdentityError::Rejected { path: path.clone(), cause };
     let chain = read_certificates(certificate)?;
     let id =
         spiffe_id(&chain[0]).map_err(|cause| IdentityError::Svid { path: certificate.clone(), cause })?;
-    if domain(&id)? != files.trust_domain {
+    if trust_domain_of(&id)? != files.trust_domain {
         return Err(IdentityError::TrustDomain { path: certificate.clone(), id });
     }
     let private =
@@ -206,7 +208,8 @@
     Ok(Arc::new(config))
 }
 
-/// The SPIFFE ID of an X.509-SVID: its one URI SAN. The certificate must be a leaf's, which signs no others.
+/// Returns the SPIFFE ID of an X.509-SVID, which is its only URI SAN. The certificate must be a leaf
+/// certificate, which cannot sign others.
 fn spiffe_id(certificate: &CertificateDer<'_>) -> Result<String, SvidError> {
     let (_, parsed) = X509Certificate::from_der(certificate).map_err(SvidError::Parse)?;
     let names = parsed.subject_alternative_name().map_err(SvidError::Extension)?;
@@ -216,7 +219,7 @@
         .filter_map(|name| if let GeneralName::URI(uri) = name { Some(*uri) } else { None })
         .collect();
     let [uri] = uris[..] else { return Err(SvidError::UriNames(uris.len())) };
-    if domain(uri)?.len() + "spiffe://".len() == uri.len() {
+    if trust_domain_of(uri)?.len() + "spiffe://".len() == uri.len() {
         return Err(SvidError::NoPath(uri.to_string()));
     }
     if parsed.is_ca() {
@@ -234,8 +237,11 @@
     (1..=255).contains(&name.len()) && name.bytes().all(allowed)
 }
 
-/// The trust domain of a valid SPIFFE ID.
-fn domain(id: &str) -> Result<&str, InvalidSpiffeId> {
+/// Returns the trust domain of a SPIFFE ID.
+///
+/// # Errors
+/// If the SPIFFE ID is not valid.
+fn trust_domain_of(id: &str) -> Result<&str, InvalidSpiffeId> {
     let bad = || InvalidSpiffeId(id.to_string());
     let rest = id.strip_prefix("spiffe://").filter(|_| id.len() <= 2048).ok_or_else(bad)?;
     let (domain, path) = rest.split_once('/').map_or((rest, None), |(domain, path)| (domain, Some(path)));
--- a/src/frontend/gearman/identity/errors.rs
+++ b/src/frontend/gearman/identity/errors.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with identities: with the operator's part on them, with the files, and with a peer's certificate.
+//! Errors of identities: in the operator's file, in the identity files, and in a peer's certificate.
 
 use std::path::PathBuf;
 
@@ -8,124 +8,124 @@
 use x509_parser::error::X509Error;
 use x509_parser::nom;
 
-/// What is wrong with the operator's part on identities.
+/// An error in the table `identity` of the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum IdentityFilesError {
     /// A field is missing.
     #[error("identity: no `{0}`")]
     NoField(&'static str),
     /// The trust domain is not valid.
-    #[error("identity: no trust domain: {0}")]
+    #[error("identity: not a valid trust domain: {0}")]
     TrustDomain(String),
-    /// A client's tenant is missing.
+    /// The tenant of a client is missing.
     #[error("identity {0}: no tenant")]
     NoTenant(String),
-    /// The identity of a client or a worker is not valid.
-    #[error("identity: no SPIFFE ID: {0}")]
+    /// The SPIFFE ID of a client or a worker is not valid.
+    #[error("identity: not a valid SPIFFE ID: {0}")]
     SpiffeId(String),
 }
 
-/// A text that is no valid SPIFFE ID.
+/// A text is not a valid SPIFFE ID.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("no SPIFFE ID: {0}")]
+#[error("not a valid SPIFFE ID: {0}")]
 pub struct InvalidSpiffeId(pub String);
 
-/// Why a certificate is no X.509-SVID of a leaf.
+/// The reason why a certificate is not a leaf X.509-SVID.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SvidError {
-    /// It does not read.
+    /// The certificate cannot be parsed.
     #[error("certificate: {0}")]
     Parse(nom::Err<X509Error>),
-    /// An extension does not read.
+    /// An extension of the certificate cannot be parsed.
     #[error("certificate: {0}")]
     Extension(X509Error),
-    /// It has so many URI SANs, and must have one.
-    #[error("{0} URI SANs in place of one")]
+    /// The certificate has this number of URI SANs instead of one.
+    #[error("the certificate has {0} URI SANs, and must have exactly one")]
     UriNames(usize),
-    /// Its URI SAN is no valid SPIFFE ID.
+    /// The URI SAN is not a valid SPIFFE ID.
     #[error(transparent)]
     SpiffeId(#[from] InvalidSpiffeId),
-    /// Its SPIFFE ID has no path.
-    #[error("{0} has no path")]
+    /// The SPIFFE ID has no path.
+    #[error("the SPIFFE ID {0} has no path")]
     NoPath(String),
-    /// It is an authority's.
-    #[error("{0} is a signing certificate's")]
+    /// The certificate is a CA certificate.
+    #[error("{0}: the certificate is a signing certificate, not a leaf certificate")]
     SigningCertificate(String),
-    /// Its key usage is not a leaf's.
-    #[error("{0}: the key usage is no leaf's")]
+    /// The key usage is not that of a leaf certificate.
+    #[error("{0}: the key usage is not that of a leaf certificate")]
     KeyUsage(String),
 }
 
-/// Why the identity files cannot be used.
+/// The reason why the identity files are unusable.
 #[derive(Debug, Error)]
 pub enum IdentityError {
-    /// A file cannot be read, or is no PEM.
+    /// A file cannot be read or is not PEM.
     #[error("{}: {cause}", path.display())]
     Pem {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         cause: pem::Error,
     },
-    /// A file has no certificate.
+    /// A file contains no certificate.
     #[error("{}: no certificate", .0.display())]
     NoCertificate(PathBuf),
-    /// The certificate is no X.509-SVID.
+    /// The certificate is not a valid X.509-SVID.
     #[error("{}: {cause}", path.display())]
     Svid {
-        /// Its file.
+        /// The certificate's file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         cause: SvidError,
     },
-    /// The certificate's SPIFFE ID is not valid.
+    /// The SPIFFE ID of the certificate is not valid.
     #[error(transparent)]
     SpiffeId(#[from] InvalidSpiffeId),
-    /// The certificate is of another trust domain than the operator's file names.
+    /// The certificate is of another trust domain than the one in the operator's file.
     #[error("{}: {id} is of another trust domain", path.display())]
     TrustDomain {
-        /// Its file.
+        /// The certificate's file.
         path: PathBuf,
-        /// Its SPIFFE ID.
+        /// The certificate's SPIFFE ID.
         id: String,
     },
-    /// The certificate with its key, or a root of the bundle, is not accepted by TLS.
+    /// TLS does not accept the certificate with its key, or a root of the bundle.
     #[error("{}: {cause}", path.display())]
     Rejected {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         cause: rustls::Error,
     },
-    /// No verifier of peers can be made of the bundle.
+    /// The verifier of client certificates cannot be built from the bundle.
     #[error("{}: {cause}", path.display())]
     Verifier {
         /// The bundle's file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         cause: VerifierBuilderError,
     },
-    /// TLS cannot be set up.
+    /// The TLS server cannot be set up.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
 }
 
-/// Why a peer has no role here.
+/// The reason why a peer has no role.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum RoleError {
-    /// It showed no certificate.
+    /// The peer sent no certificate.
     #[error("no certificate")]
     NoCertificate,
-    /// Its certificate is no X.509-SVID.
+    /// The certificate is not a valid X.509-SVID.
     #[error(transparent)]
     Svid(#[from] SvidError),
-    /// Its SPIFFE ID is not valid.
+    /// The SPIFFE ID of the certificate is not valid.
     #[error(transparent)]
     SpiffeId(#[from] InvalidSpiffeId),
-    /// It is of another trust domain.
+    /// The certificate is of another trust domain.
     #[error("{0} is of another trust domain")]
     TrustDomain(String),
-    /// The operator's file does not list it.
-    #[error("{0} is neither a client nor a worker here")]
+    /// The operator's file does not list the SPIFFE ID.
+    #[error("{0} is not listed in `clients` or `workers`")]
     NotListed(String),
 }
--- a/src/frontend/gearman/identity/tests.rs
+++ b/src/frontend/gearman/identity/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `identity`.
+//! Tests for `identity`.
 
-use super::domain;
+use super::trust_domain_of;
 
 #[test]
-fn only_valid_ids_are_ids() {
-    assert_eq!(domain("spiffe://cedarline.example/desk/1"), Ok("cedarline.example"));
-    assert_eq!(domain("spiffe://cedarline.example"), Ok("cedarline.example"));
+fn invalid_spiffe_ids_are_rejected() {
+    assert_eq!(trust_domain_of("spiffe://cedarline.example/desk/1"), Ok("cedarline.example"));
+    assert_eq!(trust_domain_of("spiffe://cedarline.example"), Ok("cedarline.example"));
     for bad in [
         "spiffe://",
         "spiffe:///desk",
@@ -22,7 +22,7 @@
         "spiffe://user@cedarline.example/desk",
         "spiffe://cedarline.example/d%65sk",
     ] {
-        assert!(domain(bad).is_err(), "{bad}");
+        assert!(trust_domain_of(bad).is_err(), "{bad}");
     }
-    assert!(domain(&format!("spiffe://{}/a", "a".repeat(256))).is_err());
+    assert!(trust_domain_of(&format!("spiffe://{}/a", "a".repeat(256))).is_err());
 }
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -1,10 +1,13 @@
-//! Gearman's frontend: clients and workers of the Gearman protocol on the same core as the other frontends.
+//! The Gearman frontend: serves clients and workers of the Gearman protocol, on the same core as the other
+//! frontends.
 //!
-//! Owns the connections of its listener and their packets, and the record of jobs. It decides nothing: which worker gets a
-//! job, whether a job runs again and which jobs are rejected is the core's. The connection of each worker is an endpoint of
-//! the core; `docs/gearman.md` says how rejections and failures look to a client.
+//! It owns the connections of its listener, their packets and the record of jobs, but makes no scheduling
+//! decisions. The core decides which worker gets a job, whether a job is retried and which jobs are rejected.
+//! Each worker connection is an endpoint of the core. `docs/gearman.md` describes how rejections and failures
+//! look to a client.
 //!
-//! The caller must call `on_ready` and `accept` as its sockets are ready, and `tick` at `next_deadline` at the latest.
+//! The caller must call `on_ready` and `accept` when its sockets are ready, and `tick` no later than
+//! `next_deadline`.
 
 mod admin;
 mod clients;
@@ -32,45 +35,45 @@
 use record::{Key, Record};
 use workers::Worker;
 
-/// Open jobs for each connection that may be open: the bound on all open jobs.
+/// Open jobs per permitted connection; the bound on all open jobs is this number times the connection limit.
 const JOBS_PER_CONNECTION: usize = 16;
 
 /// An attempt at a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct AttemptId {
     job: JobId,
-    /// Its number among the attempts at the job.
+    /// Number of the attempt among the attempts at its job.
     number: usize,
 }
 
-/// Why a file that was read again is not taken over.
+/// The reason why a configuration that was read again cannot be applied.
 #[derive(Debug, Error)]
 pub enum IncompatibleConfig {
-    /// It has other functions or kinds of workers.
-    #[error("other functions or kinds take a restart")]
+    /// The functions or the kinds of workers changed.
+    #[error("changes to the functions or their kinds need a restart")]
     Functions,
-    /// It begins or ends with identities.
-    #[error("to begin or end with `identity` takes a restart")]
+    /// `identity` was added or removed.
+    #[error("adding or removing `identity` needs a restart")]
     Identity,
-    /// Its settings take a restart.
+    /// A change in the core's settings needs a restart.
     #[error(transparent)]
     Settings(#[from] IncompatibleSettings),
-    /// Its identity files cannot be used.
+    /// The identity files are unusable.
     #[error(transparent)]
     IdentityFiles(#[from] IdentityError),
 }
 
-/// A job that has not been answered.
+/// A job without a final answer.
 struct Job {
     function: usize,
     unique: Vec<u8>,
     key: Option<Key>,
     data: Vec<u8>,
-    /// Connections that wait for its answer, once for each submission.
+    /// Client connections that wait for the final answer, once per submission.
     listeners: Vec<ConnId>,
-    /// It was assigned to a worker at least once.
+    /// Whether the job was assigned to a worker at least once.
     was_assigned: bool,
-    /// Numerator and denominator of its progress, as its worker wrote them.
+    /// Numerator and denominator of the progress, as the worker sent them.
     progress: (Vec<u8>, Vec<u8>),
 }
 
@@ -88,7 +91,7 @@
     }
 }
 
-/// The frontend.
+/// The Gearman frontend, driven by the event loop of its caller.
 pub struct GearmanFrontend {
     core: Core,
     config: Config,
@@ -99,19 +102,19 @@
     record: Record,
     identity: Option<Identity>,
     shutdown: Option<Shutdown>,
-    /// Bytes in the outboxes of all peers.
+    /// Total bytes in the outboxes of all peers.
     outbox_bytes: usize,
-    /// Connections that may hold packets, to be served before the next event.
+    /// Connections that may have buffered packets, to be served before the next event.
     to_serve: VecDeque<ConnId>,
-    /// Connections that had their turns and may hold more packets.
+    /// Connections that used up their turn and may have more buffered packets.
     to_serve_next_tick: Vec<ConnId>,
 }
 
 impl GearmanFrontend {
-    /// A frontend on a listener that is open.
+    /// Creates a frontend on an open listener.
     ///
     /// # Errors
-    /// Where the identity files cannot be used.
+    /// If the identity files are unusable.
     pub fn new(
         config: Config,
         seed: u64,
@@ -137,11 +140,11 @@
         })
     }
 
-    /// Checks whether a file that was read again can be taken over without a restart: open jobs name functions by their
-    /// numbers. Returns the identity that goes with it, for `reload`.
+    /// Checks whether a configuration that was read again can be applied without a restart. The functions
+    /// must stay the same, because open jobs refer to them by index. Returns the identity for `reload`.
     ///
     /// # Errors
-    /// Where a change needs a restart, or the identity files cannot be used.
+    /// If a change needs a restart, or the identity files are unusable.
     pub fn check_compatible(&self, config: &Config) -> Result<Option<Identity>, IncompatibleConfig> {
         let names = |c: &Config| c.functions.iter().map(|f| (f.name.clone(), f.kind)).collect::<Vec<_>>();
         if names(config) != names(&self.config) || config.kinds != self.config.kinds {
@@ -154,53 +157,54 @@
         Ok(config.identity.clone().map(Identity::load).transpose()?)
     }
 
-    /// Takes over a compatible file, and its identity.
+    /// Applies a configuration that `check_compatible` has accepted, with the identity that it returned.
     pub fn reload(&mut self, config: Config, identity: Option<Identity>) {
         self.core.reconfigure(config.site.clone(), config.peers * JOBS_PER_CONNECTION);
         self.record.reconfigure(config.record.0, config.record.1);
         (self.config, self.identity) = (config, identity);
     }
 
-    /// Its core.
+    /// Returns the core of this frontend.
     pub fn core(&self) -> &Core {
         &self.core
     }
 
-    /// Most connections that it may hold.
+    /// Returns the connection limit.
     pub fn peers(&self) -> usize {
         self.config.peers
     }
 
-    /// Accepts the connections that wait. Above the bound a connection is closed at once, so that nothing is taken from it.
+    /// Accepts waiting connections. Above the connection limit, a connection is closed at once, before a
+    /// packet of it is read.
     pub fn accept(&mut self, net: &mut Sockets) {
         for _ in 0..64 {
             let Some(id) = net.accept(self.listener) else { return };
-            if self.peers.len() >= self.config.peers || self.is_past_last_call() {
+            if self.peers.len() >= self.config.peers || self.has_stopped_accepting() {
                 net.close(id);
                 continue;
             }
-            let since = self.core.clock().now();
+            let now = self.core.clock().now();
             let mut is_identified = true;
             if let Some(identity) = &self.identity {
                 is_identified = false;
-                let secured = identity.new_tls_session().is_some_and(|tls| net.start_tls(id, tls));
-                if !secured {
+                let is_tls_started = identity.new_tls_session().is_some_and(|tls| net.start_tls(id, tls));
+                if !is_tls_started {
                     net.close(id);
                     continue;
                 }
             }
             let address = net.conn(id).and_then(|c| c.peer_address()).map(|a| a.ip());
-            self.peers.insert(id, Peer::new(address, is_identified, since + READ_TIMEOUT_MS));
+            self.peers.insert(id, Peer::new(address, is_identified, now + READ_TIMEOUT_MS));
         }
     }
 
-    /// A connection can be read or written, or broke.
+    /// Handles a connection that became readable or writable, or failed.
     pub fn on_ready(&mut self, net: &mut Sockets, conn: ConnId) {
         self.serve(net, conn);
         self.carry_out(net);
     }
 
-    /// Carries out the core's commands, and serves connections, until nothing follows any more.
+    /// Carries out the core's commands and serves connections until there are no more of either.
     fn carry_out(&mut self, net: &mut Sockets) {
         loop {
             if let Some(command) = self.core.next_command() {
@@ -209,7 +213,7 @@
                         self.offer(net, AttemptId { job, number }, endpoint);
                     }
                     Command::Cancel { job, attempt: number } => self.cancel(AttemptId { job, number }),
-                    Command::Answer { job, answer } => self.answer(net, job, &answer),
+                    Command::Answer { job, answer } => self.on_final_answer(net, job, &answer),
                     Command::Probe { .. } | Command::Subscribe => {}
                 }
             } else if let Some(id) = self.to_serve.pop_front() {
@@ -220,11 +224,11 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Handles expired deadlines.
     pub fn tick(&mut self, net: &mut Sockets) {
         let now = self.core.clock().now();
         if let Some(identity) = &mut self.identity {
-            identity.reread(now);
+            identity.reload_if_changed(now);
         }
         self.core.tick();
         for conn in std::mem::take(&mut self.to_serve_next_tick) {
@@ -233,18 +237,19 @@
         self.carry_out(net);
         self.expire_workers(now);
         self.carry_out(net);
-        let over = |p: &Peer| [p.close_deadline, p.read_deadline].into_iter().flatten().any(|at| at <= now);
-        let over = self.peers.iter().filter(|(_, p)| over(p)).map(|(&id, _)| id);
-        for id in over.collect::<Vec<_>>() {
+        let is_expired =
+            |p: &Peer| [p.close_deadline, p.read_deadline].into_iter().flatten().any(|at| at <= now);
+        let expired = self.peers.iter().filter(|(_, p)| is_expired(p)).map(|(&id, _)| id);
+        for id in expired.collect::<Vec<_>>() {
             self.on_peer_left(net, id);
         }
-        if self.is_past_last_call() {
+        if self.has_stopped_accepting() {
             self.core.reject_new_jobs();
         }
         self.carry_out(net);
     }
 
-    /// When `tick` is to be called next.
+    /// Returns when `tick` must be called next, in milliseconds of the clock.
     pub fn next_deadline(&self) -> f64 {
         let now = self.core.clock().now();
         if !self.to_serve_next_tick.is_empty() {
@@ -252,39 +257,41 @@
         }
         let wake = self.core.next_deadline().unwrap_or(f64::INFINITY);
         let peers = self.peers.values().flat_map(|p| [p.close_deadline, p.read_deadline]).flatten();
-        let stop = self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.accepts_until_ms.max(now + 20.0));
+        let shutdown =
+            self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.accepts_until_ms.max(now + 20.0));
         let workers = self.peers.values().filter_map(|p| p.worker.as_ref()).map(Worker::next_deadline);
-        peers.chain(workers).fold(wake.min(stop), f64::min)
+        peers.chain(workers).fold(wake.min(shutdown), f64::min)
     }
 
-    /// Begins to stop.
+    /// Begins a graceful shutdown.
     pub fn stop(&mut self) {
         self.shutdown.get_or_insert_with(|| Shutdown::begin(&mut self.core));
     }
 
-    /// Whether it is past its last call.
-    fn is_past_last_call(&self) -> bool {
+    /// Whether a shutdown has reached the time from which new connections and jobs are rejected.
+    fn has_stopped_accepting(&self) -> bool {
         self.shutdown.is_some_and(|shutdown| self.core.clock().now() >= shutdown.accepts_until_ms)
     }
 
-    /// Whether all jobs are answered, and the answers are written as far as the peers read.
+    /// Whether the shutdown is complete: all jobs have ended, and all packets are written or the peers have
+    /// had their time to read them.
     pub fn is_stopped(&mut self, net: &mut Sockets) -> bool {
         let now = self.core.clock().now();
         let Some(shutdown) = self.shutdown.as_mut().filter(|_| self.core.open_jobs() == 0) else {
             return false;
         };
-        let mut written = |(id, peer): (&ConnId, &Peer)| {
+        let mut is_written = |(id, peer): (&ConnId, &Peer)| {
             net.conn(*id).is_none_or(|c| c.is_written() && peer.outbox.is_empty() || c.broken)
         };
-        shutdown.is_over(now, || self.peers.iter().all(&mut written))
+        shutdown.is_over(now, || self.peers.iter().all(&mut is_written))
     }
 
-    /// The handle by which clients and workers name a job.
+    /// Returns the handle of a job on the wire.
     fn handle(job_id: JobId) -> String {
         format!("H:micabeam:{}", job_id.0)
     }
 
-    /// The job that a handle names, if it is a valid handle.
+    /// Parses a handle; `None` if it is not valid.
     fn job_of_handle(handle: &[u8]) -> Option<JobId> {
         std::str::from_utf8(handle).ok()?.strip_prefix("H:micabeam:")?.parse().ok().map(JobId)
     }
--- a/src/frontend/gearman/packets.rs
+++ b/src/frontend/gearman/packets.rs
@@ -1,15 +1,15 @@
-//! Packets of the Gearman binary protocol.
+//! Packets of the Gearman binary protocol, and lines of its administrative protocol.
 
 use crate::net::Ring;
 
-/// Longest body of a packet: a job of 64 KiB with its names.
+/// Longest body of a packet: 64 KiB of job data, plus names.
 pub const MAX_BODY_BYTES: usize = 68 * 1024;
-/// Longest line of the administrative protocol that is read, with its end.
+/// Longest line of the administrative protocol, including the line end.
 const MAX_LINE_BYTES: usize = 1024;
-/// Length of a packet's header: magic, kind and length of the body, 4 bytes each.
+/// Length of a packet header: magic, kind and body length, 4 bytes each.
 const HEADER_BYTES: usize = 12;
 
-/// Kinds of packets, by their numbers.
+/// Numbers of the packet kinds.
 #[allow(missing_docs)]
 pub mod kind {
     pub const CAN_DO: u32 = 1;
@@ -55,25 +55,26 @@
     pub const STATUS_RES_UNIQUE: u32 = 42;
 }
 
-/// What a peer has sent.
+/// A packet or a line from a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Incoming {
-    /// A binary request.
+    /// A packet of the binary protocol.
     Packet {
-        /// Its kind.
+        /// Number of the packet kind.
         kind: u32,
-        /// Its body.
+        /// Arguments of the packet, separated by zero bytes.
         body: Vec<u8>,
     },
     /// A line of the administrative protocol.
     Line(String),
 }
 
-/// Takes a complete packet or line off the buffer; an error ends the connection.
+/// Removes the next packet or line from the buffer. Returns `None` if it is incomplete. After an error the
+/// connection must be closed.
 ///
 /// # Errors
-/// The protocol's code of the error, where the bytes cannot become a packet or a line.
-pub fn take(ring: &mut Ring) -> Result<Option<Incoming>, &'static str> {
+/// The protocol's error code, if the bytes cannot be the start of a packet or a line.
+pub fn read_next(ring: &mut Ring) -> Result<Option<Incoming>, &'static str> {
     let bytes = ring.bytes();
     match bytes.first() {
         None => Ok(None),
@@ -109,7 +110,7 @@
     }
 }
 
-/// Splits a body into so many arguments; the last may hold zero bytes.
+/// Splits a body into `N` arguments; the last one may contain zero bytes. Returns `None` if there are fewer.
 pub fn arguments<const N: usize>(body: &[u8]) -> Option<[&[u8]; N]> {
     let mut out = [&body[..0]; N];
     let mut parts = body.splitn(N, |&b| b == 0);
@@ -119,12 +120,12 @@
     Some(out)
 }
 
-/// Writes an answer.
-pub fn answer(kind: u32, arguments: &[&[u8]]) -> Vec<u8> {
+/// Serializes a reply packet.
+pub fn reply(kind: u32, arguments: &[&[u8]]) -> Vec<u8> {
     packet(b"\0RES", kind, arguments)
 }
 
-/// Writes a request, as a client or a worker does.
+/// Serializes a request packet, as clients and workers send it.
 pub fn request(kind: u32, arguments: &[&[u8]]) -> Vec<u8> {
     packet(b"\0REQ", kind, arguments)
 }
--- a/src/frontend/gearman/peers.rs
+++ b/src/frontend/gearman/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: what is remembered of each connection, how it proves who it is, and the packets from and to it.
+//! Peers: the state of each connection, its authentication, and reading and writing its packets.
 
 use std::collections::VecDeque;
 use std::net::IpAddr;
@@ -6,48 +6,49 @@
 use super::GearmanFrontend;
 use super::clients::MAX_AWAITED_ANSWERS;
 use super::identity::{Identity, Role};
-use super::packets::{Incoming, answer, kind, take};
+use super::packets::{Incoming, kind, read_next, reply};
 use super::workers::{Worker, is_worker_kind};
 use crate::frontend::Sockets;
 use crate::net::{Conn, ConnId, MAX_BUFFERED_BYTES};
 use crate::routing::JobId;
 
-/// How long a peer may take to end its side once this side has ended, in milliseconds.
+/// How long a peer may take to close its side after this side was shut down, in milliseconds.
 const LINGER_TIMEOUT_MS: f64 = 1000.0;
-/// Packets read from a connection before others have their turn, so that one peer cannot hold up the rest.
+/// Packets read from a connection before other connections have their turn, so that one peer cannot starve
+/// the others.
 const MAX_PACKETS_PER_TURN: usize = 64;
-/// Bytes of answers that wait for a client to read them, above which its submissions are left unread.
+/// Bytes queued for a client above which its submissions are not read.
 const HIGH_WATER_BYTES: usize = 32 * 1024;
-/// Bytes of answers that wait beside the connections' buffers, for all peers together. A client waits for
-/// `MAX_AWAITED_ANSWERS` answers at most, of `MAX_BUFFERED_BYTES` bytes each, and few are so slow at once.
+/// Bound on the bytes in the outboxes of all peers together. A client waits for at most `MAX_AWAITED_ANSWERS`
+/// answers of `MAX_BUFFERED_BYTES` bytes each, and few clients are that slow at the same time.
 const MAX_OUTBOX_BYTES: usize = 64 << 20;
-/// How long a peer may take to prove who it is and to send a complete packet, in milliseconds.
+/// Time limit for a peer to authenticate and to send a complete packet, in milliseconds.
 pub(super) const READ_TIMEOUT_MS: f64 = 5000.0;
 
-/// A connection, of a client, a worker, or both.
+/// The state of a connection, of a client, a worker, or both.
 pub(super) struct Peer {
     pub role: Role,
-    /// The name that it has given itself; empty without one.
+    /// The id that the peer set with `SET_CLIENT_ID`, or empty.
     pub client_id: Vec<u8>,
-    /// Its address, for the list of workers.
+    /// IP address of the peer, for the admin command `workers`.
     pub address: Option<IpAddr>,
-    /// It wants `WORK_EXCEPTION` packets.
+    /// Whether the client gets `WORK_EXCEPTION` packets.
     pub wants_exceptions: bool,
-    /// Jobs whose answers it waits for, once for each submission.
+    /// Jobs whose final answers the client waits for, once per submission.
     pub awaited_jobs: Vec<JobId>,
     pub worker: Option<Worker>,
-    /// Packets that its connection's buffer has no room for yet.
+    /// Packets that do not fit into the connection's write buffer yet.
     pub outbox: VecDeque<Vec<u8>>,
-    /// It has proved who it is, where the operator asks for that.
+    /// Whether the peer is authenticated, or does not need to be.
     pub is_identified: bool,
-    /// When the packet that it has begun, or its first one, must have come, in milliseconds of the clock.
+    /// Deadline for the first packet or for the rest of an incomplete one, in milliseconds of the clock.
     pub read_deadline: Option<f64>,
-    /// When its connection, which was ended on this side, is closed, in milliseconds of the clock.
+    /// When the connection, whose write side is shut down, is closed, in milliseconds of the clock.
     pub close_deadline: Option<f64>,
 }
 
 impl Peer {
-    /// A peer that has just connected and sends its first packet by `read_deadline`.
+    /// Returns the state of a new connection, which must send its first packet by `read_deadline`.
     pub fn new(address: Option<IpAddr>, is_identified: bool, read_deadline: f64) -> Peer {
         Peer {
             role: Role::default(),
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Moves packets from the outbox to the connection's buffer while there is room. Returns their bytes.
+    /// Moves packets from the outbox to the connection's write buffer while they fit. Returns the number of
+    /// bytes moved.
     pub fn write_outbox(&mut self, conn: &mut Conn) -> usize {
         let mut moved = 0;
         while let Some(packet) = self.outbox.front().filter(|packet| packet.len() <= conn.tx.free_space()) {
@@ -75,22 +77,22 @@
         moved
     }
 
-    /// Whether its packets are left unread until it has taken some of its answers.
+    /// Whether the peer's packets are not read until it has received some of its answers.
     ///
-    /// Guards against a cut for a client that reads more slowly than answers come. A worker is always read, since the results
-    /// that it sends make room.
-    fn is_behind(&self, conn: &Conn) -> bool {
-        let unread = conn.tx.len() + self.outbox.iter().map(Vec::len).sum::<usize>();
-        self.worker.is_none() && (unread > HIGH_WATER_BYTES || self.awaited_jobs.len() >= MAX_AWAITED_ANSWERS)
+    /// Without this backpressure, a client that reads more slowly than answers arrive would fill the outboxes
+    /// and be disconnected. Workers are always read, because their results complete jobs.
+    fn is_backpressured(&self, conn: &Conn) -> bool {
+        let queued = conn.tx.len() + self.outbox.iter().map(Vec::len).sum::<usize>();
+        self.worker.is_none() && (queued > HIGH_WATER_BYTES || self.awaited_jobs.len() >= MAX_AWAITED_ANSWERS)
     }
 
-    /// Looks up what the peer may do by its certificate.
+    /// Authenticates the peer by its certificate, and sets its role.
     pub fn identify(&mut self, conn: &Conn, identity: Option<&Identity>) -> Identification {
         let Some(chain) = conn.peer_certificates() else {
             return if conn.eof { Identification::Rejected } else { Identification::Pending };
         };
-        // Guards against a peer that holds a valid certificate and no allowed identity: it is rejected before a packet of
-        // it is read.
+        // A peer with a valid certificate whose identity is not allowed is rejected before any of its packets
+        // is read.
         match identity.map(|identity| identity.role(&chain)) {
             Some(Ok(role)) => {
                 (self.role, self.is_identified) = (role, true);
@@ -105,24 +107,24 @@
     }
 }
 
-/// How far a peer has proved who it is.
+/// The result of authenticating a peer.
 pub(super) enum Identification {
-    /// Its role is known.
+    /// The peer is authenticated and has its role.
     Done,
-    /// Its certificate has not come yet.
+    /// The certificate has not been received yet.
     Pending,
-    /// It has ended its side before, or its certificate gives it no role.
+    /// The peer closed its side before it sent a certificate, or its certificate gives it no role.
     Rejected,
 }
 
 impl GearmanFrontend {
-    /// Writes what waits for a peer, and handles the packets that have come from it.
+    /// Writes the packets queued for a peer, and handles those received from it.
     pub(super) fn serve(&mut self, net: &mut Sockets, id: ConnId) {
-        let mut turns = 0;
+        let mut packets = 0;
         loop {
-            // Guards against one peer that sends without end and keeps all others waiting.
-            turns += 1;
-            if turns > MAX_PACKETS_PER_TURN {
+            // A peer that sends without end must not starve the others.
+            packets += 1;
+            if packets > MAX_PACKETS_PER_TURN {
                 return self.to_serve_next_tick.push(id);
             }
             let (Some(conn), Some(peer)) = (net.conn(id), self.peers.get_mut(&id)) else { return };
@@ -141,22 +143,23 @@
                     Identification::Rejected => return self.on_peer_left(net, id),
                 }
             }
-            if peer.is_behind(conn) {
+            if peer.is_backpressured(conn) {
                 peer.read_deadline = None;
                 return;
             }
-            let ended = conn.eof;
-            let (read, begun) = (take(&mut conn.rx), !conn.rx.is_empty());
-            // Guards against peers that connect and send nothing, or half a packet, and take others' places.
+            let is_eof = conn.eof;
+            let (read, has_partial) = (read_next(&mut conn.rx), !conn.rx.is_empty());
+            // Peers that send nothing or only a part of a packet must not occupy connections that others
+            // need.
             match &read {
-                Ok(None) if begun && peer.read_deadline.is_none() => {
+                Ok(None) if has_partial && peer.read_deadline.is_none() => {
                     peer.read_deadline = Some(self.core.clock().now() + READ_TIMEOUT_MS);
                 }
                 Ok(None) => {}
                 _ => peer.read_deadline = None,
             }
             match read {
-                Ok(None) if ended => return self.on_peer_left(net, id),
+                Ok(None) if is_eof => return self.on_peer_left(net, id),
                 Ok(None) => return,
                 Ok(Some(Incoming::Line(line))) => self.on_admin_line(net, id, &line),
                 Ok(Some(Incoming::Packet { kind, body })) => self.on_packet(net, id, kind, &body),
@@ -170,7 +173,8 @@
         }
     }
 
-    /// Ends a connection once all that is queued for it is written, and closes it once its peer has ended its side.
+    /// Shuts down the write side of a connection once all queued packets are written, and closes the
+    /// connection once the peer has closed its side.
     fn close_when_written(&mut self, net: &mut Sockets, id: ConnId) {
         let (Some(conn), Some(peer)) = (net.conn(id), self.peers.get_mut(&id)) else { return };
         conn.rx.consume(conn.rx.len());
@@ -182,18 +186,18 @@
         }
     }
 
-    /// Handles a packet.
-    fn on_packet(&mut self, net: &mut Sockets, id: ConnId, number: u32, body: &[u8]) {
-        let read = match number {
+    /// Handles a packet, and replies with an error if its arguments are not valid.
+    fn on_packet(&mut self, net: &mut Sockets, id: ConnId, packet_kind: u32, body: &[u8]) {
+        let is_valid = match packet_kind {
             kind::ECHO_REQ => {
-                self.send(net, id, answer(kind::ECHO_RES, &[body]));
+                self.send(net, id, reply(kind::ECHO_RES, &[body]));
                 true
             }
             kind::OPTION_REQ if body == b"exceptions" => {
                 if let Some(peer) = self.peers.get_mut(&id) {
                     peer.wants_exceptions = true;
                 }
-                self.send(net, id, answer(kind::OPTION_RES, &[body]));
+                self.send(net, id, reply(kind::OPTION_RES, &[body]));
                 true
             }
             kind::OPTION_REQ => {
@@ -206,15 +210,16 @@
                 }
                 true
             }
-            _ if is_worker_kind(number) => self.worker_packet(net, id, number, body),
-            _ => self.client_packet(net, id, number, body),
+            _ if is_worker_kind(packet_kind) => self.on_worker_packet(net, id, packet_kind, body),
+            _ => self.on_client_packet(net, id, packet_kind, body),
         };
-        if !read {
+        if !is_valid {
             self.send_error(net, id, "bad_arguments", "the packet does not read");
         }
     }
 
-    /// Queues a packet for a peer. Only where all outboxes are full, or the packet could never fit, is its connection ended.
+    /// Queues a packet for a peer. The connection is closed only if the outboxes are full or the packet can
+    /// never fit into the write buffer.
     pub(super) fn send(&mut self, net: &mut Sockets, id: ConnId, bytes: Vec<u8>) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         if peer.outbox.is_empty() && net.write(id, &bytes) {
@@ -230,10 +235,10 @@
     }
 
     pub(super) fn send_error(&mut self, net: &mut Sockets, id: ConnId, code: &str, text: &str) {
-        self.send(net, id, answer(kind::ERROR, &[code.as_bytes(), text.as_bytes()]));
+        self.send(net, id, reply(kind::ERROR, &[code.as_bytes(), text.as_bytes()]));
     }
 
-    /// Forgets a peer, whose connection is closed.
+    /// Closes a peer's connection and removes the peer.
     pub(super) fn on_peer_left(&mut self, net: &mut Sockets, id: ConnId) {
         net.close(id);
         let Some(peer) = self.peers.remove(&id) else { return };
--- a/src/frontend/gearman/record.rs
+++ b/src/frontend/gearman/record.rs
@@ -1,6 +1,8 @@
-//! The record of jobs by their `unique`: which run, and what was answered. By it a job that a client submits again runs once.
+//! The record of jobs, by function and `unique`: which jobs run, and how finished jobs were answered. With
+//! it, a job that a client submits again does not run again.
 //!
-//! It is bounded: answers that need not be kept any more make room for new jobs, the oldest first.
+//! The record is bounded. Entries whose answers no longer need to be kept are evicted to make room for new
+//! jobs, the oldest first.
 
 use std::collections::VecDeque;
 
@@ -8,73 +10,74 @@
 
 use crate::routing::JobId;
 
-/// Entries looked at to make room for one job, so that a full record does not cost each submission a walk through all of
-/// it.
+/// Maximum number of entries examined to make room for a job, so that a submission to a full record does not
+/// scan all of it.
 const MAX_ENTRIES_SCANNED: usize = 64;
 
-/// The key of a job: its function's number and its `unique`.
+/// The key of a job: the index of its function, and its `unique`.
 pub type Key = (usize, Vec<u8>);
 
-/// What was answered.
+/// The final answer to a recorded job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The result.
+    /// The job completed with this result.
     Complete(Vec<u8>),
-    /// It failed, and may have run.
+    /// The job failed, and may have run.
     Failed,
 }
 
-/// What is known of a job.
+/// The recorded state of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Entry {
-    /// It has not ended.
+    /// The job has not ended.
     Running(JobId),
-    /// Its answer, under the handle that it had.
+    /// The job has ended.
     Answered {
-        /// The handle.
+        /// The handle that the job had.
         handle: String,
-        /// The answer.
+        /// The final answer.
         answer: Answer,
     },
 }
 
 struct Recorded {
     entry: Entry,
-    /// Until when it must be kept, in milliseconds of the clock, lest its job run again.
+    /// Time before which the entry must not be evicted, so that the job does not run again, in milliseconds
+    /// of the clock.
     keep_until: f64,
 }
 
-/// The record.
+/// A bounded record of jobs.
 pub struct Record {
     jobs: FxHashMap<Key, Recorded>,
-    /// Keys, those first that make room first.
+    /// Keys in the order of eviction.
     order: VecDeque<Key>,
     max_jobs: usize,
     max_bytes: usize,
-    /// Bytes of the keys and the answers.
+    /// Total bytes of the keys and the results.
     used_bytes: usize,
 }
 
 impl Record {
-    /// A record of so many jobs and so many bytes of answers at most.
+    /// Creates an empty record with bounds on the number of jobs and on the bytes of keys and results.
     pub fn new(max_jobs: usize, max_bytes: usize) -> Record {
         Record { jobs: FxHashMap::default(), order: VecDeque::new(), max_jobs, max_bytes, used_bytes: 0 }
     }
 
-    /// Takes over other bounds.
+    /// Sets new bounds.
     pub fn reconfigure(&mut self, max_jobs: usize, max_bytes: usize) {
         (self.max_jobs, self.max_bytes) = (max_jobs, max_bytes);
     }
 
-    /// What is known of a job.
+    /// Returns the entry of a job.
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.jobs.get(key).map(|recorded| &recorded.entry)
     }
 
-    /// Makes room for one more job. False where all entries must be kept: then a job that must not run twice is better
-    /// rejected than run without a record.
+    /// Makes room for one more job. Returns false if no entry could be evicted. The caller then rejects the
+    /// job, since without a record it might run twice.
     pub fn make_room(&mut self, now: f64) -> bool {
-        // The oldest first; those that must stay go to the end.
+        // Entries are examined oldest first; those that must be kept are moved to the end.
         for _ in 0..self.order.len().min(MAX_ENTRIES_SCANNED) {
             if self.jobs.len() < self.max_jobs && self.used_bytes < self.max_bytes {
                 return true;
@@ -93,7 +96,7 @@
         self.jobs.len() < self.max_jobs && self.used_bytes < self.max_bytes
     }
 
-    /// Records that a job runs.
+    /// Records a running job.
     pub fn start(&mut self, key: Key, job: JobId) {
         self.forget(&key);
         self.used_bytes += key.1.len();
@@ -101,7 +104,8 @@
         self.jobs.insert(key, Recorded { entry: Entry::Running(job), keep_until: 0.0 });
     }
 
-    /// Records a job's answer, to be kept until `keep_until`, in milliseconds of the clock.
+    /// Records the final answer to a job. The entry is kept until `keep_until` at least, in milliseconds of
+    /// the clock.
     pub fn finish(&mut self, key: &Key, handle: String, answer: Answer, keep_until: f64) {
         let Some(recorded) = self.jobs.get_mut(key) else { return };
         if let Entry::Answered { answer: Answer::Complete(old), .. } = &recorded.entry {
@@ -113,7 +117,7 @@
         *recorded = Recorded { entry: Entry::Answered { handle, answer }, keep_until };
     }
 
-    /// Forgets a job: it never ran, or may run again.
+    /// Removes the entry of a job that never ran or may run again.
     pub fn forget(&mut self, key: &Key) {
         if self.jobs.contains_key(key) {
             self.order.retain(|other| other != key);
