--- a/benches/ingest.rs
+++ b/benches/ingest.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use micabeam::ingest::{Event, Policy};
+use micabeam::ingest::{Policy, RequestAttributes};
 use micabeam::settings::Site;
 
 fn rules(c: &mut Criterion) {
@@ -20,7 +20,8 @@
     text += "[[rule]]\nname = \"all else\"\npartition = \"p\"\n";
     let policy = Policy::read(&text, &site).expect("it fits");
     let header = |_: &str| None;
-    let event = Event { class: 2, zone: 0, tenant: None, key: Some("van-999"), size: 3, header: &header };
+    let event =
+        RequestAttributes { class: 2, zone: 0, tenant: None, key: Some("van-999"), size: 3, header: &header };
     c.bench_function("the last of 200 rules", |b| b.iter(|| policy.rule(black_box(&event))));
 }
 
--- a/src/frontend/http/policy_gate.rs
+++ b/src/frontend/http/policy_gate.rs
@@ -7,7 +7,7 @@
 use super::headers::parse_duration_ms;
 use crate::core::{ALL_ENDPOINTS, PartitionId, boot_ms};
 use crate::frontend::Sockets;
-use crate::ingest::{Empty, Event, Policy, PolicyError};
+use crate::ingest::{Empty, Policy, PolicyError, RequestAttributes};
 use crate::net::ConnId;
 use crate::net::http::Message;
 
@@ -82,7 +82,8 @@
     /// All reasons why the policy cannot be used here.
     pub fn check(&self, text: &str) -> Result<Policy, Vec<PolicyError>> {
         let policy = Policy::read(text, self.core.site())?;
-        let without_endpoints = policy.nobody(|selector| self.core.has_ready_endpoint(selector));
+        let without_endpoints =
+            policy.partitions_without_endpoint(|selector| self.core.has_ready_endpoint(selector));
         if without_endpoints.is_empty() { Ok(policy) } else { Err(without_endpoints) }
     }
 
@@ -166,7 +167,7 @@
         else {
             return RouteDecision::Partition(ALL_ENDPOINTS);
         };
-        let event = Event {
+        let event = RequestAttributes {
             class,
             zone: self.core.site().settings.zone,
             tenant: message.header("req-owner"),
--- a/src/ingest/mod.rs
+++ b/src/ingest/mod.rs
@@ -1,17 +1,18 @@
-//! The policy that dispatchers run in common: partitions of the backend servers, and rules that say which requests go to
-//! which, free of I/O. It is read from TOML and checked as a whole; each error names its line.
+//! The routing policy that the dispatchers of a fleet share: partitions of the endpoints, and rules that
+//! assign requests to partitions. Parsed from TOML and validated as a whole; each error has its line.
+//! Performs no I/O.
 
 mod policy;
 mod rules;
 #[cfg(test)]
 mod tests;
 
-pub use policy::{Fault, Policy, PolicyError};
-pub use rules::{Empty, Event, Rule, Test};
+pub use policy::{ErrorKind, Policy, PolicyError};
+pub use rules::{Empty, RequestAttributes, Rule, Test};
 
-/// Most rules of a policy.
-pub const MOST_RULES: usize = 512;
-/// Most partitions of a policy.
-pub const MOST_PARTITIONS: usize = 128;
-/// Most headers that a rule may name.
-pub const MOST_HEADERS: usize = 8;
+/// Maximum number of rules in a policy.
+pub const MAX_RULES: usize = 512;
+/// Maximum number of partitions in a policy.
+pub const MAX_PARTITIONS: usize = 128;
+/// Maximum number of headers that a rule may test.
+pub const MAX_HEADERS: usize = 8;
--- a/src/ingest/policy.rs
+++ b/src/ingest/policy.rs
@@ -1,4 +1,5 @@
-//! The policy's file: read from TOML, checked against the site's names, and looked up for each request.
+//! The policy file: parsed from TOML, validated against the names in the settings, and evaluated for each
+//! request.
 
 use std::collections::BTreeSet;
 
@@ -6,71 +7,71 @@
 use thiserror::Error;
 use toml::Spanned;
 
-use super::rules::{Empty, Event, Rule, Test};
-use super::{MOST_HEADERS, MOST_PARTITIONS, MOST_RULES};
+use super::rules::{Empty, RequestAttributes, Rule, Test};
+use super::{MAX_HEADERS, MAX_PARTITIONS, MAX_RULES};
 use crate::core::EndpointSelector;
 use crate::settings::Site;
 
-/// What is wrong with a policy, and in which line.
+/// An error in a policy, with its line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("line {line}: {fault}")]
+#[error("line {line}: {kind}")]
 pub struct PolicyError {
-    /// The line, from 1.
+    /// The line number, counted from 1.
     pub line: usize,
-    /// What is wrong there.
-    pub fault: Fault,
+    /// The kind of error.
+    pub kind: ErrorKind,
 }
 
-/// What can be wrong.
+/// The kinds of errors in a policy. Their texts are sent to other dispatchers as the error of a check result.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
-    /// It is no TOML, or has a key or value that does not belong there.
+pub enum ErrorKind {
+    /// The text is not valid TOML, or has an unknown key or an invalid value.
     #[error("{0}")]
     Toml(String),
-    /// There is no version above 0.
+    /// The version is not above 0.
     #[error("`version` is {0}, and must be from 1 up")]
     Version(u64),
-    /// More than can be.
-    #[error("more than {most} {what}")]
-    Many {
-        /// Of what.
+    /// There are too many items of a kind.
+    #[error("more than {max} {what}")]
+    TooMany {
+        /// The kind of items.
         what: &'static str,
-        /// The most.
-        most: usize,
+        /// The maximum number of items.
+        max: usize,
     },
-    /// Two of one name.
+    /// Two items of a kind have the same name.
     #[error("{what} `{name}` is given twice")]
-    Twice {
-        /// What it is.
+    Duplicate {
+        /// The kind of items.
         what: &'static str,
-        /// Its name.
+        /// The name that is used twice.
         name: String,
     },
-    /// A name that is not known here.
+    /// A name is not in the settings or in the policy.
     #[error("there is no {what} `{name}` here")]
-    Unknown {
-        /// What it would be.
+    UnknownName {
+        /// The kind of item that the name should refer to.
         what: &'static str,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
-    /// A partition that no listed server belongs to.
+    /// No listed endpoint belongs to a partition.
     #[error("partition `{0}` has no server of those that are listed here")]
-    Nobody(String),
-    /// A test that nothing passes.
+    PartitionWithoutEndpoint(String),
+    /// A rule has a test that no request can pass.
     #[error("rule `{0}` has a test that nothing passes")]
-    Void(String),
-    /// A rule that is never reached.
+    UnsatisfiableTest(String),
+    /// A rule is never reached, because an earlier rule matches all its requests.
     #[error("rule `{rule}` is never reached: all that fits it fits `{before}` before it")]
-    Hidden {
-        /// The rule.
+    ShadowedRule {
+        /// Name of the rule that is never reached.
         rule: String,
-        /// The one that hides it.
+        /// Name of the earlier rule.
         before: String,
     },
-    /// A class of which some requests fit no rule.
+    /// Some requests of a class may match no rule.
     #[error("requests of class `{0}` may fit no rule: its last rule must take all of it")]
-    Missed(String),
+    UncoveredClass(String),
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -124,145 +125,157 @@
     empty: Empty,
 }
 
-/// A partition: its name, its line in the file, and which endpoints belong to it.
+/// A partition: its name, its line in the file, and the selector of its endpoints.
 pub type Partition = (String, usize, EndpointSelector);
 
-/// A policy that was read and checked.
+/// A validated policy.
 ///
 /// ```
-/// # use micabeam::ingest::{Event, Policy};
+/// # use micabeam::ingest::{RequestAttributes, Policy};
 /// # use micabeam::settings::Site;
-/// let site = Site::parse(include_bytes!("../../examples/settings.json"))?;
-/// let policy = Policy::read(include_str!("../../deploy/policy.toml"), &site).map_err(|e| format!("{e:?}"))?;
-/// let header = |_: &str| None;
-/// let hold = Event { class: 2, zone: 0, tenant: None, key: Some("van-4711"), size: 3, header: &header };
-/// assert_eq!(policy.rule(&hold).map(|rule| rule.name.as_str()), Some("vans"));
+/// let site = Site::parse(include_bytes!("../../examples/settings.json"))?; let policy =
+/// Policy::read(include_str!("../../deploy/policy.toml"), &site).map_err(|e| format!("{e:?}"))?; let header =
+/// |_: &str| None; let hold = RequestAttributes { class: 2, zone: 0, tenant: None, key: Some("van-4711"),
+/// size: 3, header: &header }; assert_eq!(policy.rule(&hold).map(|rule| rule.name.as_str()), Some("vans"));
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// Its version.
+    /// Version of the policy.
     pub version: u64,
     /// The partitions, in the order of the file.
     pub partitions: Vec<Partition>,
-    /// The rules, in order: the first that fits counts.
+    /// The rules in order of precedence: the first rule that matches a request applies.
     pub rules: Vec<Rule>,
 }
 
 impl Policy {
-    /// The version alone, as it stands in a file that need not fit this site.
+    /// Reads only the version of a policy file, without validating the rest against the settings.
     ///
     /// # Errors
-    /// Where the text is no policy file, or its version is 0.
+    /// If the text is not a policy file, or its version is 0.
     pub fn version(text: &str) -> Result<u64, PolicyError> {
         let file: File = toml::from_str(text).map_err(|e| not_toml(text, &e))?;
         match file.version.into_inner() {
-            0 => Err(PolicyError { line: 1, fault: Fault::Version(0) }),
+            0 => Err(PolicyError { line: 1, kind: ErrorKind::Version(0) }),
             version => Ok(version),
         }
     }
 
-    /// Reads and checks all of it; all that is wrong.
+    /// Parses a policy file and validates it against the settings.
     ///
     /// # Errors
-    /// All that is wrong with it, each with its line.
+    /// All errors in the file, each with its line.
     pub fn read(text: &str, site: &Site) -> Result<Policy, Vec<PolicyError>> {
         let file: File = toml::from_str(text).map_err(|e| vec![not_toml(text, &e)])?;
         let mut errors = Vec::new();
-        let mut wrong = |at: usize, fault: Fault| errors.push(PolicyError { line: line(text, at), fault });
+        let mut report =
+            |offset: usize, kind: ErrorKind| errors.push(PolicyError { line: line(text, offset), kind });
         let version = *file.version.get_ref();
         if version == 0 {
-            wrong(file.version.span().start, Fault::Version(version));
+            report(file.version.span().start, ErrorKind::Version(version));
         }
-        for (count, most, what) in
-            [(file.rule.len(), MOST_RULES, "rules"), (file.partition.len(), MOST_PARTITIONS, "partitions")]
+        for (count, max, what) in
+            [(file.rule.len(), MAX_RULES, "rules"), (file.partition.len(), MAX_PARTITIONS, "partitions")]
         {
-            if count > most {
-                wrong(0, Fault::Many { what, most });
+            if count > max {
+                report(0, ErrorKind::TooMany { what, max });
             }
         }
-        let partitions = read_partitions(&file.partition, text, site, &mut wrong);
+        let partitions = read_partitions(&file.partition, text, site, &mut report);
         let classes: Vec<String> = site.client_classes.iter().map(|class| class.name.clone()).collect();
         let mut rules: Vec<Rule> = Vec::new();
         let mut known = BTreeSet::new();
         for spanned in file.rule {
-            let (at, table) = (spanned.span().start, spanned.into_inner());
+            let (offset, table) = (spanned.span().start, spanned.into_inner());
             if !known.insert(table.name.clone()) {
-                wrong(at, Fault::Twice { what: "rule", name: table.name.clone() });
+                report(offset, ErrorKind::Duplicate { what: "rule", name: table.name.clone() });
             }
-            let rule = read_rule(table, at, &partitions, &classes, &site.zones, &mut wrong);
-            if is_void(&rule) {
-                wrong(at, Fault::Void(rule.name.clone()));
-            } else if let Some(before) = rules.iter().find(|before| before.hides(&rule)) {
-                wrong(at, Fault::Hidden { rule: rule.name.clone(), before: before.name.clone() });
+            let rule = read_rule(table, offset, &partitions, &classes, &site.zones, &mut report);
+            if is_unsatisfiable(&rule) {
+                report(offset, ErrorKind::UnsatisfiableTest(rule.name.clone()));
+            } else if let Some(before) = rules.iter().find(|before| before.shadows(&rule)) {
+                report(
+                    offset,
+                    ErrorKind::ShadowedRule { rule: rule.name.clone(), before: before.name.clone() },
+                );
             }
             rules.push(rule);
         }
         for (class, name) in classes.iter().enumerate() {
-            // Without rules all servers may run all classes.
-            if !rules.is_empty() && !rules.iter().any(|rule| rule.takes_all_of(class)) {
-                wrong(text.len(), Fault::Missed(name.clone()));
+            // Without rules, all endpoints may serve all classes.
+            if !rules.is_empty() && !rules.iter().any(|rule| rule.matches_whole_class(class)) {
+                report(text.len(), ErrorKind::UncoveredClass(name.clone()));
             }
         }
         if errors.is_empty() { Ok(Policy { version, partitions, rules }) } else { Err(errors) }
     }
 
-    /// What is wrong with it where `has` tells whether a server is listed that a partition selects.
-    pub fn nobody(&self, has: impl Fn(&EndpointSelector) -> bool) -> Vec<PolicyError> {
-        let bare = self.partitions.iter().filter(|(_, _, selector)| !has(selector));
-        bare.map(|(name, line, _)| PolicyError { line: *line, fault: Fault::Nobody(name.clone()) }).collect()
+    /// Returns an error for each partition without a listed endpoint. `has_endpoint` says whether a selector
+    /// matches a listed endpoint.
+    pub fn partitions_without_endpoint(
+        &self,
+        has_endpoint: impl Fn(&EndpointSelector) -> bool,
+    ) -> Vec<PolicyError> {
+        let without_endpoint = self.partitions.iter().filter(|(_, _, selector)| !has_endpoint(selector));
+        without_endpoint
+            .map(|(name, line, _)| PolicyError {
+                line: *line,
+                kind: ErrorKind::PartitionWithoutEndpoint(name.clone()),
+            })
+            .collect()
     }
 
-    /// The rule of a request: the first that fits.
-    pub fn rule(&self, event: &Event<'_>) -> Option<&Rule> {
-        self.rules.iter().find(|rule| rule.fits(event))
+    /// Returns the rule for a request: the first one that matches it.
+    pub fn rule(&self, request: &RequestAttributes<'_>) -> Option<&Rule> {
+        self.rules.iter().find(|rule| rule.matches(request))
     }
 }
 
-/// The partitions of a file. What is wrong with them goes to `wrong`, with its place in the text.
+/// Reads the partitions of a file. Errors go to `report`, with their byte offset in the text.
 fn read_partitions(
     tables: &[Spanned<PartitionTable>],
     text: &str,
     site: &Site,
-    wrong: &mut impl FnMut(usize, Fault),
+    report: &mut impl FnMut(usize, ErrorKind),
 ) -> Vec<Partition> {
     let mut names = BTreeSet::new();
     let mut partitions = Vec::new();
     for spanned in tables {
-        let (at, table) = (spanned.span().start, spanned.get_ref());
+        let (offset, table) = (spanned.span().start, spanned.get_ref());
         if !names.insert(table.name.clone()) {
-            wrong(at, Fault::Twice { what: "partition", name: table.name.clone() });
+            report(offset, ErrorKind::Duplicate { what: "partition", name: table.name.clone() });
         }
-        let kinds = places(&table.kinds, &site.kinds, "kind", at, wrong);
-        let zones = places(&table.zones, &site.zones, "zone", at, wrong);
+        let kinds = resolve_names(&table.kinds, &site.kinds, "kind", offset, report);
+        let zones = resolve_names(&table.zones, &site.zones, "zone", offset, report);
         let selector = EndpointSelector {
-            kinds: kinds.map(as_numbers),
-            zones: zones.map(as_numbers),
+            kinds: kinds.map(to_u16),
+            zones: zones.map(to_u16),
             cells: table.blocks.clone(),
             prefixes: table.prefixes.clone(),
         };
-        partitions.push((table.name.clone(), line(text, at), selector));
+        partitions.push((table.name.clone(), line(text, offset), selector));
     }
     partitions
 }
 
-/// A rule of a file. What is wrong with its names and its size goes to `wrong`.
+/// Reads a rule of a file. Unknown names and an excess of headers go to `report`.
 fn read_rule(
     table: RuleTable,
-    at: usize,
+    offset: usize,
     partitions: &[Partition],
     classes: &[String],
     zones: &[String],
-    wrong: &mut impl FnMut(usize, Fault),
+    report: &mut impl FnMut(usize, ErrorKind),
 ) -> Rule {
-    let classes = places(&table.classes, classes, "class", at, wrong);
-    let zones = places(&table.zones, zones, "zone", at, wrong);
+    let classes = resolve_names(&table.classes, classes, "class", offset, report);
+    let zones = resolve_names(&table.zones, zones, "zone", offset, report);
     let partition = partitions.iter().position(|(name, ..)| *name == table.partition);
     if partition.is_none() {
-        wrong(at, Fault::Unknown { what: "partition", name: table.partition.clone() });
+        report(offset, ErrorKind::UnknownName { what: "partition", name: table.partition.clone() });
     }
-    if table.headers.len() > MOST_HEADERS {
-        wrong(at, Fault::Many { what: "headers of a rule", most: MOST_HEADERS });
+    if table.headers.len() > MAX_HEADERS {
+        report(offset, ErrorKind::TooMany { what: "headers of a rule", max: MAX_HEADERS });
     }
     let headers = table.headers.into_iter().map(|h| (h.name.to_ascii_lowercase(), h.is)).collect();
     Rule {
@@ -270,7 +283,7 @@
         classes,
         tenant: table.tenant,
         key: table.key,
-        zones: zones.map(as_numbers),
+        zones: zones.map(to_u16),
         size: table.size.map(|size| (size.from, size.to.unwrap_or(u64::MAX))),
         headers,
         partition: partition.unwrap_or(0),
@@ -278,44 +291,44 @@
     }
 }
 
-/// Whether a rule has a test that nothing passes.
-fn is_void(rule: &Rule) -> bool {
+/// Whether a rule has a test that no request can pass.
+fn is_unsatisfiable(rule: &Rule) -> bool {
     let mut tests = rule.headers.iter().map(|(_, test)| test).chain(&rule.tenant).chain(&rule.key);
-    tests.any(Test::is_void)
+    tests.any(Test::is_unsatisfiable)
         || rule.size.is_some_and(|(from, to)| from > to)
         || rule.classes.as_ref().is_some_and(Vec::is_empty)
         || rule.zones.as_ref().is_some_and(Vec::is_empty)
 }
 
-fn as_numbers(list: Vec<usize>) -> Vec<u16> {
-    list.into_iter().map(|at| at as u16).collect()
+fn to_u16(list: Vec<usize>) -> Vec<u16> {
+    list.into_iter().map(|index| index as u16).collect()
 }
 
-/// Names as their places among those that are known.
-fn places(
+/// Resolves names to their indexes in `known`. Unknown names go to `report`.
+fn resolve_names(
     names: &Option<Vec<String>>,
     known: &[String],
     what: &'static str,
-    at: usize,
-    wrong: &mut impl FnMut(usize, Fault),
+    offset: usize,
+    report: &mut impl FnMut(usize, ErrorKind),
 ) -> Option<Vec<usize>> {
     let names = names.as_ref()?;
-    let mut list = Vec::new();
+    let mut indexes = Vec::new();
     for name in names {
         match known.iter().position(|known| known == name) {
-            Some(place) => list.push(place),
-            None => wrong(at, Fault::Unknown { what, name: name.clone() }),
+            Some(index) => indexes.push(index),
+            None => report(offset, ErrorKind::UnknownName { what, name: name.clone() }),
         }
     }
-    Some(list)
+    Some(indexes)
 }
 
-/// The line of a place in a text.
-fn line(text: &str, at: usize) -> usize {
-    1 + text.as_bytes()[..at.min(text.len())].iter().filter(|byte| **byte == b'\n').count()
+/// Returns the line number of a byte offset in a text.
+fn line(text: &str, offset: usize) -> usize {
+    1 + text.as_bytes()[..offset.min(text.len())].iter().filter(|byte| **byte == b'\n').count()
 }
 
 fn not_toml(text: &str, error: &toml::de::Error) -> PolicyError {
-    let at = error.span().map_or(0, |span| span.start);
-    PolicyError { line: line(text, at), fault: Fault::Toml(error.message().to_string()) }
+    let offset = error.span().map_or(0, |span| span.start);
+    PolicyError { line: line(text, offset), kind: ErrorKind::Toml(error.message().to_string()) }
 }
--- a/src/ingest/rules.rs
+++ b/src/ingest/rules.rs
@@ -1,108 +1,108 @@
-//! Rules: what of a request is looked at, and when one rule leaves nothing for another.
+//! Rules: which attributes of a request they test, and when one rule shadows another.
 
 use serde::Deserialize;
 
-/// A test of a text.
+/// A test of a text, such as a header value.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Test {
-    /// It is this.
+    /// The text is equal to this one.
     Equal(String),
-    /// It is one of these.
+    /// The text is one of these.
     OneOf(Vec<String>),
-    /// It begins with this.
+    /// The text starts with this prefix.
     Prefix(String),
-    /// It is from the first to the last, both among it, by the order of their bytes.
+    /// The text is in this inclusive range, in byte order.
     Range(String, String),
-    /// It is there.
+    /// The text is present (`true`) or absent (`false`).
     Present(bool),
 }
 
 impl Test {
-    /// Whether a text passes; none: it is not there.
+    /// Whether a text passes the test. `None` means that the text is absent.
     pub fn passes(&self, text: Option<&str>) -> bool {
         match (self, text) {
-            (Test::Present(there), text) => text.is_some() == *there,
+            (Test::Present(expected), text) => text.is_some() == *expected,
             (_, None) => false,
             (Test::Equal(one), Some(text)) => one == text,
             (Test::OneOf(list), Some(text)) => list.iter().any(|one| one == text),
-            (Test::Prefix(head), Some(text)) => text.starts_with(head.as_str()),
+            (Test::Prefix(prefix), Some(text)) => text.starts_with(prefix.as_str()),
             (Test::Range(from, to), Some(text)) => (from.as_str()..=to.as_str()).contains(&text),
         }
     }
 
-    /// Whether all that passes another test passes this one. May say no where that is so.
+    /// Whether every text that passes `other` passes this test. Returns false in cases that it cannot decide.
     pub fn covers(&self, other: &Test) -> bool {
         match (self, other) {
             (Test::Present(true), other) => *other != Test::Present(false),
             (Test::Present(false), other) => *other == Test::Present(false),
             (one, Test::Equal(text)) => one.passes(Some(text)),
             (one, Test::OneOf(list)) => list.iter().all(|text| one.passes(Some(text))),
-            (Test::Prefix(head), Test::Prefix(other)) => other.starts_with(head.as_str()),
+            (Test::Prefix(prefix), Test::Prefix(other)) => other.starts_with(prefix.as_str()),
             (Test::Range(from, to), Test::Range(a, b)) => from <= a && b <= to,
-            (Test::Prefix(head), Test::Range(a, b)) => {
-                a.starts_with(head.as_str()) && b.starts_with(head.as_str())
+            (Test::Prefix(prefix), Test::Range(a, b)) => {
+                a.starts_with(prefix.as_str()) && b.starts_with(prefix.as_str())
             }
             _ => false,
         }
     }
 
-    /// Whether anything can pass.
-    pub fn is_void(&self) -> bool {
+    /// Whether no text can pass.
+    pub fn is_unsatisfiable(&self) -> bool {
         matches!(self, Test::OneOf(list) if list.is_empty())
             || matches!(self, Test::Range(from, to) if from > to)
     }
 }
 
-/// What happens to a request whose partition has no server that takes work.
+/// What happens to a request if no endpoint of its partition accepts work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Empty {
-    /// It waits for one until its own time is over.
+    /// The request waits for an endpoint until its deadline.
     #[default]
     Wait,
-    /// It is denied at once, with a time to come back.
+    /// The request is rejected at once, with a retry delay.
     Deny,
-    /// It goes to the next partition in the policy's order that has one.
+    /// The request goes to the next partition, in the order of the policy, that has an endpoint.
     Next,
 }
 
-/// A rule. All of its tests are to pass.
+/// A rule. It matches requests that pass all its tests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Its name.
+    /// Name of the rule.
     pub name: String,
-    /// Classes, by index; none: all.
+    /// Indexes of the classes; `None` matches every class.
     pub classes: Option<Vec<usize>>,
-    /// The tenant.
+    /// Test of the tenant.
     pub tenant: Option<Test>,
-    /// The key.
+    /// Test of the key.
     pub key: Option<Test>,
-    /// Zones of the dispatcher that takes it, by index; none: all.
+    /// Indexes of the zones of the dispatcher that received the request; `None` matches every zone.
     pub zones: Option<Vec<u16>>,
-    /// Bytes of its body, from and to, both among it.
+    /// Inclusive range of the body size, in bytes.
     pub size: Option<(u64, u64)>,
-    /// Headers by their names in small letters.
+    /// Tests of headers, by lower-case name.
     pub headers: Vec<(String, Test)>,
-    /// The partition, by index.
+    /// Index of the partition that the requests go to.
     pub partition: usize,
-    /// What happens where that has no server.
+    /// What happens if no endpoint of the partition accepts work.
     pub empty: Empty,
 }
 
-/// What of a request rules look at.
-pub struct Event<'a> {
-    /// Its class, by index.
+/// The attributes of a request that rules test.
+pub struct RequestAttributes<'a> {
+    /// Index of the class.
     pub class: usize,
-    /// The dispatcher's zone, by index.
+    /// Index of the dispatcher's zone.
     pub zone: u16,
-    /// Its tenant.
+    /// Tenant of the request.
     pub tenant: Option<&'a str>,
-    /// Its key.
+    /// Key of the request.
     pub key: Option<&'a str>,
-    /// Bytes of its body.
+    /// Size of the body, in bytes.
     pub size: u64,
-    /// A header by its name in small letters.
+    /// Returns the value of a header by its lower-case name.
     pub header: &'a dyn Fn(&str) -> Option<&'a str>,
 }
 
@@ -123,19 +123,19 @@
 }
 
 impl Rule {
-    /// Whether a request fits.
-    pub fn fits(&self, event: &Event<'_>) -> bool {
-        self.classes.as_ref().is_none_or(|list| list.contains(&event.class))
-            && self.zones.as_ref().is_none_or(|list| list.contains(&event.zone))
-            && self.tenant.as_ref().is_none_or(|test| test.passes(event.tenant))
-            && self.key.as_ref().is_none_or(|test| test.passes(event.key))
-            && self.size.is_none_or(|(from, to)| (from..=to).contains(&event.size))
-            && self.headers.iter().all(|(name, test)| test.passes((event.header)(name)))
+    /// Whether a request passes all tests of the rule.
+    pub fn matches(&self, request: &RequestAttributes<'_>) -> bool {
+        self.classes.as_ref().is_none_or(|list| list.contains(&request.class))
+            && self.zones.as_ref().is_none_or(|list| list.contains(&request.zone))
+            && self.tenant.as_ref().is_none_or(|test| test.passes(request.tenant))
+            && self.key.as_ref().is_none_or(|test| test.passes(request.key))
+            && self.size.is_none_or(|(from, to)| (from..=to).contains(&request.size))
+            && self.headers.iter().all(|(name, test)| test.passes((request.header)(name)))
     }
 
-    /// Whether all that fits another rule fits this one, so that the other is never reached behind it. May say no where
-    /// that is so.
-    pub fn hides(&self, other: &Rule) -> bool {
+    /// Whether every request that matches `other` matches this rule, so that `other` is never reached after
+    /// it. Returns false in cases that it cannot decide.
+    pub fn shadows(&self, other: &Rule) -> bool {
         let size = match (self.size, other.size) {
             (None, _) => true,
             (Some((from, to)), Some((a, b))) => from <= a && b <= to,
@@ -151,9 +151,12 @@
             && self.headers.iter().all(header)
     }
 
-    /// Whether it takes all of a class, whatever else a request is.
-    pub fn takes_all_of(&self, class: usize) -> bool {
-        let open = self.tenant.is_none() && self.key.is_none() && self.zones.is_none() && self.size.is_none();
-        open && self.headers.is_empty() && self.classes.as_ref().is_none_or(|list| list.contains(&class))
+    /// Whether the rule matches every request of a class.
+    pub fn matches_whole_class(&self, class: usize) -> bool {
+        let is_unrestricted =
+            self.tenant.is_none() && self.key.is_none() && self.zones.is_none() && self.size.is_none();
+        is_unrestricted
+            && self.headers.is_empty()
+            && self.classes.as_ref().is_none_or(|list| list.contains(&class))
     }
 }
--- a/src/ingest/tests.rs
+++ b/src/ingest/tests.rs
@@ -1,4 +1,4 @@
-//! Policies that read and do not, and rules that hide each other.
+//! Tests for valid and invalid policies, and for rules that shadow each other.
 
 use proptest::prelude::*;
 
@@ -12,11 +12,11 @@
 }
 
 #[test]
-fn a_policy_with_anything_wrong_is_refused_with_its_line() {
+fn an_invalid_policy_is_rejected_with_the_line_of_the_error() {
     assert_eq!(Policy::read(GOOD, &site()).unwrap().rules.len(), 3);
     assert_eq!(Policy::version(GOOD), Ok(1));
     let line = |text: &str| 1 + GOOD[..GOOD.find(text).unwrap()].matches('\n').count();
-    for (from, to, at, says) in [
+    for (from, to, expected_line, says) in [
         ("version = 1", "version = 0", line("version = 1"), "`version` is 0"),
         ("version = 1", "versions = 1", line("version = 1"), "unknown field `versions`"),
         ("zones = [\"east\"]", "zones = [\"south\"]", line("[[partition]]"), "there is no zone `south` here"),
@@ -30,7 +30,8 @@
         ("key = { prefix = \"van-\" }\n", "", 0, "may fit no rule"),
         ("empty = \"deny\"", "empty = \"drop\"", 0, "unknown variant `drop`"),
     ] {
-        // The last rule takes all: without its tests the first would still leave nothing uncovered.
+        // The last rule of the file matches everything. It is restricted here, since otherwise no class could
+        // be uncovered.
         let mut text = GOOD.replacen(from, to, 1);
         if says == "may fit no rule" {
             text = text.replace("name = \"all else\"\n", "name = \"all else\"\nclasses = [\"site-hold\"]\n");
@@ -38,26 +39,26 @@
         let errors = Policy::read(&text, &site()).expect_err(says);
         let error = errors.iter().find(|error| error.to_string().contains(says));
         let error = error.unwrap_or_else(|| panic!("{says}: {errors:?}"));
-        assert!(at == 0 || error.line == at, "{error} and not line {at}");
+        assert!(expected_line == 0 || error.line == expected_line, "{error} and not line {expected_line}");
     }
 }
 
 #[test]
-fn a_rule_that_is_never_reached_is_refused() {
+fn a_rule_that_is_never_reached_is_rejected() {
     let behind = GOOD.to_string()
         + "\n[[rule]]\nname = \"late\"\nkey = { equal = \"van-7\" }\nclasses = [\"site-hold\"]\npartition = \"east\"\n";
     let errors = Policy::read(&behind, &site()).unwrap_err();
-    assert_eq!(errors[0].fault, Fault::Hidden { rule: "late".into(), before: "vans".into() });
+    assert_eq!(errors[0].kind, ErrorKind::ShadowedRule { rule: "late".into(), before: "vans".into() });
     assert_eq!(errors[0].line, 2 + GOOD.lines().count(), "{}", errors[0]);
 }
 
-/// A rule that names servers that nobody has is a no.
+/// A policy is rejected if no listed endpoint belongs to one of its partitions.
 #[test]
-fn a_partition_without_servers_is_told() {
+fn a_partition_without_endpoints_is_reported() {
     let policy = Policy::read(GOOD, &site()).unwrap();
-    let errors = policy.nobody(|selector| selector.zones == Some(vec![0]));
+    let errors = policy.partitions_without_endpoint(|selector| selector.zones == Some(vec![0]));
     assert_eq!(errors.len(), 1);
-    assert_eq!(errors[0].fault, Fault::Nobody("elsewhere".into()));
+    assert_eq!(errors[0].kind, ErrorKind::PartitionWithoutEndpoint("elsewhere".into()));
 }
 
 fn test() -> impl Strategy<Value = Test> {
@@ -74,15 +75,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// What a test covers passes it: else a rule could be refused as never reached, and be reached.
+    /// Every text that passes a covered test must pass the covering test. Otherwise a policy could be
+    /// rejected because of a rule that is reached.
     #[test]
-    fn what_is_covered_passes(one in test(), other in test(), text in prop::option::of("[ab]{0,4}")) {
-        if one.covers(&other) && !other.is_void() && other.passes(text.as_deref()) {
+    fn a_covered_text_passes(one in test(), other in test(), text in prop::option::of("[ab]{0,4}")) {
+        if one.covers(&other) && !other.is_unsatisfiable() && other.passes(text.as_deref()) {
             prop_assert!(one.passes(text.as_deref()), "{one:?} covers {other:?} and not {text:?}");
         }
     }
 
-    /// Whatever a file has, reading it ends in a policy or in errors.
+    /// Reading any text returns a policy or errors, and does not panic.
     #[test]
     fn no_file_panics(text in "\\PC{0,200}", cut in 0usize..2000) {
         let _ = Policy::read(&text, &site());
