--- a/tests/list_freshness.rs
+++ b/tests/list_freshness.rs
@@ -1,16 +1,17 @@
-//! A dispatcher acts on a list of servers that nobody has confirmed.
+//! Tests against dispatchers that send jobs by an endpoint list which discovery has not confirmed.
 //!
-//! What users saw: in staging, with 300 dispatchers, requests went to removed servers hundreds of times, up to seconds after
-//! the time by which the removal had to be followed.
+//! The fault, seen in staging with 300 dispatchers: requests went to removed servers hundreds of times, up to seconds after
+//! the time by which the removal had to be applied.
 //!
-//! The order of events: a zone is lost, and its dispatchers end with it. Servers are removed while they are away. They start
-//! again with the list that they last had. They say at once that clients may come, serve from that list as if it were news,
-//! and call discovery for the first time up to 6 s after their start: the removals count as told long before.
+//! How it came about: a zone went down together with its dispatchers, and servers were removed during that time. The
+//! dispatchers restarted with the lists that they had saved, reported ready at once, sent by those lists as if they were
+//! current, and first called discovery up to 6 s after their start. By then the removals had long counted as announced.
 //!
-//! The evidence: all breaks of a replay name the removal of a server at one moment, counted as told 6 s later by the bound on
-//! changes that were not fetched; dispatchers with a watch had it before. As reported of another day,
-//! with each call and attempt logged, a restarted dispatcher sent to a removed server 0.3 s after its start, and its first call went out after 5.9 s. Over 51
-//! such dispatchers the first list came after 0.1 to 6.0 s. The tests here make the same order over loopback.
+//! Evidence: every violation in a replay was the removal of a server at one moment, which counted as announced 6 s later by
+//! the bound on changes that were not fetched; dispatchers with an open watch had received it earlier. In a log of each call
+//! and attempt from another day, a restarted dispatcher sent to a removed server 0.3 s after its start, and made its first
+//! call after 5.9 s. Over 51 such dispatchers the first list arrived after 0.1 to 6.0 s. The tests reproduce this order of
+//! events over loopback.
 
 mod common;
 #[path = "common/crossing.rs"]
@@ -27,51 +28,51 @@
 use net::*;
 use stand_ins::*;
 
-/// Nine in ten of the dispatchers that start again have to be ready by then, on the shortest days.
+/// Nine in ten restarted dispatchers must be ready within this time on the days with the shortest limit.
 const READY_WITHIN: Duration = Duration::from_secs(6);
 
-/// The configuration of one dispatcher of a fleet, with a list of before its restart.
+/// Returns the configuration of one dispatcher of a fleet, with the list that it saved before its restart.
 fn fleet_member(
     number: u32,
     dispatchers: u32,
     discovery: SocketAddr,
     hosts: &[(&str, SocketAddr)],
 ) -> String {
-    let place = format!(r#""balancers": {dispatchers}, "myNumber": {number}"#);
-    config(128, discovery, hosts).replace(r#""balancers": 1, "myNumber": 0"#, &place)
+    let fleet_keys = format!(r#""balancers": {dispatchers}, "myNumber": {number}"#);
+    config(128, discovery, hosts).replace(r#""balancers": 1, "myNumber": 0"#, &fleet_keys)
 }
 
-/// A dispatcher that starts with a list in which a server stands that discovery has removed since.
-struct Restarted {
+/// A dispatcher started_list with a saved list that still contains a server which discovery has removed since.
+struct RestartedDispatcher {
     program: Program,
     address: SocketAddr,
     removed: JobServer,
-    alive: JobServer,
+    remaining: JobServer,
 }
 
-impl Restarted {
-    fn start(number: u32, dispatchers: u32, discovery: impl Fn(&str) -> SocketAddr) -> Restarted {
-        let (removed, alive) = (JobServer::listen("s-1"), JobServer::listen("s-2"));
-        let discovery = discovery(&host("s-2", alive.address, "up"));
-        let known = [("s-1", removed.address), ("s-2", alive.address)];
-        let text = fleet_member(number, dispatchers, discovery, &known);
-        let mut program = Program::start(Some(&text), None);
+impl RestartedDispatcher {
+    fn start(number: u32, dispatchers: u32, discovery: impl Fn(&str) -> SocketAddr) -> RestartedDispatcher {
+        let (removed, remaining) = (JobServer::listen("s-1"), JobServer::listen("s-2"));
+        let discovery = discovery(&host("s-2", remaining.address, "up"));
+        let saved = [("s-1", removed.address), ("s-2", remaining.address)];
+        let config = fleet_member(number, dispatchers, discovery, &saved);
+        let mut program = Program::start(Some(&config), None);
         let address = program.address();
         removed.serve(address);
-        alive.serve(address);
-        Restarted { program, address, removed, alive }
+        remaining.serve(address);
+        RestartedDispatcher { program, address, removed, remaining }
     }
 }
 
-/// Guards against a dispatcher that serves from the list of before its restart as if it were news. Clients come once it says
-/// that they may, and those that have not noticed its end come at once.
+/// Guards against a dispatcher that sends by the list saved before its restart as if it were current. Most clients connect
+/// once it reports ready; those that did not notice the restart connect at once.
 #[test]
-fn a_restarted_dispatcher_sends_nothing_to_a_server_that_was_removed_while_it_was_away() {
-    let stories: Vec<_> = (0..6)
+fn restarted_dispatcher_sends_nothing_to_a_server_removed_during_its_downtime() {
+    let runs: Vec<_> = (0..6)
         .map(|number| {
             thread::spawn(move || {
                 let restarted =
-                    Restarted::start(number, 30, |hosts| StandInDiscovery::start(9, hosts).address);
+                    RestartedDispatcher::start(number, 30, |hosts| StandInDiscovery::start(9, hosts).address);
                 let address = restarted.address;
                 let early = thread::spawn(move || submit_for(address, "early", Duration::from_secs(1)));
                 wait_until_ready(address, READY_WITHIN);
@@ -79,24 +80,25 @@
                 early.join().unwrap();
                 assert_eq!(restarted.removed.jobs(), 0, "dispatcher {number}: jobs at the removed server");
                 assert!(served > 10 && other == 0, "dispatcher {number}: {served} served, {other} not");
-                assert!(restarted.alive.jobs() >= served);
+                assert!(restarted.remaining.jobs() >= served);
                 drop(restarted.program);
             })
         })
         .collect();
-    for story in stories {
-        story.join().unwrap();
+    for run in runs {
+        run.join().unwrap();
     }
 }
 
-/// What a restarted dispatcher of a small fleet does while its first calls go wrong in one way.
-fn restarted_while(mode: Mode, calls: u64) -> (u64, u64, u64) {
-    let service = std::cell::RefCell::new(None);
-    let restarted = Restarted::start(0, 3, |hosts| {
+/// Restarts a dispatcher of a small fleet while its first `calls` calls fail as `mode` says. Returns the number of jobs at the
+/// removed server, of jobs served, and of other answers.
+fn restart_with_failing_calls(mode: Mode, calls: u64) -> (u64, u64, u64) {
+    let started_discovery = std::cell::RefCell::new(None);
+    let restarted = RestartedDispatcher::start(0, 3, |hosts| {
         let discovery = StandInDiscovery::start(9, hosts);
         discovery.treat(mode, calls);
         let address = discovery.address;
-        *service.borrow_mut() = Some(discovery);
+        *started_discovery.borrow_mut() = Some(discovery);
         address
     });
     wait_until_ready(restarted.address, READY_WITHIN);
@@ -104,42 +106,42 @@
     (restarted.removed.jobs(), served, other)
 }
 
-/// One connection that breaks, one answer that is cut off, one call that is never answered do not say that discovery is down.
-/// Guards against a first call that fails and leaves the old list in force until the next one.
+/// Guards against a failed first call that lets the saved list be used until the next call. A single reset connection,
+/// truncated answer or unanswered call does not show that discovery is down.
 #[test]
-fn a_first_call_that_goes_wrong_leaves_no_old_list_in_force() {
-    let stories = [(Mode::Resets, 2), (Mode::Fails, 2), (Mode::Truncates, 1), (Mode::Silent, 1)]
-        .map(|(mode, calls)| (mode, thread::spawn(move || restarted_while(mode, calls))));
-    for (mode, story) in stories {
-        let (at_removed, served, other) = story.join().unwrap();
+fn failed_first_call_does_not_enable_the_saved_list() {
+    let runs = [(Mode::Resets, 2), (Mode::Fails, 2), (Mode::Truncates, 1), (Mode::Silent, 1)]
+        .map(|(mode, calls)| (mode, thread::spawn(move || restart_with_failing_calls(mode, calls))));
+    for (mode, run) in runs {
+        let (at_removed, served, other) = run.join().unwrap();
         assert_eq!(at_removed, 0, "{mode:?}: jobs at the removed server");
         assert!(served > 5 && other == 0, "{mode:?}: {served} served, {other} not");
     }
 }
 
-/// Guards against a fleet that turns everything away while discovery is down: nothing newer can count as told then.
+/// Guards against a fleet that rejects all jobs while discovery is down. No newer change can count as announced then.
 #[test]
-fn while_discovery_is_down_a_restarted_dispatcher_serves_by_the_list_that_it_has() {
-    let stories = [Mode::Resets, Mode::Fails, Mode::Silent]
-        .map(|mode| (mode, thread::spawn(move || restarted_while(mode, u64::MAX))));
-    for (mode, story) in stories {
-        let (_, served, other) = story.join().unwrap();
+fn restarted_dispatcher_uses_the_saved_list_while_discovery_is_down() {
+    let runs = [Mode::Resets, Mode::Fails, Mode::Silent]
+        .map(|mode| (mode, thread::spawn(move || restart_with_failing_calls(mode, u64::MAX))));
+    for (mode, run) in runs {
+        let (_, served, other) = run.join().unwrap();
         assert!(served > 5 && other == 0, "{mode:?}: {served} served, {other} not");
     }
 }
 
-/// A process stands still for longer than a removal may go unnoticed, and the removal waits in its socket when it wakes, as
-/// does a job. Guards against what is done first being done by what was known before.
+/// Guards against a stalled process that sends jobs by its outdated list when it resumes. It was stopped for longer than a
+/// removal may go unnoticed, and both the removal and the jobs are waiting in its sockets.
 #[test]
-fn a_dispatcher_that_was_held_up_sends_nothing_by_the_list_of_before() {
-    let (removed, alive) = (JobServer::listen("s-1"), JobServer::listen("s-2"));
-    let (first, second) = (host("s-1", removed.address, "up"), host("s-2", alive.address, "up"));
+fn stalled_dispatcher_sends_nothing_by_its_outdated_list() {
+    let (removed, remaining) = (JobServer::listen("s-1"), JobServer::listen("s-2"));
+    let (first, second) = (host("s-1", removed.address, "up"), host("s-2", remaining.address, "up"));
     let discovery = StandInDiscovery::start(8, &[first, second.clone()].join(","));
-    let known = [("s-1", removed.address), ("s-2", alive.address)];
-    let mut program = Program::start(Some(&fleet_member(0, 3, discovery.address, &known)), None);
+    let saved = [("s-1", removed.address), ("s-2", remaining.address)];
+    let mut program = Program::start(Some(&fleet_member(0, 3, discovery.address, &saved)), None);
     let address = program.address();
     removed.serve(address);
-    alive.serve(address);
+    remaining.serve(address);
     wait_until_ready(address, READY_WITHIN);
     let (served, _) = submit_for(address, "before", Duration::from_millis(300));
     assert!(served > 0 && removed.jobs() > 0);
@@ -157,7 +159,7 @@
     thread::sleep(Duration::from_secs(10));
     crossing::thaw(&program);
     for client in &mut clients {
-        // The class's time is over for some: a rejection does no harm.
+        // Some jobs are past their class's deadline, so a rejection is a valid answer.
         assert!(!client.read().0.is_empty());
     }
     let (served, _) = submit_for(address, "after", Duration::from_millis(300));
@@ -165,31 +167,32 @@
     assert_eq!(removed.jobs(), before, "jobs at the removed server");
 }
 
-mod on_a_set_clock {
-    //! The decision itself, event by event.
+mod state_transitions {
+    //! Unit tests of `ListFreshness`, one event at a time, at times set by the test.
 
     use micabeam::routing::{CallFailure, ListFreshness, ListState, Micros, PredecessorList, Settings};
 
     use crate::common::{MS, SECOND, settings};
 
-    /// A change counts as told after 6 s and is followed 2 s later; 0.3 s are left for a process that stands still.
+    /// A change counts as announced after 6 s and must be applied 2 s later; 0.3 s of that are reserved for stalls of the
+    /// process.
     const BOUND: Micros = 7_700 * MS;
     const GRACE: Micros = 1_700 * MS;
     const START: Micros = 100 * SECOND;
 
-    fn asking() -> Settings {
+    fn subscribing_settings() -> Settings {
         Settings { must_subscribe: true, ..settings() }
     }
 
-    fn started() -> ListFreshness {
-        let mut list = ListFreshness::fixed(&asking());
+    fn started_list() -> ListFreshness {
+        let mut list = ListFreshness::fixed(&subscribing_settings());
         list.on_start(START);
         list
     }
 
-    /// A list that was confirmed at `START`, with a watch from then on.
-    fn watching(wait: Micros) -> ListFreshness {
-        let mut list = started();
+    /// Returns a list that was confirmed at `START` and is watched from then on.
+    fn watched_list(wait: Micros) -> ListFreshness {
+        let mut list = started_list();
         list.on_call(START, 0);
         list.on_answer(START);
         list.on_call(START, wait);
@@ -202,8 +205,8 @@
     }
 
     #[test]
-    fn a_list_of_a_file_is_always_in_force() {
-        let mut list = ListFreshness::fixed(&asking());
+    fn list_from_a_file_is_always_usable() {
+        let mut list = ListFreshness::fixed(&subscribing_settings());
         list.on_failure(START, CallFailure::Silent);
         list.on_service_changed(START);
         assert!(list.allows_attempts(START + 3600 * SECOND));
@@ -211,32 +214,36 @@
     }
 
     #[test]
-    fn crowded_discovery_keeps_a_new_process_waiting_and_two_failed_calls_count_as_an_outage() {
-        let mut list = started();
+    fn new_process_waits_until_two_consecutive_calls_to_discovery_have_failed() {
+        let mut list = started_list();
         assert!(!list.allows_attempts(START));
         fail(&mut list, START, START + 2 * SECOND, CallFailure::Broken);
         assert!(!list.allows_attempts(START + 2 * SECOND));
         fail(&mut list, START + 5 * SECOND, START + 7 * SECOND, CallFailure::Broken);
         assert!(list.allows_attempts(START + 7 * SECOND));
-        assert!(!list.allows_attempts(START + 5 * SECOND + BOUND), "each failure counts from its call");
+        assert!(
+            !list.allows_attempts(START + 5 * SECOND + BOUND),
+            "a failure must count from the start of its call"
+        );
     }
 
-    /// Found by the soak, seed 1008: after an outage one connection that was reset left the old list in force for 7.7 s more.
+    /// Guards against one reset connection after an outage that allowed the old list for another 7.7 s (found by the soak,
+    /// seed 1008).
     #[test]
-    fn a_connection_that_is_reset_after_an_outage_does_not_prolong_it() {
-        let mut list = watching(30 * SECOND);
+    fn reset_connection_after_an_outage_does_not_prolong_use_of_the_old_list() {
+        let mut list = watched_list(30 * SECOND);
         let down = START + 10 * SECOND;
         list.on_failure(down, CallFailure::Broken);
         fail(&mut list, down + 3 * SECOND, down + 5 * SECOND, CallFailure::Broken);
         let end = down + 3 * SECOND + BOUND;
-        assert!(list.allows_attempts(end - MS), "it is down");
+        assert!(list.allows_attempts(end - MS), "discovery is down");
         fail(&mut list, down + 9 * SECOND, down + 9 * SECOND + 20 * MS, CallFailure::Broken);
-        assert!(!list.allows_attempts(end), "it may be back");
+        assert!(!list.allows_attempts(end), "discovery may be up again");
     }
 
     #[test]
-    fn an_answer_between_two_failures_is_no_outage() {
-        let mut list = started();
+    fn failures_with_an_answer_between_them_do_not_count_as_an_outage() {
+        let mut list = started_list();
         for round in 0..4 {
             let now = START + round * 20 * SECOND;
             fail(&mut list, now, now + 2 * SECOND, CallFailure::Broken);
@@ -250,54 +257,54 @@
     }
 
     #[test]
-    fn a_watch_that_breaks_is_made_good_within_the_bound_from_then() {
-        let mut list = watching(30 * SECOND);
-        let broke = START + 12 * SECOND;
-        assert!(list.allows_attempts(broke));
-        list.on_failure(broke, CallFailure::Broken);
-        assert!(list.allows_attempts(broke + BOUND - MS));
-        assert!(!list.allows_attempts(broke + BOUND));
-        assert_eq!(list.next_change(broke), Some(broke + BOUND));
+    fn list_is_usable_for_the_bound_after_its_watch_breaks() {
+        let mut list = watched_list(30 * SECOND);
+        let broken_at = START + 12 * SECOND;
+        assert!(list.allows_attempts(broken_at));
+        list.on_failure(broken_at, CallFailure::Broken);
+        assert!(list.allows_attempts(broken_at + BOUND - MS));
+        assert!(!list.allows_attempts(broken_at + BOUND));
+        assert_eq!(list.next_change(broken_at), Some(broken_at + BOUND));
     }
 
     #[test]
-    fn a_long_poll_that_waits_for_its_turn_at_discovery_is_no_watch_yet() {
-        let mut list = watching(30 * SECOND);
+    fn long_poll_does_not_count_as_a_watch_before_discovery_has_accepted_it() {
+        let mut list = watched_list(30 * SECOND);
         list.on_failure(START + 2 * SECOND, CallFailure::Broken);
-        assert!(!list.allows_attempts(START + BOUND), "it counts from the last answer");
+        assert!(!list.allows_attempts(START + BOUND), "the bound must count from the last answer");
         list.on_call(START + 6 * SECOND, 30 * SECOND);
         assert!(!list.allows_attempts(START + BOUND));
-        assert!(list.allows_attempts(START + 9 * SECOND), "discovery would have refused it by now");
+        assert!(list.allows_attempts(START + 9 * SECOND), "discovery has had time to refuse the poll");
     }
 
     #[test]
-    fn a_silent_watch_is_in_force_until_its_wait_counts_as_over() {
-        let mut list = watching(5 * SECOND);
+    fn list_is_usable_until_the_wait_of_a_silent_watch_has_expired() {
+        let mut list = watched_list(5 * SECOND);
         list.on_failure(START + 6 * SECOND, CallFailure::Silent);
         list.on_call(START + 6 * SECOND, 0);
         let end = START + 5 * SECOND + 2 * SECOND + GRACE;
         assert!(list.allows_attempts(end - MS) && !list.allows_attempts(end));
     }
 
-    /// Guards against a watch that fell silent unnoticed, and whose end is then taken for news that there is none.
+    /// Guards against a watch whose silence went unnoticed, and whose failure is then taken as proof that nothing changed.
     #[test]
-    fn a_watch_that_was_silent_for_too_long_proves_nothing_by_its_end() {
-        let mut list = watching(5 * SECOND);
+    fn failure_of_a_watch_long_silent_does_not_make_the_list_usable() {
+        let mut list = watched_list(5 * SECOND);
         list.on_failure(START + 60 * SECOND, CallFailure::Broken);
         assert!(!list.allows_attempts(START + 60 * SECOND));
     }
 
     #[test]
-    fn an_answer_that_was_cut_off_counts_as_told() {
-        let mut list = watching(30 * SECOND);
+    fn changes_in_a_truncated_answer_count_as_announced() {
+        let mut list = watched_list(30 * SECOND);
         let now = START + 10 * SECOND;
         list.on_failure(now, CallFailure::Incomplete);
         assert!(list.allows_attempts(now + GRACE - MS) && !list.allows_attempts(now + GRACE));
     }
 
     #[test]
-    fn a_call_that_could_not_be_made_says_nothing_of_discovery() {
-        let mut list = watching(30 * SECOND);
+    fn call_that_could_not_be_made_does_not_prolong_use_of_the_list() {
+        let mut list = watched_list(30 * SECOND);
         list.on_failure(START + 10 * SECOND, CallFailure::Broken);
         for at in 11..40 {
             fail(&mut list, START + at * SECOND, START + at * SECOND, CallFailure::Local);
@@ -306,27 +313,27 @@
     }
 
     #[test]
-    fn a_process_that_stood_still_notices_it() {
-        let mut list = watching(5 * SECOND);
-        let woken = START + 60 * SECOND;
-        assert!(!list.allows_attempts(woken));
-        assert!(list.expire(woken) && !list.expire(woken), "told once");
-        list.on_answer(woken);
-        assert!(list.allows_attempts(woken));
+    fn list_expires_once_after_a_stall_of_the_process() {
+        let mut list = watched_list(5 * SECOND);
+        let resumed_at = START + 60 * SECOND;
+        assert!(!list.allows_attempts(resumed_at));
+        assert!(list.expire(resumed_at) && !list.expire(resumed_at), "expiry must be reported once");
+        list.on_answer(resumed_at);
+        assert!(list.allows_attempts(resumed_at));
     }
 
     #[test]
-    fn another_discovery_is_followed_within_its_time() {
-        let mut list = watching(30 * SECOND);
-        let changed = START + 10 * SECOND;
-        list.on_service_changed(changed);
-        let end = changed + 4 * SECOND + GRACE;
+    fn list_expires_after_a_change_of_the_discovery_service() {
+        let mut list = watched_list(30 * SECOND);
+        let changed_at = START + 10 * SECOND;
+        list.on_service_changed(changed_at);
+        let end = changed_at + 4 * SECOND + GRACE;
         assert!(list.allows_attempts(end - MS) && !list.allows_attempts(end));
     }
 
     #[test]
-    fn a_predecessor_s_list_is_in_force_for_the_grace_and_no_longer_than_there() {
-        let mut list = started();
+    fn list_of_a_watching_predecessor_is_usable_for_the_grace_period_at_most() {
+        let mut list = started_list();
         list.on_predecessor_list(PredecessorList {
             left_at: START,
             usable_for: 60 * SECOND,
@@ -336,28 +343,28 @@
         let left_at = START + SECOND;
         list.on_predecessor_list(PredecessorList { left_at, usable_for: 60 * SECOND, is_watched: true });
         assert!(list.allows_attempts(left_at + GRACE - MS) && !list.allows_attempts(left_at + GRACE));
-        let mut list = started();
+        let mut list = started_list();
         list.on_predecessor_list(PredecessorList { left_at: START, usable_for: 0, is_watched: true });
-        assert!(!list.allows_attempts(START), "the predecessor may not use it either");
+        assert!(!list.allows_attempts(START), "the predecessor may not use the list either");
     }
 
     #[test]
-    fn a_predecessor_that_watches_no_more_leaves_its_list_for_the_bound() {
+    fn list_of_a_predecessor_without_a_watch_is_usable_for_the_bound() {
         let end = START + 10 * SECOND;
-        let mut ended = watching(30 * SECOND);
-        ended.on_failure(end, CallFailure::Local);
-        let usable_for = ended.usable_for(end);
-        assert_eq!(usable_for, BOUND, "the watch would have brought a change until then");
-        let mut list = started();
+        let mut predecessor = watched_list(30 * SECOND);
+        predecessor.on_failure(end, CallFailure::Local);
+        let usable_for = predecessor.usable_for(end);
+        assert_eq!(usable_for, BOUND, "the watch would have delivered any earlier change");
+        let mut list = started_list();
         list.on_predecessor_list(PredecessorList { left_at: end, usable_for, is_watched: false });
         assert!(list.allows_attempts(end + BOUND - MS) && !list.allows_attempts(end + BOUND));
-        let mut out_of_date = watching(5 * SECOND);
+        let mut out_of_date = watched_list(5 * SECOND);
         out_of_date.on_failure(START + 60 * SECOND, CallFailure::Local);
         assert_eq!(out_of_date.usable_for(START + 60 * SECOND), 0);
     }
 
     #[test]
-    fn an_agent_that_is_silent_leaves_its_list_in_force() {
+    fn list_of_a_silent_agent_stays_usable() {
         let mut list = ListFreshness::fixed(&settings());
         list.on_start(START);
         let mut now = START;
@@ -370,19 +377,19 @@
 }
 
 mod through_an_outage {
-    //! The freshness of the list and the router's calls for it, driven by a discovery that does not answer any more. Nothing newer
-    //! can count as told then: a dispatcher that had a confirmed list is to go on by it.
+    //! Drives `ListFreshness` and the router's calls for the list against a discovery service that no longer answers. No newer
+    //! change can count as announced then, so a dispatcher that had a confirmed list is to continue with it.
 
     use micabeam::routing::{Action, CallFailure, Event, ListFreshness, Micros, Router, Settings};
 
     use crate::common::{MS, SECOND, member, settings};
 
     const START: Micros = 100 * SECOND;
-    const LASTS: Micros = 90 * SECOND;
-    /// A step of the clock.
+    const OUTAGE: Micros = 90 * SECOND;
+    /// Time between two iterations of the simulation.
     const STEP: Micros = 10 * MS;
 
-    /// How calls fail, and after which time.
+    /// The ways in which calls fail, each with the time from the call to its failure.
     const FAILURES: [(CallFailure, Micros); 4] = [
         (CallFailure::Refused, 0),
         (CallFailure::Broken, 10 * MS),
@@ -390,9 +397,9 @@
         (CallFailure::Silent, 2_500 * MS),
     ];
 
-    /// For how long no attempt may be made in an outage in which all calls fail so. A watch that was open ends at once, or where
-    /// calls are silent at its time, as `Discovery` has it.
-    fn withheld(dispatchers: u32, number: u32, failure: CallFailure, lasts: Micros) -> Micros {
+    /// Returns for how long no attempt may be made during an outage in which each call fails with `failure` after
+    /// `call_duration`. The open watch breaks 3 s after the start; if calls are silent, it times out as in `Discovery`.
+    fn withheld(dispatchers: u32, number: u32, failure: CallFailure, call_duration: Micros) -> Micros {
         let settings = Settings { must_subscribe: true, dispatchers, number, ..settings() };
         let (mut list, mut router) = (ListFreshness::fixed(&settings), Router::new(settings.clone(), 1));
         let mut out = Vec::new();
@@ -405,14 +412,14 @@
         let is_silent = failure == CallFailure::Silent;
         let mut fails_at = Some(if is_silent { START + wait + SECOND } else { START + 3 * SECOND });
         let mut is_watch = true;
-        let mut withheld = 0;
-        for now in (START..START + LASTS).step_by(STEP as usize) {
+        let mut withheld_time = 0;
+        for now in (START..START + OUTAGE).step_by(STEP as usize) {
             if fails_at.is_some_and(|at| at <= now) {
                 let lasted =
                     list.on_failure(now, if is_watch && !is_silent { CallFailure::Broken } else { failure });
                 if std::mem::replace(&mut is_watch, false) && is_silent {
                     list.on_call(now, 0);
-                    fails_at = Some(now + lasts);
+                    fails_at = Some(now + call_duration);
                 } else {
                     fails_at = None;
                     router.handle(now, Event::ListFailed { is_cheap: failure.is_cheap(lasted) }, &mut out);
@@ -422,42 +429,47 @@
             let calls = out.drain(..).any(|action| action == Action::Subscribe);
             if calls && fails_at.is_none() {
                 list.on_call(now, 0);
-                fails_at = Some(now + lasts);
+                fails_at = Some(now + call_duration);
             }
-            withheld += if list.allows_attempts(now) { 0 } else { STEP };
+            withheld_time += if list.allows_attempts(now) { 0 } else { STEP };
         }
-        withheld
+        withheld_time
     }
 
-    fn worst(dispatchers: u32, failure: CallFailure, lasts: Micros) -> Micros {
+    fn longest_withheld(dispatchers: u32, failure: CallFailure, call_duration: Micros) -> Micros {
         let numbers = 0..dispatchers.min(40);
-        let worst = numbers.map(|number| withheld(dispatchers, number, failure, lasts)).max().unwrap_or(0);
-        println!("{dispatchers} dispatchers, {failure:?} after {lasts} us: withheld {worst} us of {LASTS}");
-        worst
+        let longest =
+            numbers.map(|number| withheld(dispatchers, number, failure, call_duration)).max().unwrap_or(0);
+        println!(
+            "{dispatchers} dispatchers, {failure:?} after {call_duration} us: withheld {longest} us of {OUTAGE}"
+        );
+        longest
     }
 
-    /// Known red where calls fail after a while: the next call is made so late that its failure comes after the one before has
-    /// ceased to show that discovery is down. More calls would crowd it as it returns (`tests/outage.rs`).
+    /// Guards against a small fleet that stops sending while discovery is down. Known to fail for calls that fail late: the next
+    /// call starts so late that it fails only after the previous failure has stopped counting as evidence of the outage. More
+    /// calls would overload discovery when it recovers (`tests/outage.rs`).
     #[test]
     fn a_small_fleet_serves_on_whatever_way_calls_fail() {
         let mut withheld = Vec::new();
-        for (failure, lasts) in FAILURES {
+        for (failure, call_duration) in FAILURES {
             for dispatchers in [1, 3, 7, 12, 16] {
-                if worst(dispatchers, failure, lasts) > 0 {
-                    withheld.push((dispatchers, failure, lasts));
+                if longest_withheld(dispatchers, failure, call_duration) > 0 {
+                    withheld.push((dispatchers, failure, call_duration));
                 }
             }
         }
         assert!(withheld.is_empty(), "{withheld:?}");
     }
 
-    /// A large fleet serves on where failures come at once. Where they come late it does not: each dispatcher has one call in 6 s.
+    /// Guards against a large fleet that stops sending while calls to discovery fail quickly. If they fail late it does stop:
+    /// each dispatcher has one call in 6 s.
     #[test]
-    fn a_large_fleet_serves_on_where_calls_fail_at_once() {
-        for (failure, lasts) in FAILURES {
+    fn large_fleet_keeps_sending_while_calls_fail_quickly() {
+        for (failure, call_duration) in FAILURES {
             for dispatchers in [30, 300] {
-                let withheld = worst(dispatchers, failure, lasts);
-                assert!(withheld == 0 || lasts > SECOND, "{dispatchers} dispatchers, {failure:?}");
+                let withheld = longest_withheld(dispatchers, failure, call_duration);
+                assert!(withheld == 0 || call_duration > SECOND, "{dispatchers} dispatchers, {failure:?}");
             }
         }
     }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,5 +1,5 @@
-//! Stories of a policy that several real processes share: a change that all take, one that one of them refuses, and a
-//! process that was frozen meanwhile.
+//! Integration tests of a policy shared by several processes: a change that all accept, a change that one rejects, a process
+//! that is frozen during a change, and the loss of the majority.
 
 #[path = "common/net.rs"]
 mod net;
@@ -15,12 +15,12 @@
 struct Fleet {
     addresses: Vec<SocketAddr>,
     dir: PathBuf,
-    /// The servers of each process's list.
+    /// The name and address of each server, in the order of the processes' lists.
     hosts: Vec<(&'static str, SocketAddr)>,
     listeners: Vec<TcpListener>,
 }
 
-/// A policy that sends all to the servers of one name.
+/// Returns a policy that sends all jobs to the servers whose names begin with `server`.
 fn policy(version: u64, server: &str) -> String {
     format!(
         "version = {version}\n[[partition]]\nname = \"p\"\nprefixes = [\"{server}\"]\n[[rule]]\nname = \"all\"\npartition = \"p\"\n"
@@ -37,11 +37,12 @@
         Fleet { addresses, dir, hosts, listeners }
     }
 
-    fn want(&self, own: usize, text: &str) {
+    fn write_policy(&self, own: usize, text: &str) {
         std::fs::write(self.dir.join(format!("policy-{own}.toml")), text).unwrap();
     }
 
-    /// Starts a process with so many of the servers in its list: its clients' address, and its console.
+    /// Starts process `own` with the first `servers` servers in its list. Returns the process, its address for clients, and the
+    /// address of its console.
     fn start(&self, own: usize, servers: usize) -> (Program, SocketAddr, SocketAddr) {
         let mut text = format!(
             "console = \"127.0.0.1:0\"\n[fleet]\ncluster = \"story\"\nname = \"n{own}\"\nstate = \"{}\"\nzones = [\"z\"]\n",
@@ -66,7 +67,7 @@
     }
 }
 
-fn standing(console: SocketAddr) -> String {
+fn policy_status(console: SocketAddr) -> String {
     let mut stream = TcpStream::connect(console).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     stream.write_all(b"policy\n").unwrap();
@@ -75,133 +76,147 @@
     text
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
+fn wait_until(expected: &str, condition: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting until {expected}");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
-/// The server's part in a job that it has read.
-fn finish(job: &mut Http, address: SocketAddr, id: &str, by: usize) {
+/// Accepts a job whose request has been read, and calls back with its result as the given server.
+fn finish(job: &mut Http, address: SocketAddr, id: &str, server: usize) {
     job.take();
-    Http::connect(address).call_back(id, &format!("s-{}", by + 1), "done", "done");
+    Http::connect(address).call_back(id, &format!("s-{}", server + 1), "done", "done");
 }
 
-/// Hands a job in at a process, and has it served by the server of this number.
-fn served(fleet: &Fleet, address: SocketAddr, id: &str, by: usize) {
+/// Submits a job at a process, and checks that the given server receives it and that the client gets its result.
+fn submit_and_serve(fleet: &Fleet, address: SocketAddr, id: &str, server: usize) {
     let mut client = Http::connect(address);
     client.submit("confirm-booking", id);
-    let mut job = Http::accept(&fleet.listeners[by]);
+    let mut job = Http::accept(&fleet.listeners[server]);
     let (head, _) = job.read();
     assert!(head.contains(&format!("Req-Id: {id}")), "{head}");
-    finish(&mut job, address, id, by);
+    finish(&mut job, address, id, server);
     let (head, body) = client.read();
     assert!(head.starts_with("HTTP/1.1 200") && body == "done", "{head}");
 }
 
+/// Guards against a policy change that takes effect at some processes while another rejects it.
 #[test]
-fn a_change_is_taken_by_all_or_by_none() {
+fn policy_change_takes_effect_at_all_processes_or_at_none() {
     let fleet = Fleet::new();
-    (0..3).for_each(|own| fleet.want(own, &policy(1, "s-1")));
-    // The third has not heard of the second server.
+    (0..3).for_each(|own| fleet.write_policy(own, &policy(1, "s-1")));
+    // The list of the third process lacks the second server.
     let started: Vec<_> = (0..3).map(|own| fleet.start(own, if own == 2 { 1 } else { 2 })).collect();
     let consoles: Vec<SocketAddr> = started.iter().map(|(_, _, console)| *console).collect();
-    let all = |what: &str| consoles.iter().all(|console| standing(*console).contains(what));
-    until("the first policy is in force everywhere", || {
+    let all = |expected: &str| consoles.iter().all(|console| policy_status(*console).contains(expected));
+    wait_until("the first policy is in force everywhere", || {
         all("runs 1 decided 1 staged none") && all("serves yes")
     });
-    served(&fleet, started[0].1, "a-1", 0);
-    served(&fleet, started[2].1, "a-2", 0);
-    // A newer file at one of them, and a signal: the third says no, with the line and the reason.
-    fleet.want(0, &policy(2, "s-2"));
+    submit_and_serve(&fleet, started[0].1, "a-1", 0);
+    submit_and_serve(&fleet, started[2].1, "a-2", 0);
+    // One process reads a newer file on SIGHUP. The third rejects the policy, with the line and the reason.
+    fleet.write_policy(0, &policy(2, "s-2"));
     started[0].0.signal("HUP");
-    until("given up", || all("last 2 given up: member 2: line 2: partition `p` has no server"));
-    // As the operators' page shows it, but for the numbers and the partition's name.
+    wait_until("the change is given up", || {
+        all("last 2 given up: member 2: line 2: partition `p` has no server")
+    });
+    // The page for operators shows the same status, with other numbers and another name of the partition.
     let page = include_str!("../docs/operating/rollout.md");
-    let shown = page.lines().find(|line| line.contains("given up: member")).unwrap().replace("`east`", "`p`");
-    let bare = |text: &str| text.trim().replace(|c: char| c.is_ascii_digit(), "");
-    assert_eq!(bare(&standing(consoles[0])), bare(&shown));
+    let documented =
+        page.lines().find(|line| line.contains("given up: member")).unwrap().replace("`east`", "`p`");
+    let without_digits = |text: &str| text.trim().replace(|c: char| c.is_ascii_digit(), "");
+    assert_eq!(without_digits(&policy_status(consoles[0])), without_digits(&documented));
     assert!(all("runs 1 decided 1"));
-    served(&fleet, started[0].1, "a-3", 0);
-    // The same file again is no news; a higher version that all can take is.
+    submit_and_serve(&fleet, started[0].1, "a-3", 0);
+    // Reading the same file again proposes nothing; a higher version that all accept takes effect.
     started[0].0.signal("HUP");
-    fleet.want(1, &policy(3, "s-"));
+    fleet.write_policy(1, &policy(3, "s-"));
     started[1].0.signal("HUP");
-    until("the third version is in force", || all("runs 3 decided 3"));
-    assert!(all("last 3 in force"), "{}", standing(consoles[0]));
+    wait_until("the third version is in force", || all("runs 3 decided 3"));
+    assert!(all("last 3 in force"), "{}", policy_status(consoles[0]));
 }
 
-/// Frozen over a change, with a request waiting in its socket: it wakes past its lease, and serves under the new one.
+/// Guards against a process that is frozen during a policy change and, when it resumes after the end of its lease, serves the
+/// request waiting in its socket under the old policy.
 #[test]
-fn a_process_that_was_frozen_serves_nothing_under_the_old_policy() {
+fn process_frozen_during_a_change_serves_nothing_under_the_old_policy() {
     let fleet = Fleet::new();
-    (0..3).for_each(|own| fleet.want(own, &policy(1, "s-1")));
+    (0..3).for_each(|own| fleet.write_policy(own, &policy(1, "s-1")));
     let started: Vec<_> = (0..3).map(|own| fleet.start(own, 2)).collect();
     let consoles: Vec<SocketAddr> = started.iter().map(|(_, _, console)| *console).collect();
-    until("in force", || consoles.iter().all(|c| standing(*c).contains("runs 1 decided 1 staged none")));
-    until("they serve", || consoles.iter().all(|c| standing(*c).contains("serves yes")));
+    wait_until("the policy is in force everywhere", || {
+        consoles.iter().all(|c| policy_status(*c).contains("runs 1 decided 1 staged none"))
+    });
+    wait_until("all processes serve", || consoles.iter().all(|c| policy_status(*c).contains("serves yes")));
     started[2].0.signal("STOP");
     let mut client = Http::connect(started[2].1);
     client.submit("confirm-booking", "b-1");
-    fleet.want(0, &policy(2, "s-2"));
+    fleet.write_policy(0, &policy(2, "s-2"));
     started[0].0.signal("HUP");
-    until("the others run it", || consoles[..2].iter().all(|c| standing(*c).contains("runs 2 decided 2")));
-    served(&fleet, started[0].1, "b-2", 1);
+    wait_until("the others run the new policy", || {
+        consoles[..2].iter().all(|c| policy_status(*c).contains("runs 2 decided 2"))
+    });
+    submit_and_serve(&fleet, started[0].1, "b-2", 1);
     started[2].0.signal("CONT");
     let mut job = Http::accept(&fleet.listeners[1]);
     let (head, _) = job.read();
-    assert!(head.contains("Req-Id: b-1"), "by the new policy's server: {head}");
+    assert!(head.contains("Req-Id: b-1"), "not at the server of the new policy: {head}");
     finish(&mut job, started[2].1, "b-1", 1);
     assert!(client.read().0.starts_with("HTTP/1.1 200"));
 }
 
-/// What a majority's loss costs: the one that is left serves until its lease is over, and then says when to come back.
+/// Guards against a process without a majority that serves past the end of its lease, rejects jobs before it, or rejects them
+/// without a Retry-After.
 #[test]
-fn without_a_majority_a_process_serves_its_lease_out_and_denies_then() {
+fn process_without_a_majority_serves_until_its_lease_expires_and_then_rejects() {
     let fleet = Fleet::new();
-    (0..3).for_each(|own| fleet.want(own, &policy(1, "s-1")));
+    (0..3).for_each(|own| fleet.write_policy(own, &policy(1, "s-1")));
     let mut started: Vec<_> = (0..3).map(|own| fleet.start(own, 2)).collect();
     let (address, console) = (started[0].1, started[0].2);
-    until("in force", || {
-        standing(console).contains("runs 1 decided 1 staged none wanted none epoch 2 serves yes")
+    wait_until("the policy is in force", || {
+        policy_status(console).contains("runs 1 decided 1 staged none wanted none epoch 2 serves yes")
     });
     drop(started.drain(1..));
-    let killed = Instant::now();
-    served(&fleet, address, "c-1", 0);
-    until("its lease is over", || standing(console).contains("serves no"));
-    let served_for = killed.elapsed().as_millis();
-    assert!((1000..=2600).contains(&served_for), "it served for {served_for} ms of its lease of 2000");
+    let killed_at = Instant::now();
+    submit_and_serve(&fleet, address, "c-1", 0);
+    wait_until("its lease has expired", || policy_status(console).contains("serves no"));
+    let served_for = killed_at.elapsed().as_millis();
+    assert!(
+        (1000..=2600).contains(&served_for),
+        "the process served for {served_for} ms; its lease is 2000 ms"
+    );
     let mut client = Http::connect(address);
     client.write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert!(client.read().0.starts_with("HTTP/1.1 503"), "clients are to go elsewhere");
-    // One with little time is told while it still listens, and not after 2 s.
-    let asked = Instant::now();
+    assert!(client.read().0.starts_with("HTTP/1.1 503"), "the readiness check must fail");
+    // A job with a short deadline is rejected before its client gives up, not after 2 s.
+    let sent_at = Instant::now();
     client.write("POST /confirm-booking/x HTTP/1.1\r\nHost: a\r\nReq-Id: c-0\r\nReq-Deadline: 300m\r\nContent-Length: 0\r\n\r\n");
-    assert!(client.read().0.starts_with("HTTP/1.1 503") && asked.elapsed().as_millis() < 800);
+    assert!(client.read().0.starts_with("HTTP/1.1 503") && sent_at.elapsed().as_millis() < 800);
     client.submit("confirm-booking", "c-2");
     let (head, _) = client.read();
     assert!(head.starts_with("HTTP/1.1 503") && value(&head, "retry-after").is_some(), "{head}");
-    // Back with the others, it serves again, without a word from its operator.
+    // Once there is a majority again the process serves again, without an action of its operator.
     started.push(fleet.start(1, 2));
-    until("it serves again", || standing(console).contains("serves yes"));
-    served(&fleet, address, "c-3", 0);
+    wait_until("the process serves again", || policy_status(console).contains("serves yes"));
+    submit_and_serve(&fleet, address, "c-3", 0);
 }
 
-/// A policy that does not read ends the start with its line; [rollout] without [fleet] is refused.
+/// Guards against a start with a policy that cannot be parsed, with [rollout] but without [fleet], or with [rollout] but
+/// without the HTTP frontend.
 #[test]
-fn a_policy_that_does_not_read_ends_the_start() {
+fn invalid_policy_or_rollout_configuration_prevents_the_start() {
     let fleet = Fleet::new();
-    fleet.want(0, "version = 1\n[[rule]]\nnam = \"x\"\n");
+    fleet.write_policy(0, "version = 1\n[[rule]]\nnam = \"x\"\n");
     let text = format!(
         "console = \"127.0.0.1:0\"\n[rollout]\npolicy = \"{0}\"\nkeep = \"{0}\"\n",
         fleet.dir.join("policy-0.toml").display()
     );
-    let (well, log) = Program::operator(&text).wait();
-    assert!(!well && log.contains("rollout: the table [fleet] is required"), "{log}");
-    // Without the platform's front nobody would ask it.
-    let others: String = (0..3)
+    let (succeeded, log) = Program::operator(&text).wait();
+    assert!(!succeeded && log.contains("rollout: the table [fleet] is required"), "{log}");
+    // The three members of the fleet table.
+    let members: String = (0..3)
         .map(|at| {
             let address = format!("127.0.0.1:{}", at + 1);
             format!(
@@ -211,20 +226,22 @@
         .collect();
     let fleet_table = "[fleet]\ncluster = \"c\"\nname = \"n0\"\nstate = \"/tmp/none\"\nzones = [\"z\"]\n"
         .to_string()
-        + &others;
+        + &members;
     let (_, log) = {
         let config = config(128, nobody(), &fleet.hosts);
         let table = fleet_table.clone();
         let text = table + text.split_once('\n').unwrap().1;
         Program::of(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text)).wait()
     };
-    // As the operators' page shows it.
+    // The page for operators shows the same message.
     let page = include_str!("../docs/operating/ingest.md");
-    let line = page.lines().find_map(|line| line.strip_prefix("policy.toml: line 3")).unwrap();
-    assert!(log.contains(&format!("policy-0.toml: line 3{line}")), "{log}");
-    fleet.want(0, &policy(1, "s-1"));
+    let documented = page.lines().find_map(|line| line.strip_prefix("policy.toml: line 3")).unwrap();
+    assert!(log.contains(&format!("policy-0.toml: line 3{documented}")), "{log}");
+    // Only the HTTP frontend applies a policy.
+    fleet.write_policy(0, &policy(1, "s-1"));
     let stream = "[stream]\nlisten = \"127.0.0.1:0\"\nservers = [{name = \"a\", dial = \"127.0.0.1:1\"}]\n\
                   [[stream.class]]\nname = \"export\"\nrepeat = \"safe\"\n";
-    let (well, log) = Program::operator(&(fleet_table + text.split_once('\n').unwrap().1 + stream)).wait();
-    assert!(!well && log.contains("only the HTTP frontend applies a policy"), "{log}");
+    let (succeeded, log) =
+        Program::operator(&(fleet_table + text.split_once('\n').unwrap().1 + stream)).wait();
+    assert!(!succeeded && log.contains("only the HTTP frontend applies a policy"), "{log}");
 }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Stories of a fleet of real processes: what its file must say, what a voter remembers, and what its figures tell.
+//! Integration tests of a fleet of processes: checks of its configuration, the vote file of a voter, and the metrics.
 
 #[path = "common/net.rs"]
 mod net;
@@ -9,37 +9,37 @@
 
 use net::*;
 
-/// Three processes of one zone each, all voters.
+/// Three processes in different zones, all of them voters.
 struct Fleet {
     addresses: Vec<SocketAddr>,
-    files: Vec<std::path::PathBuf>,
+    vote_files: Vec<std::path::PathBuf>,
 }
 
 impl Fleet {
     fn new() -> Fleet {
         let free: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
         let addresses: Vec<SocketAddr> = free.iter().map(|s| s.local_addr().unwrap()).collect();
-        let files = (0..3).map(|at| file(&format!("votes-{at}"), "")).collect();
-        Fleet { addresses, files }
+        let vote_files = (0..3).map(|at| file(&format!("votes-{at}"), "")).collect();
+        Fleet { addresses, vote_files }
     }
 
     fn table(&self, own: usize) -> String {
         let mut text = format!(
             "console = \"127.0.0.1:0\"\n[fleet]\ncluster = \"story\"\nname = \"n{own}\"\nstate = \"{}\"\n\
              zones = [\"z0\", \"z1\", \"z2\"]\n",
-            self.files[own].display()
+            self.vote_files[own].display()
         );
         for (at, address) in self.addresses.iter().enumerate() {
             text += &format!(
                 "[[fleet.member]]\nname = \"n{at}\"\naddress = \"{address}\"\nzone = \"z{at}\"\nvoter = true\n"
             );
         }
-        // A front that nobody uses: a process needs one.
+        // An unused frontend: a process needs at least one.
         text + "[stream]\nlisten = \"127.0.0.1:0\"\nservers = [{name = \"a\", dial = \"127.0.0.1:1\"}]\n\
                 [[stream.class]]\nname = \"export\"\nrepeat = \"safe\"\n"
     }
 
-    /// Starts a process; its console.
+    /// Starts a process. Returns it and the address of its console.
     fn start(&self, own: usize) -> (Program, SocketAddr) {
         let mut program = Program::operator(&self.table(own));
         program.address();
@@ -48,7 +48,7 @@
     }
 }
 
-fn figure(console: SocketAddr, name: &str) -> f64 {
+fn metric(console: SocketAddr, name: &str) -> f64 {
     let mut stream = TcpStream::connect(console).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     stream.write_all(b"telemetry\n").unwrap();
@@ -57,102 +57,115 @@
     text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok()).unwrap_or(f64::NAN)
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
+fn wait_until(expected: &str, condition: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting until {expected}");
     }
 }
 
+/// Guards against a fleet that does not elect a leader, does not replace one that is killed, or does not report that it has
+/// lost the majority.
 #[test]
-fn three_processes_know_each_other_and_one_leads() {
+fn fleet_elects_a_leader_replaces_it_and_reports_the_loss_of_the_majority() {
     let fleet = Fleet::new();
     let started: Vec<(Program, SocketAddr)> = (0..3).map(|own| fleet.start(own)).collect();
     let consoles: Vec<SocketAddr> = started.iter().map(|(_, console)| *console).collect();
-    until("all know all, and follow", || {
+    wait_until("each process knows all members and follows a leader", || {
         consoles
             .iter()
-            .all(|c| figure(*c, "lb_fleet_members_up") == 3.0 && figure(*c, "lb_fleet_standing") == 0.0)
+            .all(|c| metric(*c, "lb_fleet_members_up") == 3.0 && metric(*c, "lb_fleet_standing") == 0.0)
     });
-    let leads = |consoles: &[SocketAddr]| {
-        consoles.iter().position(|console| figure(*console, "lb_fleet_leads") == 1.0)
+    let leader_of = |consoles: &[SocketAddr]| {
+        consoles.iter().position(|console| metric(*console, "lb_fleet_leads") == 1.0)
     };
-    until("one leads", || leads(&consoles).is_some());
-    let leader = leads(&consoles).unwrap();
-    // The leader dies: another leads, and the one that is left over knows that it has gone.
-    let mut rest = consoles.clone();
-    rest.remove(leader);
+    wait_until("a leader is elected", || leader_of(&consoles).is_some());
+    let leader = leader_of(&consoles).unwrap();
+    // The leader is killed: one of the other two takes over, and both notice that it is down.
+    let mut remaining = consoles.clone();
+    remaining.remove(leader);
     let mut started = started;
     drop(started.remove(leader));
-    until("another leads", || leads(&rest).is_some());
-    until("it is known to be gone", || rest.iter().all(|c| figure(*c, "lb_fleet_members_up") == 2.0));
-    // With a majority lost, what is left keeps the epoch and says so.
+    wait_until("another leader is elected", || leader_of(&remaining).is_some());
+    wait_until("both other processes count it as down", || {
+        remaining.iter().all(|c| metric(*c, "lb_fleet_members_up") == 2.0)
+    });
+    // Without a majority the last process keeps its epoch and reports that it has no newer decision.
     drop(started.remove(0));
-    until("it says that it has no news", || figure(rest[1], "lb_fleet_standing") >= 1.0);
+    wait_until("the last process reports the loss of the majority", || {
+        metric(remaining[1], "lb_fleet_standing") >= 1.0
+    });
 }
 
-/// A disk that was lost is asked for from the others, a torn end is cut, and damage before it is refused.
+/// Guards against a voter that votes with corrupt state. A lost vote file is restored from the other members, an incomplete
+/// last write is truncated, and damage before the end prevents the start.
 #[test]
-fn a_voter_whose_file_is_lost_torn_or_damaged() {
+fn voter_restores_a_lost_file_truncates_an_incomplete_write_and_rejects_a_corrupt_file() {
     let fleet = Fleet::new();
     let mut started: Vec<(Program, SocketAddr)> = (0..3).map(|own| fleet.start(own)).collect();
     let consoles: Vec<SocketAddr> = started.iter().map(|(_, console)| *console).collect();
-    until("all vote", || consoles.iter().all(|c| figure(*c, "lb_fleet_votes") == 1.0));
+    wait_until("all processes vote", || consoles.iter().all(|c| metric(*c, "lb_fleet_votes") == 1.0));
     drop(started.pop());
-    let whole = std::fs::read(&fleet.files[2]).unwrap();
-    std::fs::remove_file(&fleet.files[2]).unwrap();
+    let intact = std::fs::read(&fleet.vote_files[2]).unwrap();
+    std::fs::remove_file(&fleet.vote_files[2]).unwrap();
     let (program, console) = fleet.start(2);
-    until("the others have told, and it votes", || figure(console, "lb_fleet_votes") == 1.0);
+    wait_until("the voter votes with the state from the other members", || {
+        metric(console, "lb_fleet_votes") == 1.0
+    });
     drop(program);
-    let mut torn = whole.clone();
-    torn.extend([7, 7, 7]);
-    std::fs::write(&fleet.files[2], &torn).unwrap();
+    let mut incomplete = intact.clone();
+    incomplete.extend([7, 7, 7]);
+    std::fs::write(&fleet.vote_files[2], &incomplete).unwrap();
     let (program, console) = fleet.start(2);
-    until("a torn end is cut, and it votes", || figure(console, "lb_fleet_votes") == 1.0);
+    wait_until("the voter truncates the incomplete write and votes", || {
+        metric(console, "lb_fleet_votes") == 1.0
+    });
     drop(program);
-    let mut damaged = whole;
-    damaged[20] ^= 1;
-    damaged.extend([0; 64]);
-    std::fs::write(&fleet.files[2], &damaged).unwrap();
-    let (ended_well, log) = Program::operator(&fleet.table(2)).wait();
-    assert!(!ended_well);
+    let mut corrupt = intact;
+    corrupt[20] ^= 1;
+    corrupt.extend([0; 64]);
+    std::fs::write(&fleet.vote_files[2], &corrupt).unwrap();
+    let (succeeded, log) = Program::operator(&fleet.table(2)).wait();
+    assert!(!succeeded);
     assert!(log.contains("corrupt frame at byte 18 (not an incomplete last write)"), "{log}");
 }
 
+/// Guards against a start with an inconsistent fleet table, and against a message that omits one of its errors.
 #[test]
-fn a_file_that_does_not_fit_ends_the_start_with_a_line_for_each_thing_wrong() {
+fn invalid_fleet_table_prevents_the_start_and_each_error_is_logged() {
     let fleet = Fleet::new();
     let table = fleet.table(0).replace("name = \"n0\"\nstate", "name = \"n7\"\nstate");
-    let (ended_well, log) = Program::operator(&table.replacen("voter = true", "voter = false", 1)).wait();
-    assert!(!ended_well);
+    let (succeeded, log) = Program::operator(&table.replacen("voter = true", "voter = false", 1)).wait();
+    assert!(!succeeded);
     assert!(log.contains("`name` is `n7`") && log.contains("2 members have `voter = true`"), "{log}");
 }
 
-/// Datagrams of nobody, or that do not read, are counted and change nothing.
+/// Guards against datagrams that are processed although they come from a non-member or cannot be parsed.
 #[test]
-fn what_strangers_send_is_counted_and_dropped() {
+fn datagrams_of_non_members_and_invalid_datagrams_are_counted_and_dropped() {
     let fleet = Fleet::new();
     let (_program, console) = fleet.start(0);
-    until("it is there", || figure(console, "lb_fleet_open") == 1.0);
+    wait_until("the process has opened its fleet socket", || metric(console, "lb_fleet_open") == 1.0);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let member = UdpSocket::bind(fleet.addresses[1]).unwrap();
     for _ in 0..5 {
         stranger.send_to(b"MB\x01hello", fleet.addresses[0]).unwrap();
         member.send_to(b"GET / HTTP/1.1\r\n\r\n", fleet.addresses[0]).unwrap();
     }
-    until("counted", || {
-        figure(console, "lb_fleet_strangers_total") == 5.0 && figure(console, "lb_fleet_dropped_total") == 5.0
+    wait_until("all datagrams have been counted", || {
+        metric(console, "lb_fleet_strangers_total") == 5.0 && metric(console, "lb_fleet_dropped_total") == 5.0
     });
 }
 
-/// At an upgrade the address goes to the new process when the old one stops.
+/// Guards against an upgrade after which no process, or both, have the fleet address: the new process opens it when the old
+/// one stops.
 #[test]
-fn the_process_that_follows_takes_the_address_over() {
+fn new_process_takes_over_the_fleet_address_at_an_upgrade() {
     let fleet = Fleet::new();
-    let (old, first) = fleet.start(0);
-    until("the old one holds it", || figure(first, "lb_fleet_open") == 1.0);
-    let (_new, second) = fleet.start(0);
-    assert_eq!(figure(second, "lb_fleet_open"), 0.0);
-    old.signal("TERM");
-    until("the new one holds it", || figure(second, "lb_fleet_open") == 1.0);
+    let (old_process, old_console) = fleet.start(0);
+    wait_until("the old process has the address", || metric(old_console, "lb_fleet_open") == 1.0);
+    let (_new_process, new_console) = fleet.start(0);
+    assert_eq!(metric(new_console, "lb_fleet_open"), 0.0);
+    old_process.signal("TERM");
+    wait_until("the new process has the address", || metric(new_console, "lb_fleet_open") == 1.0);
 }
