--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many dispatchers at once: stories of a hundred of them on a set clock, counted over the whole fleet.
+//! Simulations of a fleet of one hundred routers at times set by the test, with checks over the whole fleet.
 
 mod common;
 
@@ -23,25 +23,25 @@
 }
 
 fn fleet(members: &[Endpoint], now: Micros) -> Vec<Router> {
-    let one = |number| {
+    let start_dispatcher = |number| {
         let mut dispatcher = Router::new(fleet_settings(number), u64::from(number));
         dispatcher.handle(now, Event::List(members), &mut Vec::new());
         dispatcher
     };
-    (0..DISPATCHERS).map(one).collect()
+    (0..DISPATCHERS).map(start_dispatcher).collect()
 }
 
 fn job(id: u64, class: usize, now: Micros) -> Event<'static> {
     Event::Job(Job { id: JobId(id), class, deadline: now + 5 * SECOND, slots: 1.0, work: None })
 }
 
-/// A report is a second old by the time it is read, and all dispatchers read the same one. Guards against a hundred
-/// that run after the slots that a few workers had free then, past others that have become free since.
+/// Guards against one hundred dispatchers that all send to the few workers with free slots in an outdated load report, and
+/// ignore workers that have become free since. All dispatchers read the same report when it is a second old.
 #[test]
-fn an_old_report_does_not_gather_all_dispatchers_on_a_few_workers() {
+fn outdated_load_report_does_not_concentrate_jobs_on_a_few_workers() {
     let (members, mut now) = (members(), 100 * SECOND);
     let free: Vec<EndpointId> = members.iter().take(6).map(|m| m.id).collect();
-    let mut met: BTreeMap<EndpointId, u32> = BTreeMap::new();
+    let mut jobs_per_worker: BTreeMap<EndpointId, u32> = BTreeMap::new();
     let mut probes = 0;
     for mut dispatcher in fleet(&members, now) {
         for id in 1..=5 {
@@ -50,9 +50,12 @@
             dispatcher.handle(now, job(id, 2, now), &mut out);
             while let Some(worker) = asked(&out) {
                 (probes, now) = (probes + 1, now + 5 * MS);
-                let some = f64::from(u8::from(free.contains(&worker)));
-                let report =
-                    LoadReport { free_slots: Some(3.0 * some), queue: Some(2.0 - 2.0 * some), held: None };
+                let is_free = f64::from(u8::from(free.contains(&worker)));
+                let report = LoadReport {
+                    free_slots: Some(3.0 * is_free),
+                    queue: Some(2.0 - 2.0 * is_free),
+                    held: None,
+                };
                 out.clear();
                 dispatcher.handle(
                     now,
@@ -60,68 +63,68 @@
                     &mut out,
                 );
             }
-            let worker = sent(&out).expect("nothing holds the job back");
-            *met.entry(worker).or_default() += 1;
+            let worker = sent(&out).expect("the job must not be held");
+            *jobs_per_worker.entry(worker).or_default() += 1;
             dispatcher.handle(now + MS, Event::Started { job: JobId(id), attempt: 0 }, &mut out);
         }
     }
     let (most, mean) =
-        (met.values().max().copied().unwrap_or(0), 5.0 * f64::from(DISPATCHERS) / WORKERS as f64);
-    assert!(f64::from(most) <= 3.0 * mean, "one worker got {most} of 500 jobs, {mean:.1} is its part");
+        (jobs_per_worker.values().max().copied().unwrap_or(0), 5.0 * f64::from(DISPATCHERS) / WORKERS as f64);
+    assert!(f64::from(most) <= 3.0 * mean, "one worker got {most} of 500 jobs; the mean is {mean:.1}");
     assert!(probes <= 5 * DISPATCHERS, "{probes} probes for 500 jobs");
 }
 
-/// Calls that discovery takes in, one after the other; one that would wait for more than 2 s fails when it has.
-struct Roster {
-    busy: Micros,
+/// A discovery service that processes calls one after the other. A call that would wait longer than 2 s fails after 2 s.
+struct SerialDiscovery {
+    busy_until: Micros,
     calls: Vec<Micros>,
 }
 
-impl Roster {
-    const EACH: Micros = 65 * MS;
+impl SerialDiscovery {
+    const CALL_TIME: Micros = 65 * MS;
 
-    /// When a call is answered, or when it fails: to serve it takes its time all the same.
+    /// Returns when the call is answered, or when it fails. A failed call takes as much processing time as an answered one.
     fn call(&mut self, now: Micros) -> Result<Micros, Micros> {
         self.calls.push(now);
-        self.busy = self.busy.max(now) + Roster::EACH;
-        if self.busy > now + 2 * SECOND { Err(now + 2 * SECOND) } else { Ok(self.busy) }
+        self.busy_until = self.busy_until.max(now) + SerialDiscovery::CALL_TIME;
+        if self.busy_until > now + 2 * SECOND { Err(now + 2 * SECOND) } else { Ok(self.busy_until) }
     }
 }
 
-/// Most dispatchers are killed at once and come back with an old list. Guards against calls that come faster than
-/// discovery works through them, and come back faster when they fail, so that for 15 s nobody got a list.
+/// Guards against dispatchers that restart together with outdated lists and call discovery faster than it can process the calls,
+/// then retry even faster when calls fail. For 15 s no dispatcher received a list.
 #[test]
-fn a_hundred_dispatchers_that_start_together_all_get_the_list() {
+fn all_of_one_hundred_dispatchers_that_start_together_get_the_list() {
     let (members, start) = (members(), 100 * SECOND);
-    let mut roster = Roster { busy: start, calls: Vec::new() };
+    let mut discovery = SerialDiscovery { busy_until: start, calls: Vec::new() };
     let mut fleet: Vec<Router> = (0..DISPATCHERS)
         .map(|number| {
             let settings = Settings { must_subscribe: true, ..fleet_settings(number) };
             Router::new(settings, u64::from(number))
         })
         .collect();
-    // What happens next at each: a wake-up, an answer, or a failure.
+    // Pending events, as (time, dispatcher, kind). Kinds: 0 saved list, 1 wake-up, 2 failed call, 3 answer.
     let mut due: Vec<(Micros, usize, u8)> = (0..fleet.len()).map(|n| (start, n, 0)).collect();
-    let mut told: BTreeMap<usize, Micros> = BTreeMap::new();
+    let mut first_list_at: BTreeMap<usize, Micros> = BTreeMap::new();
     while let Some(at) = (0..due.len()).min_by_key(|&at| due[at]) {
-        let (now, n, what) = due.swap_remove(at);
+        let (now, n, kind) = due.swap_remove(at);
         if now > start + 60 * SECOND {
             break;
         }
         let mut out = Vec::new();
-        match what {
+        match kind {
             0 => fleet[n].handle(now, Event::Cached(&members), &mut out),
             1 => fleet[n].handle(now, Event::Wake, &mut out),
             2 => fleet[n].handle(now, Event::ListFailed { is_cheap: false }, &mut out),
             _ => {
-                told.entry(n).or_insert(now);
+                first_list_at.entry(n).or_insert(now);
                 fleet[n].handle(now, Event::List(&members), &mut out);
             }
         }
         for action in out {
             match action {
                 Action::WakeAt(at) => due.push((at, n, 1)),
-                Action::Subscribe => due.push(match roster.call(now) {
+                Action::Subscribe => due.push(match discovery.call(now) {
                     Ok(at) => (at, n, 3),
                     Err(at) => (at, n, 2),
                 }),
@@ -129,16 +132,23 @@
             }
         }
     }
-    let last = told.values().max().map_or(0, |&at| at - start);
-    let most = (0..60).map(|s| roster.calls.iter().filter(|&&at| (at - start) / SECOND == s).count()).max();
-    assert_eq!(told.len(), fleet.len(), "some never had a list; {} calls", roster.calls.len());
+    let last = first_list_at.values().max().map_or(0, |&at| at - start);
+    let most =
+        (0..60).map(|s| discovery.calls.iter().filter(|&&at| (at - start) / SECOND == s).count()).max();
+    assert_eq!(
+        first_list_at.len(),
+        fleet.len(),
+        "some dispatchers never received a list; {} calls",
+        discovery.calls.len()
+    );
     assert!(last <= 15 * SECOND, "the last list came after {last} us");
     assert!(most <= Some(25), "{most:?} calls in one second");
 }
 
-/// A lost zone made every dispatcher that met it ask for the list at once. Guards against that: the watch tells.
+/// Guards against a large fleet in which, after the loss of a zone, each dispatcher with a failed attempt calls discovery at
+/// once. The watch delivers the change.
 #[test]
-fn failures_of_workers_do_not_call_discovery_where_dispatchers_are_many() {
+fn worker_failures_cause_no_calls_to_discovery_in_a_large_fleet() {
     let (members, now) = (members(), 100 * SECOND);
     let mut calls = 0;
     for number in 0..DISPATCHERS {
@@ -147,7 +157,7 @@
         let mut out = Vec::new();
         dispatcher.handle(now, Event::List(&members), &mut out);
         dispatcher.handle(now, job(1, 0, now), &mut out);
-        let worker = sent(&out).expect("all are idle");
+        let worker = sent(&out).expect("all workers are idle");
         let report = LoadReport::default();
         let (job, outcome) = (JobId(1), Outcome::Unreachable);
         let end =
@@ -157,22 +167,27 @@
         dispatcher.handle(now + SECOND, Event::Wake, &mut out);
         calls += out.iter().filter(|a| **a == Action::Subscribe).count();
     }
-    assert_eq!(calls, 0, "a dead worker costs the fleet calls for the list");
+    assert_eq!(calls, 0, "a failed worker caused calls for the list");
 }
 
-/// Sixty workers of three slots, jobs of 300 ms: 180 at a time, 600 a second. So many jobs a second come for 6 s, 13 % of
-/// them to one dispatcher, and little to most. When each worker was sent its jobs, and how many there were.
-fn sends(members: &[Endpoint], start: Micros, rate: f64) -> (BTreeMap<EndpointId, Vec<Micros>>, usize) {
+/// Simulates `rate` jobs per second for 6 s, 13 % of them at one dispatcher and few at most of the others. Sixty workers with
+/// three slots and jobs of 300 ms can run 180 jobs at a time, 600 per second. Returns the times at which each worker was
+/// sent jobs, and the number of jobs submitted.
+fn simulate_load(
+    members: &[Endpoint],
+    start: Micros,
+    rate: f64,
+) -> (BTreeMap<EndpointId, Vec<Micros>>, usize) {
     let mut fleet = fleet(members, start);
     let mut jobs: Vec<(Micros, usize)> = Vec::new();
     for n in 0..100_usize {
-        let part = if n == 0 { 43.0 } else { 68.0 / (n as f64 + 1.0) };
-        let count = (part * rate / 330.0 * 6.0) as u64;
+        let weight = if n == 0 { 43.0 } else { 68.0 / (n as f64 + 1.0) };
+        let count = (weight * rate / 330.0 * 6.0) as u64;
         jobs.extend((0..count).map(|i| (start + (i * 6_000_000 + n as u64 * 9973) / count.max(1), n)));
     }
     jobs.sort_unstable();
     let total = jobs.len();
-    let mut taken: BTreeMap<EndpointId, Vec<Micros>> = BTreeMap::new();
+    let mut sent_at: BTreeMap<EndpointId, Vec<Micros>> = BTreeMap::new();
     let mut ends: Vec<(Micros, usize, u64, EndpointId)> = Vec::new();
     for (id, (now, n)) in jobs.into_iter().enumerate() {
         ends.sort_unstable();
@@ -196,77 +211,78 @@
         let Some(worker) = sent(&out) else { continue };
         fleet[n].handle(now, Event::Started { job: JobId(id), attempt: 0 }, &mut Vec::new());
         ends.push((now + 300 * MS, n, id, worker));
-        taken.entry(worker).or_default().push(now);
+        sent_at.entry(worker).or_default().push(now);
     }
-    (taken, total)
+    (sent_at, total)
 }
 
-/// Three slots at 0.1 of their speed, warm after 20 s: jobs a second, 1 at first and 3.7 after 6 s.
-fn can(start: Micros, at: Micros) -> f64 {
+/// Returns the capacity of a cold worker in jobs per second: three slots at 0.1 of their speed, warm after 20 s. It is 1 at
+/// the start and 3.7 after 6 s.
+fn cold_capacity(start: Micros, at: Micros) -> f64 {
     10.0 * (0.1 + 0.9 * (at - start) as f64 / 20e6)
 }
 
-/// The most jobs that came within 3 s, as a part of what pushes the worker over: N + 3 root N + 3, N being what the
-/// settings allow.
-fn worst(taken: &[Micros], start: Micros) -> f64 {
-    let part = |&from: &Micros| {
-        let within = taken.iter().filter(|&&at| at >= from && at < from + 3 * SECOND).count() as f64;
-        let allowed = 2.5 * can(start, from) * 3.0;
+/// Returns the largest number of jobs sent within 3 s, as a fraction of the number that overloads the worker. That number is
+/// N + 3 sqrt(N) + 3, where N is what the settings allow.
+fn max_overload(sent_at: &[Micros], start: Micros) -> f64 {
+    let overload = |&from: &Micros| {
+        let within = sent_at.iter().filter(|&&at| at >= from && at < from + 3 * SECOND).count() as f64;
+        let allowed = 2.5 * cold_capacity(start, from) * 3.0;
         within / (allowed + 3.0 * allowed.sqrt() + 3.0)
     };
-    taken.iter().map(part).fold(0.0, f64::max)
+    sent_at.iter().map(overload).fold(0.0, f64::max)
 }
 
-/// Guards against a new worker that is pushed over by all together, and against one that stands idle since each keeps a
-/// part of what it can take for itself.
+/// Guards against a new worker that is overloaded by all dispatchers together, and against one that stays idle because each
+/// dispatcher reserves part of the worker's capacity for itself.
 #[test]
-fn a_worker_just_born_gets_its_part_from_a_hundred_unlike_dispatchers() {
+fn cold_worker_gets_its_share_from_one_hundred_unequal_dispatchers() {
     let (mut members, start) = (members(), 100 * SECOND);
     let cold = members[7].id;
     members[7].started_at = start;
-    // 55 % of what all can do.
-    let (all, total) = sends(&members, start, 330.0);
-    let taken = all.get(&cold).cloned().unwrap_or_default();
-    for &from in &taken {
-        let within = taken.iter().filter(|&&at| at >= from && at < from + 3 * SECOND).count() as f64;
-        let most = 2.5 * can(start, from) * 3.0;
-        assert!(within <= most + 1.0, "{within} jobs within 3 s where {most:.1} push it over");
+    // 55 % of the capacity of all workers.
+    let (sent_per_worker, total) = simulate_load(&members, start, 330.0);
+    let sent_at = sent_per_worker.get(&cold).cloned().unwrap_or_default();
+    for &from in &sent_at {
+        let within = sent_at.iter().filter(|&&at| at >= from && at < from + 3 * SECOND).count() as f64;
+        let most = 2.5 * cold_capacity(start, from) * 3.0;
+        assert!(within <= most + 1.0, "{within} jobs within 3 s overload the worker; its limit is {most:.1}");
     }
-    let allowed = can(start, start + 3 * SECOND) * 6.0;
+    let allowed = cold_capacity(start, start + 3 * SECOND) * 6.0;
     assert!(
-        taken.len() as f64 >= 0.3 * allowed,
-        "{} of {total} jobs where it can do {allowed:.1}",
-        taken.len()
+        sent_at.len() as f64 >= 0.3 * allowed,
+        "the worker got {} of {total} jobs; its capacity is {allowed:.1}",
+        sent_at.len()
     );
 }
 
-/// All workers have just started, and all are asked for what they could do warm. Guards against two turns a job, which
-/// are meant for one cold worker among warm ones, that push a whole fleet over together.
+/// Guards against the rule of two turns per job, meant for one cold worker among warm ones, overloading workers that are all
+/// cold. All have just started, and the load is their warm capacity.
 #[test]
-fn a_fleet_that_is_all_cold_is_not_pushed_over() {
+fn workers_are_not_overloaded_if_all_of_them_are_cold() {
     let (mut members, start) = (members(), 100 * SECOND);
     members.iter_mut().for_each(|member| member.started_at = start);
-    let (all, total) = sends(&members, start, 600.0);
-    let sent: usize = all.values().map(Vec::len).sum();
-    assert!(sent * 10 > total, "it is used: {sent} of {total}");
-    for (worker, taken) in &all {
-        let part = worst(taken, start);
-        assert!(part <= 1.0, "{worker:?} got {part:.2} of what pushes it over");
+    let (sent_per_worker, total) = simulate_load(&members, start, 600.0);
+    let sent: usize = sent_per_worker.values().map(Vec::len).sum();
+    assert!(sent * 10 > total, "only {sent} of {total} jobs were sent");
+    for (worker, sent_at) in &sent_per_worker {
+        let overload = max_overload(sent_at, start);
+        assert!(overload <= 1.0, "{worker:?} got {overload:.2} of the jobs that overload it");
     }
 }
 
-/// One worker of the own zone fails all it gets within milliseconds, and answers no probe. Guards against a fleet that
-/// pays one job that may not run twice for each dispatcher's first meeting with it, and against a probe for each job.
+/// Guards against a fleet that loses an unsafe job at each dispatcher's first contact with a failing worker, and against a
+/// probe for each job. The worker fails all jobs within milliseconds and answers no probe; dispatchers of its zone prefer it.
 #[test]
-fn a_bad_worker_costs_the_fleet_no_job_that_may_not_run_twice() {
+fn no_unsafe_job_is_sent_to_a_worker_that_answers_no_probe() {
     let (members, now) = (members(), 100 * SECOND);
     let bad = members[0].id;
     let (mut lost, mut probes) = (0, 0);
     for mut dispatcher in fleet(&members, now) {
         for id in 1..=30 {
-            let (at, safe) = (now + id * 300 * MS, id % 2 == 0);
+            let (at, is_safe) = (now + id * 300 * MS, id % 2 == 0);
             let mut out = Vec::new();
-            dispatcher.handle(at, job(id, if safe { 0 } else { 2 }, at), &mut out);
+            dispatcher.handle(at, job(id, if is_safe { 0 } else { 2 }, at), &mut out);
             while let Some(worker) = asked(&out) {
                 probes += 1;
                 let (answered, report) =
@@ -275,8 +291,8 @@
                 let probed = Event::Probed { endpoint: worker, answered, latency: 4 * MS, report };
                 dispatcher.handle(at + 5 * MS, probed, &mut out);
             }
-            let worker = sent(&out).expect("others are idle");
-            lost += u32::from(worker == bad && !safe);
+            let worker = sent(&out).expect("the other workers are idle");
+            lost += u32::from(worker == bad && !is_safe);
             let (job, outcome) = (JobId(id), if worker == bad { Outcome::Error } else { Outcome::Served });
             let (finished, report) = (worker != bad, LoadReport::default());
             let end =
@@ -284,6 +300,6 @@
             dispatcher.handle(at + 60 * MS, Event::Ended(end), &mut out);
         }
     }
-    assert_eq!(lost, 0, "unsafe jobs met a worker that answers no probe");
+    assert_eq!(lost, 0, "unsafe jobs were sent to a worker that answers no probe");
     assert!(probes <= 1700, "{probes} probes for 1500 unsafe and 1500 safe jobs");
 }
--- a/tests/gearman.rs
+++ b/tests/gearman.rs
@@ -1,4 +1,4 @@
-//! Stories of Gearman's front: the program over loopback among stand-in clients and workers.
+//! Integration tests of the Gearman frontend: the program over loopback with scripted clients and workers.
 
 #[path = "common/gear.rs"]
 mod gear;
@@ -13,8 +13,9 @@
 use gear::*;
 use micabeam::frontend::gearman::packets::{kind, request};
 
+/// Guards against a job whose status, data, result or exception does not reach its client, or reaches it twice.
 #[test]
-fn a_job_goes_all_the_way_with_what_its_worker_tells() {
+fn job_status_data_result_and_exception_reach_the_client() {
     let (_program, address) = gearman("");
     let mut worker = Gear::worker(address, &["confirm"]);
     let mut client = Gear::connect(address);
@@ -36,7 +37,7 @@
     worker.send(kind::WORK_COMPLETE, &[&handle, "booked"]);
     worker.send(kind::WORK_COMPLETE, &[&handle, "again"]);
     assert_eq!(client.expect(kind::WORK_COMPLETE), [handle.as_str(), "booked"]);
-    // A worker's exception ends the job as failed, and the WORK_FAIL behind it changes nothing.
+    // An exception from the worker fails the job, and the WORK_FAIL after it is ignored.
     let handle = client.submit("confirm", "u2", "site 13");
     assert_eq!(worker.fetch().unwrap().0, handle);
     worker.send(kind::WORK_EXCEPTION, &[&handle, "no card"]);
@@ -47,24 +48,25 @@
     client.expect(kind::ECHO_RES);
 }
 
+/// Guards against a reload that applies an invalid file, ignores a valid one, or loses the job in flight.
 #[test]
-fn sighup_takes_a_file_over_and_keeps_the_job_in_flight() {
-    let text = |peers: usize| {
+fn sighup_applies_a_valid_file_and_keeps_the_job_in_flight() {
+    let config = |peers: usize| {
         format!(
             r#"{{"listen": "127.0.0.1:0", "settings": {}, "peers": {peers},
                 "functions": {{"confirm": {{"class": "confirm-booking"}}}}}}"#,
             net::SETTINGS
         )
     };
-    let mut program = net::Program::start(None, Some(&text(2)));
+    let mut program = net::Program::start(None, Some(&config(2)));
     let address = program.address();
     let (mut worker, mut client) = (Gear::worker(address, &["confirm"]), Gear::connect(address));
     let handle = client.submit("confirm", "u1", "site 12");
     assert_eq!(worker.fetch().unwrap().0, handle);
-    let bad = text(3).replace("\"confirm\":", "\"other\":");
-    assert!(program.reload(1, &bad).starts_with("micabeam: the old settings stay in force: "));
-    assert!(Gear::connect(address).read().is_none(), "a third peer was taken");
-    assert_eq!(program.reload(1, &text(3)), "micabeam: the configuration was read again\n");
+    let invalid = config(3).replace("\"confirm\":", "\"other\":");
+    assert!(program.reload(1, &invalid).starts_with("micabeam: the old settings stay in force: "));
+    assert!(Gear::connect(address).read().is_none(), "a third peer was accepted");
+    assert_eq!(program.reload(1, &config(3)), "micabeam: the configuration was read again\n");
     let mut third = Gear::connect(address);
     third.send(kind::ECHO_REQ, &["here"]);
     third.expect(kind::ECHO_RES);
@@ -72,21 +74,24 @@
     assert_eq!(client.expect(kind::WORK_COMPLETE), [handle.as_str(), "booked"]);
 }
 
+/// Guards against connections that stay open although their peers send nothing or an incomplete packet.
 #[test]
-fn a_peer_that_sends_nothing_or_half_a_packet_is_ended() {
+fn connection_without_a_complete_first_packet_is_closed() {
     let (_program, address) = gearman("");
-    let (mut silent, mut half, mut kept) =
+    let (mut silent, mut incomplete, mut active) =
         (Gear::connect(address), Gear::connect(address), Gear::connect(address));
-    half.0.write_all(b"\0REQ\0\0").unwrap();
-    kept.send(kind::ECHO_REQ, &["here"]);
-    kept.expect(kind::ECHO_RES);
-    assert!(silent.read().is_none() && half.read().is_none());
-    kept.send(kind::ECHO_REQ, &["still here"]);
-    kept.expect(kind::ECHO_RES);
+    incomplete.0.write_all(b"\0REQ\0\0").unwrap();
+    active.send(kind::ECHO_REQ, &["here"]);
+    active.expect(kind::ECHO_RES);
+    assert!(silent.read().is_none() && incomplete.read().is_none());
+    active.send(kind::ECHO_REQ, &["still here"]);
+    active.expect(kind::ECHO_RES);
 }
 
+/// Guards against an unsupported or malformed request that closes its connection or gets no error. A packet that is
+/// too large does close it.
 #[test]
-fn what_could_not_be_answered_gets_an_error_and_the_connection_goes_on() {
+fn unsupported_request_gets_an_error_and_the_connection_stays_open() {
     let (_program, address) = gearman("");
     let mut client = Gear::connect(address);
     for (number, arguments, code) in [
@@ -113,32 +118,34 @@
     assert_eq!(client.expect(kind::ERROR)[0], "bad_magic");
 }
 
+/// Guards against a job that is rejected without a retry interval, or whose rejection prevents a retry under the same key.
 #[test]
-fn without_a_free_worker_a_job_is_denied_with_when_to_come_back() {
+fn job_without_a_free_worker_is_rejected_with_a_retry_interval() {
     let (_program, address) = gearman("");
     let mut client = Gear::connect(address);
     let handle = client.submit("hold", "v1", "");
     let warning = client.expect(kind::WORK_WARNING);
     assert_eq!(warning, [handle.as_str(), "denied retry-after-ms=2000"]);
     assert_eq!(client.expect(kind::WORK_FAIL), [handle.as_str()]);
-    // It never ran, so that the same job may be tried again, and then runs.
+    // The job never ran, so a retry with the same key is a new job and runs.
     let mut worker = Gear::worker(address, &["hold"]);
     let handle = client.submit("hold", "v1", "");
     assert_eq!(worker.fetch().unwrap().0, handle);
 }
 
+/// Guards against a job without an end when its worker is silent, and against a second run after its failure.
 #[test]
-fn a_job_at_a_silent_worker_fails_at_its_class_s_deadline() {
+fn job_at_a_silent_worker_fails_at_its_deadline_and_is_not_repeated() {
     let (_program, address) = gearman("");
     let mut worker = Gear::worker(address, &["hold"]);
     let mut client = Gear::connect(address);
     let handle = client.submit("hold", "w1", "");
     assert_eq!(worker.fetch().unwrap().0, handle);
     assert_eq!(client.expect(kind::WORK_FAIL), [handle.as_str()]);
-    // It may have run: asked for again it is not run again, and the answer is the one on record.
+    // The job may have run, so a repeated request is not run but gets the recorded answer.
     let again = client.submit("hold", "w1", "");
     assert_eq!((again.as_str(), client.expect(kind::WORK_FAIL)), (handle.as_str(), vec![handle.clone()]));
-    // Its worker ends it late: that goes on record.
+    // A late result from the worker replaces the recorded answer.
     worker.send(kind::WORK_COMPLETE, &[&handle, "held"]);
     worker.send(kind::ECHO_REQ, &["read"]);
     worker.expect(kind::ECHO_RES);
@@ -146,8 +153,10 @@
     assert_eq!(client.expect(kind::WORK_COMPLETE), [handle.as_str(), "held"]);
 }
 
+/// Guards against a second run of an unsafe job whose worker disconnected after it fetched the job, and against a failure of a
+/// job that was not fetched or is safe.
 #[test]
-fn a_worker_that_dies_before_it_fetches_never_ran_the_job_and_after_it_may_have() {
+fn job_of_a_lost_worker_runs_again_only_if_not_fetched_or_safe() {
     let (_program, address) = gearman("");
     let mut first = Gear::worker(address, &["confirm"]);
     let mut client = Gear::connect(address);
@@ -162,7 +171,7 @@
     let mut third = Gear::worker(address, &["confirm"]);
     client.submit("confirm", "x1", "");
     assert_eq!(client.expect(kind::WORK_FAIL), [handle.as_str()]);
-    // A safe job in the same place is run again.
+    // A safe job in the same situation runs again.
     third.send(kind::RESET_ABILITIES, &[]);
     third.can_do(&["search"]);
     let handle = client.submit("search", "x2", "");
@@ -174,8 +183,9 @@
     assert_eq!(client.expect(kind::WORK_COMPLETE), [handle.as_str(), "free"]);
 }
 
+/// Guards against a second run of a job whose client reconnects and submits it again.
 #[test]
-fn a_client_that_comes_back_joins_its_job_or_gets_its_answer() {
+fn client_that_reconnects_gets_the_same_job_or_its_recorded_answer() {
     let (_program, address) = gearman("");
     let mut worker = Gear::worker(address, &["confirm"]);
     let mut client = Gear::connect(address);
@@ -193,8 +203,9 @@
     worker.expect(kind::NO_JOB);
 }
 
+/// Guards against a job that is assigned to a worker after its CANT_DO, or that is lost with it.
 #[test]
-fn a_worker_that_takes_its_ability_back_gets_nothing_more() {
+fn worker_gets_no_jobs_of_a_function_that_it_withdrew() {
     let (_program, address) = gearman("");
     let mut first = Gear::worker(address, &["confirm"]);
     let mut client = Gear::connect(address);
@@ -206,8 +217,9 @@
     assert_eq!(second.fetch().unwrap().0, handle);
 }
 
+/// Guards against missing or wrong answers to the text commands for administrators.
 #[test]
-fn the_lines_of_the_administrator_read() {
+fn admin_commands_are_answered() {
     let (_program, address) = gearman("");
     let mut worker = Gear::connect(address);
     worker.send(kind::SET_CLIENT_ID, &["desk-7"]);
@@ -223,14 +235,15 @@
     assert!(lines.next().unwrap().starts_with("ERR unknown_command"));
 }
 
-/// Takes jobs, counts each in `runs` as its work begins, and dies now and then before or after.
-fn mortal_worker(address: SocketAddr, seed: u64, runs: &Mutex<HashMap<String, u32>>) {
+/// Runs a worker that counts each job in `runs` when it starts it, and at random disconnects before or after that, then
+/// reconnects.
+fn crashing_worker(address: SocketAddr, seed: u64, runs: &Mutex<HashMap<String, u32>>) {
     let mut rng = fastrand::Rng::with_seed(seed);
     loop {
         let mut worker = Gear::worker(address, &["confirm"]);
         loop {
             if rng.u8(..) < 25 {
-                worker.send(kind::GRAB_JOB, &[]); // dies with what comes of this
+                worker.send(kind::GRAB_JOB, &[]); // disconnects without reading the answer
                 break;
             }
             let Some((handle, data)) = worker.fetch() else { return };
@@ -247,16 +260,17 @@
     }
 }
 
+/// Guards against an unsafe job that runs twice or gets two answers when its worker or client disconnects at random.
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one story: three processes, their faults, and the count at the end"
+    reason = "one sequence: clients, workers, their random faults, and the count at the end"
 )]
-fn whoever_dies_each_confirmation_runs_at_most_once_and_has_one_answer() {
-    // MICABEAM_SEED plays a seed again.
-    let given = std::env::var("MICABEAM_SEED").ok().and_then(|seed| seed.parse().ok());
-    let clock = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-    let seed: u64 = given.unwrap_or(clock.as_nanos() as u64);
+fn unsafe_job_runs_at_most_once_and_gets_one_answer_when_clients_and_workers_disconnect() {
+    // MICABEAM_SEED repeats the run of a seed.
+    let requested_seed = std::env::var("MICABEAM_SEED").ok().and_then(|seed| seed.parse().ok());
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
+    let seed: u64 = requested_seed.unwrap_or(since_epoch.as_nanos() as u64);
     println!("seed {seed}");
     let mut rng = fastrand::Rng::with_seed(seed);
     let (_program, address) = gearman("");
@@ -264,41 +278,41 @@
     let workers: Vec<_> = (0..4)
         .map(|at| {
             let runs = Arc::clone(&runs);
-            std::thread::spawn(move || mortal_worker(address, seed ^ (at + 1), &runs))
+            std::thread::spawn(move || crashing_worker(address, seed ^ (at + 1), &runs))
         })
         .collect();
     for at in 0..120 {
         let name = format!("booking-{at}");
-        let (mut answered, mut denials) = (None, 0);
-        while answered.is_none() {
+        let (mut answer, mut rejections) = (None, 0);
+        while answer.is_none() {
             let mut client = Gear::connect(address);
             client.send(kind::SUBMIT_JOB, &["confirm", &name, &name]);
             if rng.u8(..) < 100 {
-                continue; // leaves before it hears anything, and comes back
+                continue; // disconnects before it reads an answer, and reconnects
             }
             client.expect(kind::JOB_CREATED);
             if rng.u8(..) < 80 {
                 continue;
             }
             match client.read().unwrap() {
-                (kind::WORK_COMPLETE, fields) => answered = Some(fields[1].clone()),
+                (kind::WORK_COMPLETE, fields) => answer = Some(fields[1].clone()),
                 (kind::WORK_WARNING, _) => {
                     client.expect(kind::WORK_FAIL);
-                    denials += 1;
-                    assert!(denials < 100, "{name} is denied for ever");
+                    rejections += 1;
+                    assert!(rejections < 100, "{name} was rejected 100 times");
                     continue;
                 }
-                (kind::WORK_FAIL, _) => answered = Some(Vec::new()),
+                (kind::WORK_FAIL, _) => answer = Some(Vec::new()),
                 other => panic!("{name}: {other:?}"),
             }
-            // One answer and no second: what comes next is the answer to this.
+            // There must be no second answer: the next packet is the answer to this ECHO_REQ.
             client.send(kind::ECHO_REQ, &["next"]);
             client.expect(kind::ECHO_RES);
         }
         let ran = runs.lock().unwrap().get(&name).copied().unwrap_or(0);
         assert!(ran <= 1, "{name} ran {ran} times");
-        let answered = answered.unwrap();
-        assert!(answered.is_empty() || ran == 1 && answered == name.as_bytes(), "{name}: {answered:?}");
+        let answer = answer.unwrap();
+        assert!(answer.is_empty() || ran == 1 && answer == name.as_bytes(), "{name}: {answer:?}");
     }
     for at in 0..4 {
         let mut client = Gear::connect(address);
@@ -312,9 +326,10 @@
     assert!(runs.lock().unwrap().values().all(|&ran| ran == 1));
 }
 
-/// Guards against a cut for a client that reads more slowly than its answers come: it gets all of them, once each.
+/// Guards against a connection that is closed, or answers that are lost or repeated, when a client reads more slowly than its
+/// answers arrive.
 #[test]
-fn a_client_that_reads_late_gets_every_answer() {
+fn slow_reading_client_gets_every_answer_once() {
     const JOBS: usize = 250;
     let (_program, address) = gearman("");
     let mut client = Gear::connect(address);
@@ -322,7 +337,7 @@
         client.submit("search", &format!("u{job}"), "lake");
     }
     let mut worker = Gear::worker(address, &["search"]);
-    // More in all than the sockets' buffers take.
+    // All results together exceed the socket buffers.
     let result = "x".repeat(60_000);
     for _ in 0..JOBS {
         let (handle, _) = worker.fetch().unwrap();
@@ -330,40 +345,45 @@
     }
     worker.send(kind::ECHO_REQ, &["read"]);
     worker.expect(kind::ECHO_RES);
-    // What it submits now is left unread until it has read.
+    // The gateway does not read this request until the client has read its answers.
     client.send(kind::ECHO_REQ, &["end"]);
     let answers = (0..JOBS).map(|_| client.expect(kind::WORK_COMPLETE).remove(0));
     assert_eq!(answers.collect::<std::collections::HashSet<_>>().len(), JOBS);
     client.expect(kind::ECHO_RES);
 }
 
-/// Guards the end of sessions that have no client and no worker, and of a program whose peers read nothing.
+/// Guards against jobs without a client and a worker that outlive their deadlines, and against a shutdown that waits for a peer
+/// which reads nothing.
 #[test]
-fn a_burst_whose_clients_left_ends_by_its_deadlines_and_so_does_the_program() {
+fn jobs_of_disconnected_clients_end_by_their_deadlines_and_the_shutdown_completes() {
     let (program, address) = gearman("");
     for client in 0..4 {
-        let mut client_of = Gear::connect(address);
+        let mut connection = Gear::connect(address);
         for job in 0..300 {
-            client_of.send(kind::SUBMIT_JOB, &["hold", &format!("u{client}-{job}"), "lake"]);
+            connection.send(kind::SUBMIT_JOB, &["hold", &format!("u{client}-{job}"), "lake"]);
         }
-        client_of.expect(kind::JOB_CREATED);
+        connection.expect(kind::JOB_CREATED);
     }
-    // It asks for more than the sockets' buffers take and reads nothing of it.
-    let mut deaf = TcpStream::connect(address).unwrap();
+    // This client requests more data than the socket buffers hold, and reads none of it.
+    let mut non_reading = TcpStream::connect(address).unwrap();
     let echo = request(kind::ECHO_REQ, &["x".repeat(60_000).as_bytes()]);
-    let (begins, begun) = std::sync::mpsc::channel();
+    let (sent_tx, sent_rx) = std::sync::mpsc::channel();
     let writer = std::thread::spawn(move || {
         for _ in 0..300 {
-            let _ = deaf.write_all(&echo);
-            let _ = begins.send(());
+            let _ = non_reading.write_all(&echo);
+            let _ = sent_tx.send(());
         }
     });
-    // Once so many are sent the first are answered.
-    begun.iter().take(50).count();
+    // After this many requests the first ones have been answered.
+    sent_rx.iter().take(50).count();
     program.signal("TERM");
-    let begun = std::time::Instant::now();
-    let (well, text) = program.wait();
-    assert!(well && begun.elapsed() < std::time::Duration::from_secs(8), "{:?}", begun.elapsed());
-    net::all_ended(&text);
+    let signalled_at = std::time::Instant::now();
+    let (succeeded, log) = program.wait();
+    assert!(
+        succeeded && signalled_at.elapsed() < std::time::Duration::from_secs(8),
+        "{:?}",
+        signalled_at.elapsed()
+    );
+    net::all_ended(&log);
     writer.join().unwrap();
 }
--- a/tests/identity.rs
+++ b/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Stories of identities on Gearman's front: mutual TLS with X.509-SVIDs, all minted here.
+//! Integration tests of mutual TLS with X.509-SVIDs at the Gearman frontend. All certificates are issued by the tests.
 
 #[path = "common/gear.rs"]
 mod gear;
@@ -25,7 +25,7 @@
 const DESK: &str = "spiffe://cedarline.example/desk";
 const WORKER: &str = "spiffe://cedarline.example/worker";
 
-/// An authority of a trust domain.
+/// A certificate authority of a trust domain, with its certificate in PEM.
 struct Authority(Issuer<'static, KeyPair>, String);
 
 impl Authority {
@@ -38,8 +38,8 @@
         Authority(Issuer::new(params, key), pem)
     }
 
-    /// A leaf with these URIs.
-    fn mint(&self, uris: &[&str]) -> Leaf {
+    /// Issues a leaf certificate with these URIs.
+    fn issue(&self, uris: &[&str]) -> Leaf {
         let key = KeyPair::generate().unwrap();
         let mut params = CertificateParams::default();
         params.subject_alt_names = uris.iter().map(|uri| SanType::URI((*uri).try_into().unwrap())).collect();
@@ -57,11 +57,11 @@
     key: KeyPair,
 }
 
-/// Takes any server: whom the program takes is what these stories are about.
+/// Accepts every server certificate: the tests are about which clients the program accepts.
 #[derive(Debug)]
-struct Anyone;
+struct AcceptAnyServer;
 
-impl ServerCertVerifier for Anyone {
+impl ServerCertVerifier for AcceptAnyServer {
     fn verify_server_cert(
         &self,
         _: &CertificateDer<'_>,
@@ -96,11 +96,11 @@
     }
 }
 
-/// Connects over TLS, with a certificate or none.
+/// Connects over TLS, with a client certificate or without one.
 fn connect(address: SocketAddr, leaf: Option<&Leaf>) -> Gear {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let config = ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions().unwrap();
-    let config = config.dangerous().with_custom_certificate_verifier(Arc::new(Anyone));
+    let config = config.dangerous().with_custom_certificate_verifier(Arc::new(AcceptAnyServer));
     let config = match leaf {
         Some(leaf) => {
             let key = PrivateKeyDer::from(PrivatePkcs8KeyDer::from(leaf.key.serialize_der()));
@@ -115,10 +115,10 @@
     Gear(Box::new(StreamOwned::new(tls, stream)))
 }
 
-/// Whether the program takes a peer: it answers, and so is true, or ends the connection.
-fn takes(address: SocketAddr, leaf: Option<&Leaf>) -> bool {
+/// Returns whether the program accepts a peer: it answers a request instead of closing the connection.
+fn accepts(address: SocketAddr, leaf: Option<&Leaf>) -> bool {
     let mut peer = connect(address, leaf);
-    peer.send(kind::ECHO_REQ, &["taken?"]);
+    peer.send(kind::ECHO_REQ, &["accepted?"]);
     peer.read().is_some()
 }
 
@@ -134,12 +134,13 @@
     (program, address, paths)
 }
 
+/// Guards against a job that fails between authenticated peers, and against a peer that does more than its identity permits.
 #[test]
-fn a_job_goes_all_the_way_between_peers_that_proved_who_they_are() {
+fn authenticated_peers_can_run_a_job_and_only_what_their_identity_permits() {
     let authority = Authority::new();
-    let own = authority.mint(&["spiffe://cedarline.example/gateway"]);
+    let own = authority.issue(&["spiffe://cedarline.example/gateway"]);
     let (_program, address, _) = start(&own, &authority.1);
-    let (desk, worker) = (authority.mint(&[DESK]), authority.mint(&[WORKER]));
+    let (desk, worker) = (authority.issue(&[DESK]), authority.issue(&[WORKER]));
     let mut worker = connect(address, Some(&worker));
     worker.can_do(&["confirm"]);
     let mut client = connect(address, Some(&desk));
@@ -149,7 +150,7 @@
     assert!(fetched == handle && data == large);
     worker.send(kind::WORK_COMPLETE, &[&handle, &large]);
     assert_eq!(client.expect(kind::WORK_COMPLETE), [handle.as_str(), large.as_str()]);
-    // Each does no more than it may: another tenant's function, a client's work, a worker's job.
+    // Forbidden: a function of another tenant, a client acting as a worker, and a worker submitting a job.
     client.send(kind::SUBMIT_JOB, &["hold", "", ""]);
     assert_eq!(client.expect(kind::ERROR)[0], "forbidden");
     client.send(kind::CAN_DO, &["confirm"]);
@@ -158,43 +159,45 @@
     assert_eq!(worker.expect(kind::ERROR)[0], "forbidden");
 }
 
+/// Guards against a peer that is accepted without a certificate, or with one that is not allowed.
 #[test]
-fn all_others_are_refused_before_any_job() {
-    let (authority, stranger) = (Authority::new(), Authority::new());
-    let own = authority.mint(&["spiffe://cedarline.example/gateway"]);
+fn peers_without_an_allowed_certificate_are_refused() {
+    let (authority, other_authority) = (Authority::new(), Authority::new());
+    let own = authority.issue(&["spiffe://cedarline.example/gateway"]);
     let (_program, address, _) = start(&own, &authority.1);
-    assert!(takes(address, Some(&authority.mint(&[DESK]))));
+    assert!(accepts(address, Some(&authority.issue(&[DESK]))));
     for (what, leaf) in [
-        ("another authority", stranger.mint(&[DESK])),
-        ("an ID that is not allowed", authority.mint(&["spiffe://cedarline.example/other"])),
-        ("another trust domain", authority.mint(&["spiffe://elsewhere.example/desk"])),
-        ("two URIs", authority.mint(&[DESK, WORKER])),
-        ("no URI", authority.mint(&[])),
-        ("no SPIFFE ID", authority.mint(&["https://cedarline.example/desk"])),
+        ("another authority", other_authority.issue(&[DESK])),
+        ("an ID that is not allowed", authority.issue(&["spiffe://cedarline.example/other"])),
+        ("another trust domain", authority.issue(&["spiffe://elsewhere.example/desk"])),
+        ("two URIs", authority.issue(&[DESK, WORKER])),
+        ("no URI", authority.issue(&[])),
+        ("no SPIFFE ID", authority.issue(&["https://cedarline.example/desk"])),
     ] {
-        assert!(!takes(address, Some(&leaf)), "{what} was taken");
+        assert!(!accepts(address, Some(&leaf)), "{what} was accepted");
     }
-    assert!(!takes(address, None), "one without a certificate was taken");
-    assert!(takes(address, Some(&authority.mint(&[DESK]))));
+    assert!(!accepts(address, None), "a peer without a certificate was accepted");
+    assert!(accepts(address, Some(&authority.issue(&[DESK]))));
 }
 
+/// Guards against changed certificate files that are not read again, and against invalid ones that replace the valid identity.
 #[test]
-fn files_that_change_are_read_again_and_bad_ones_are_not_put_in_force() {
-    let (old, new) = (Authority::new(), Authority::new());
-    let own = old.mint(&["spiffe://cedarline.example/gateway"]);
-    let (mut program, address, [_, _, bundle]) = start(&own, &old.1);
-    let (old_desk, new_desk) = (old.mint(&[DESK]), new.mint(&[DESK]));
-    assert!(takes(address, Some(&old_desk)) && !takes(address, Some(&new_desk)));
-    let until = |text: &str, path: &Path, leaf: &Leaf| {
+fn changed_identity_files_are_reloaded_and_invalid_ones_ignored() {
+    let (old_authority, new_authority) = (Authority::new(), Authority::new());
+    let own = old_authority.issue(&["spiffe://cedarline.example/gateway"]);
+    let (mut program, address, [_, _, bundle]) = start(&own, &old_authority.1);
+    let (old_desk, new_desk) = (old_authority.issue(&[DESK]), new_authority.issue(&[DESK]));
+    assert!(accepts(address, Some(&old_desk)) && !accepts(address, Some(&new_desk)));
+    let write_until_accepted = |text: &str, path: &Path, leaf: &Leaf| {
         std::fs::write(path, text).unwrap();
         let end = Instant::now() + PATIENCE;
-        while !takes(address, Some(leaf)) {
-            assert!(Instant::now() < end, "the files were not read again");
+        while !accepts(address, Some(leaf)) {
+            assert!(Instant::now() < end, "the changed bundle was not reloaded");
             std::thread::sleep(Duration::from_millis(20));
         }
     };
-    until(&format!("{}{}", old.1, new.1), &bundle, &new_desk);
-    until(&new.1, &bundle, &new_desk);
+    write_until_accepted(&format!("{}{}", old_authority.1, new_authority.1), &bundle, &new_desk);
+    write_until_accepted(&new_authority.1, &bundle, &new_desk);
     std::fs::write(&bundle, "no certificate").unwrap();
     assert!(
         program
@@ -204,13 +207,14 @@
             .map(Result::unwrap)
             .any(|line| line.contains("the old identity stays in force"))
     );
-    assert!(takes(address, Some(&new_desk)), "the last good files stay in force");
+    assert!(accepts(address, Some(&new_desk)), "the last valid files must stay in force");
 }
 
+/// Guards against a start with a certificate of another trust domain.
 #[test]
-fn an_identity_that_does_not_read_ends_the_program_at_start() {
+fn certificate_of_another_trust_domain_prevents_the_start() {
     let authority = Authority::new();
-    let own = authority.mint(&["spiffe://elsewhere.example/gateway"]);
+    let own = authority.issue(&["spiffe://elsewhere.example/gateway"]);
     let [svid, key, bundle] =
         [&own.pem, &own.key.serialize_pem(), &authority.1].map(|pem| file("x.pem", pem));
     let text = format!(
@@ -219,6 +223,6 @@
             "trust_domain": "cedarline.example"}}}}"#,
         net::SETTINGS
     );
-    let (well, said) = Program::start(None, Some(&text)).wait();
-    assert!(!well && said.lines().count() == 1 && said.contains("another trust domain"), "{said}");
+    let (succeeded, log) = Program::start(None, Some(&text)).wait();
+    assert!(!succeeded && log.lines().count() == 1 && log.contains("another trust domain"), "{log}");
 }
--- a/tests/list_freshness.rs
+++ b/tests/list_freshness.rs
@@ -42,7 +42,7 @@
     config(128, discovery, hosts).replace(r#""balancers": 1, "myNumber": 0"#, &fleet_keys)
 }
 
-/// A dispatcher started_list with a saved list that still contains a server which discovery has removed since.
+/// A dispatcher started with a saved list that still contains a server which discovery has removed since.
 struct RestartedDispatcher {
     program: Program,
     address: SocketAddr,
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,5 +1,5 @@
-//! The pages name what is there: paths, functions and types of the architecture page, the imports that it allows, and the log
-//! lines and figures of the on-call page.
+//! Checks of the documentation against the source: paths, functions and types on the architecture page, the imports that it
+//! allows, and the log lines and metrics on the on-call page.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All Rust files below a folder, with their texts.
+/// Returns all Rust files relative a folder, with their contents.
 fn sources(folder: &str) -> Vec<(PathBuf, String)> {
     let mut files = Vec::new();
     let mut folders = vec![root().join(folder)];
@@ -28,7 +28,7 @@
     files
 }
 
-/// What stands in backticks outside of code blocks.
+/// Returns the text in backticks outside of code blocks.
 fn code_spans(page: &str) -> Vec<&str> {
     let mut spans = Vec::new();
     let mut in_block = false;
@@ -46,7 +46,7 @@
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'_')
 }
 
-/// Whether a word stands in a text by itself.
+/// Returns whether the text contains the word between characters that cannot be part of a name.
 fn has_word(text: &str, word: &str) -> bool {
     text.match_indices(word).any(|(at, _)| {
         let is_part =
@@ -60,7 +60,7 @@
     ["struct", "enum", "trait", "type"].iter().any(|kind| has_word(text, &format!("{kind} {name}")))
 }
 
-/// A function of a type, or of a module: `Type::function` or `module::function`.
+/// Returns whether `Type::function` or `module::function` exists.
 fn function_exists(files: &[(PathBuf, String)], owner: &str, function: &str) -> bool {
     let has_function = |text: &str| has_word(text, &format!("fn {function}"));
     if owner.starts_with(char::is_uppercase) {
@@ -74,9 +74,9 @@
     }
 }
 
-/// Guards against a page that tells of what has been renamed or moved.
+/// Guards against an architecture page that names renamed or moved items.
 #[test]
-fn each_path_and_function_of_the_architecture_page_exists() {
+fn paths_functions_and_types_on_the_architecture_page_exist() {
     let files = sources("src");
     let (mut paths, mut functions, mut types) = (0, 0, 0);
     let mut missing = Vec::new();
@@ -106,16 +106,16 @@
             }
         }
     }
-    assert!(missing.is_empty(), "the page names what is not there: {missing:?}");
+    assert!(missing.is_empty(), "the page names items that do not exist: {missing:?}");
     assert!(
         paths >= 10 && functions >= 40 && types >= 20,
         "{paths} paths, {functions} functions, {types} types were found"
     );
 }
 
-/// Guards against paths in any page that lead nowhere.
+/// Guards against source paths on any page that do not exist.
 #[test]
-fn each_source_path_of_the_pages_exists() {
+fn source_paths_on_all_pages_exist() {
     let pages = ["README.md", "docs", "docs/design", "docs/operating"].map(|name| root().join(name));
     let mut files = Vec::new();
     for page in pages {
@@ -143,7 +143,7 @@
     assert!(count > 50, "only {count} paths were found");
 }
 
-/// The rows of the table of layers: a module, and those that it may import.
+/// Returns the rows of the table of layers: each module with the modules that it may import.
 fn layers() -> BTreeMap<&'static str, BTreeSet<&'static str>> {
     let rows = ARCHITECTURE.lines().skip_while(|line| !line.starts_with("| module | may import")).skip(2);
     rows.take_while(|line| line.starts_with('|'))
@@ -155,15 +155,16 @@
         .collect()
 }
 
-/// Guards against imports that point up, and against a table that forgets a module.
+/// Guards against imports of a higher layer, and against a table that lacks a module.
 #[test]
-fn modules_import_as_the_table_of_layers_says() {
+fn modules_import_only_what_the_table_of_layers_allows() {
     let layers = layers();
     let mut found = BTreeSet::new();
     for (path, text) in sources("src") {
-        let below = path.strip_prefix(root().join("src")).unwrap();
-        let module = below.components().next().unwrap().as_os_str().to_str().unwrap().trim_end_matches(".rs");
-        let is_test = below.components().any(|part| {
+        let relative = path.strip_prefix(root().join("src")).unwrap();
+        let module =
+            relative.components().next().unwrap().as_os_str().to_str().unwrap().trim_end_matches(".rs");
+        let is_test = relative.components().any(|part| {
             let name = part.as_os_str().to_str().unwrap().trim_end_matches(".rs");
             name == "tests" || name.ends_with("_tests") || name == "wire_fixture"
         });
@@ -171,22 +172,26 @@
             continue;
         }
         let allowed =
-            layers.get(module).unwrap_or_else(|| panic!("{module} is in no row of the table of layers"));
+            layers.get(module).unwrap_or_else(|| panic!("{module} is missing in the table of layers"));
         found.insert(module.to_string());
         for (at, _) in text.match_indices("crate::") {
             let rest = &text[at + "crate::".len()..];
             let imported: String =
                 rest.chars().take_while(|c| c.is_ascii_alphanumeric() || *c == '_').collect();
             let is_allowed = imported == module || imported == "say" || allowed.contains(imported.as_str());
-            assert!(is_allowed, "{} imports {imported}", below.display());
+            assert!(
+                is_allowed,
+                "{} imports {imported}, which the table of layers does not allow",
+                relative.display()
+            );
         }
     }
     assert_eq!(found, layers.keys().map(ToString::to_string).collect());
 }
 
-/// Guards against a page for those on call that names lines or figures which the program does not write.
+/// Guards against an on-call page that names log lines or metrics which the program does not write, or lacks a metric.
 #[test]
-fn log_lines_and_figures_of_the_on_call_page_are_written_by_the_program() {
+fn log_lines_and_metrics_on_the_on_call_page_match_the_program() {
     let sources: String = sources("src").into_iter().map(|(_, text)| text).collect();
     let table = |title: &str| -> Vec<&str> {
         let rows = ON_CALL
@@ -198,13 +203,18 @@
             rows.take_while(|line| line.starts_with('|')).map(|line| line.split('|').nth(1).unwrap());
         first_cells.flat_map(|cell| cell.split('`').skip(1).step_by(2)).collect()
     };
-    let (lines, figures) = (table("## The log"), table("## Figures of a fleet"));
-    assert!(lines.len() >= 20 && figures.len() >= 20, "{} lines, {} figures", lines.len(), figures.len());
-    let missing: Vec<_> = lines.iter().chain(&figures).filter(|text| !sources.contains(**text)).collect();
-    assert!(missing.is_empty(), "the page names what the program does not write: {missing:?}");
-    // All figures of a fleet are on the page.
+    let (log_lines, metrics) = (table("## The log"), table("## Figures of a fleet"));
+    assert!(
+        log_lines.len() >= 20 && metrics.len() >= 20,
+        "{} lines, {} metrics",
+        log_lines.len(),
+        metrics.len()
+    );
+    let missing: Vec<_> = log_lines.iter().chain(&metrics).filter(|text| !sources.contains(**text)).collect();
+    assert!(missing.is_empty(), "the page names texts that the program does not write: {missing:?}");
+    // Every metric of a fleet must be on the page.
     let known = include_str!("fixtures/figures.txt").lines().filter_map(|line| line.split([' ', '{']).next());
-    for figure in known {
-        assert!(ON_CALL.contains(figure), "{figure} is not on the page");
+    for metric in known {
+        assert!(ON_CALL.contains(metric), "{metric} is not on the page");
     }
 }
