--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -45,7 +45,7 @@
     /// address of its console.
     fn start(&self, own: usize, servers: usize) -> (Program, SocketAddr, SocketAddr) {
         let mut text = format!(
-            "console = \"127.0.0.1:0\"\n[fleet]\ncluster = \"story\"\nname = \"n{own}\"\nstate = \"{}\"\nzones = [\"z\"]\n",
+            "console = \"127.0.0.1:0\"\n[fleet]\ncluster = \"test\"\nname = \"n{own}\"\nstate = \"{}\"\nzones = [\"z\"]\n",
             self.dir.join(format!("votes-{own}")).display()
         );
         for (at, address) in self.addresses.iter().enumerate() {
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -25,7 +25,7 @@
 
     fn table(&self, own: usize) -> String {
         let mut text = format!(
-            "console = \"127.0.0.1:0\"\n[fleet]\ncluster = \"story\"\nname = \"n{own}\"\nstate = \"{}\"\n\
+            "console = \"127.0.0.1:0\"\n[fleet]\ncluster = \"test\"\nname = \"n{own}\"\nstate = \"{}\"\n\
              zones = [\"z0\", \"z1\", \"z2\"]\n",
             self.vote_files[own].display()
         );
