--- a/rig/src/body.rs
+++ b/rig/src/body.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Bytes that a body repeats, from a place that its seed gives.
-const BLOCK: usize = 1 << 20;
+const BLOCK_BYTES: usize = 1 << 20;
 
 fn block() -> &'static [u8] {
     static BYTES: OnceLock<Vec<u8>> = OnceLock::new();
@@ -18,7 +18,7 @@
             state ^= state << 17;
             state as u8
         };
-        (0..BLOCK).map(next).collect()
+        (0..BLOCK_BYTES).map(next).collect()
     })
 }
 
@@ -33,19 +33,19 @@
 
 impl Body {
     /// A piece of `most` bytes at the most, from a place in the body on.
-    pub fn piece(&self, at: u64, most: usize) -> &'static [u8] {
-        let from = ((self.seed.wrapping_mul(7919) + at) % BLOCK as u64) as usize;
+    pub fn slice(&self, at: u64, max: usize) -> &'static [u8] {
+        let from = ((self.seed.wrapping_mul(7919) + at) % BLOCK_BYTES as u64) as usize;
         let left = usize::try_from(self.size - at).unwrap_or(usize::MAX);
-        &block()[from..(from + most.min(left)).min(BLOCK)]
+        &block()[from..(from + max.min(left)).min(BLOCK_BYTES)]
     }
 
     /// Its hash.
     pub fn hash(&self) -> u64 {
         let (mut hash, mut at) = (Xxh3::new(), 0);
         while at < self.size {
-            let piece = self.piece(at, BLOCK);
-            hash.update(piece);
-            at += piece.len() as u64;
+            let part = self.slice(at, BLOCK_BYTES);
+            hash.update(part);
+            at += part.len() as u64;
         }
         hash.digest()
     }
--- a/rig/src/datagrams.rs
+++ b/rig/src/datagrams.rs
@@ -10,13 +10,13 @@
 
 use rustix::event::{PollFd, PollFlags, poll};
 
-use crate::http::held;
-use crate::{RigError, tried};
+use crate::http::lock;
+use crate::{RigError, io_context};
 
 /// Longest datagram.
-const LONGEST: usize = 65_000;
+const MAX_DATAGRAM_BYTES: usize = 65_000;
 /// Datagrams that may be under way at once.
-const UNDER_WAY: usize = 100_000;
+const MAX_IN_FLIGHT: usize = 100_000;
 
 /// Addresses for processes: where clients find them, and where the others do.
 pub struct Addresses {
@@ -32,15 +32,16 @@
     ///
     /// # Errors
     /// Where a socket, a thread or a process cannot be had.
-    pub fn free(count: usize, seed: u64) -> Result<Addresses, RigError> {
+    pub fn find_free(count: usize, seed: u64) -> Result<Addresses, RigError> {
         let pid = std::process::id();
-        let own = SocketAddr::from(([127, 100 + (pid >> 8) as u8 % 100, pid as u8, seed as u8], 0));
-        let doors = (0..count).map(|_| tried("a stand-in", TcpListener::bind(own)));
-        let doors: Vec<TcpListener> = doors.collect::<Result<_, _>>()?;
-        let sockets = (0..count).map(|_| tried("a stand-in", UdpSocket::bind(own)));
+        let host = SocketAddr::from(([127, 100 + (pid >> 8) as u8 % 100, pid as u8, seed as u8], 0));
+        let listeners = (0..count).map(|_| io_context("find a free address", TcpListener::bind(host)));
+        let listeners: Vec<TcpListener> = listeners.collect::<Result<_, _>>()?;
+        let sockets = (0..count).map(|_| io_context("find a free address", UdpSocket::bind(host)));
         let sockets: Vec<UdpSocket> = sockets.collect::<Result<_, _>>()?;
-        let clients = doors.iter().map(|door| tried("a stand-in", door.local_addr()));
-        let datagrams = sockets.iter().map(|socket| tried("a stand-in", socket.local_addr()));
+        let clients =
+            listeners.iter().map(|listener| io_context("find a free address", listener.local_addr()));
+        let datagrams = sockets.iter().map(|socket| io_context("find a free address", socket.local_addr()));
         Ok(Addresses {
             clients: clients.collect::<Result<_, _>>()?,
             datagrams: datagrams.collect::<Result<_, _>>()?,
@@ -50,116 +51,116 @@
 
 /// What goes wrong between the processes.
 #[derive(Clone, Debug, Default)]
-pub struct Weather {
+pub struct LinkFaults {
     /// Links that carry nothing, from one to the other.
     pub cut: BTreeSet<(usize, usize)>,
     /// Datagrams of a thousand that are lost.
-    pub lost: u64,
+    pub lost_per_1000: u64,
     /// Datagrams of a thousand that come twice.
-    pub doubled: u64,
+    pub duplicated_per_1000: u64,
     /// Longest delay, in milliseconds; each datagram has its own, so that some overtake others.
-    pub delay_ms: u64,
+    pub max_delay_ms: u64,
 }
 
 /// A datagram under way: when it is due, its number, its link.
-type UnderWay = (std::cmp::Reverse<(Instant, u64)>, usize, usize, Vec<u8>);
+type InFlight = (std::cmp::Reverse<(Instant, u64)>, usize, usize, Vec<u8>);
 
 /// The layer.
-pub struct Datagrams {
-    weather: Arc<Mutex<Weather>>,
-    over: Arc<AtomicBool>,
-    passed: Arc<AtomicU64>,
+pub struct DatagramProxy {
+    faults: Arc<Mutex<LinkFaults>>,
+    stopping: Arc<AtomicBool>,
+    received: Arc<AtomicU64>,
     bytes: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
     /// Where a process finds another: by its own number and the other's.
-    doors: BTreeMap<(usize, usize), SocketAddr>,
+    proxy_addresses: BTreeMap<(usize, usize), SocketAddr>,
 }
 
-impl Datagrams {
+impl DatagramProxy {
     /// A layer between processes at these addresses.
     ///
     /// # Errors
     /// Where a socket, a thread or a process cannot be had.
-    pub fn start(addresses: &[SocketAddr], seed: u64) -> Result<Datagrams, RigError> {
+    pub fn start(addresses: &[SocketAddr], seed: u64) -> Result<DatagramProxy, RigError> {
         let mut sockets = Vec::new();
-        let mut doors = BTreeMap::new();
+        let mut proxy_addresses = BTreeMap::new();
         for from in 0..addresses.len() {
             for to in (0..addresses.len()).filter(|to| *to != from) {
-                let socket = tried("a door", UdpSocket::bind("127.0.0.1:0"))?;
-                tried("a door", socket.set_nonblocking(true))?;
-                doors.insert((from, to), tried("a door", socket.local_addr())?);
+                let socket = io_context("proxy socket", UdpSocket::bind("127.0.0.1:0"))?;
+                io_context("proxy socket", socket.set_nonblocking(true))?;
+                proxy_addresses.insert((from, to), io_context("proxy socket", socket.local_addr())?);
                 sockets.push((from, to, socket));
             }
         }
-        let weather: Arc<Mutex<Weather>> = Arc::default();
-        let (over, passed, bytes) =
+        let faults: Arc<Mutex<LinkFaults>> = Arc::default();
+        let (stopping, received, bytes) =
             (Arc::<AtomicBool>::default(), Arc::<AtomicU64>::default(), Arc::default());
-        let layer = Layer {
+        let proxy = ProxyLoop {
             sockets,
             addresses: addresses.to_vec(),
-            weather: Arc::clone(&weather),
-            over: Arc::clone(&over),
-            passed: Arc::clone(&passed),
+            faults: Arc::clone(&faults),
+            stopping: Arc::clone(&stopping),
+            received: Arc::clone(&received),
             bytes: Arc::clone(&bytes),
-            draws: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
         };
-        let thread = Some(thread::spawn(move || layer.run()));
-        Ok(Datagrams { weather, over, passed, bytes, thread, doors })
+        let thread = Some(thread::spawn(move || proxy.run()));
+        Ok(DatagramProxy { faults, stopping, received, bytes, thread, proxy_addresses })
     }
 
     /// Where one process finds another.
-    pub fn door(&self, from: usize, to: usize) -> SocketAddr {
-        self.doors[&(from, to)]
+    pub fn proxy_address(&self, from: usize, to: usize) -> SocketAddr {
+        self.proxy_addresses[&(from, to)]
     }
 
     /// Changes what goes wrong.
-    pub fn change(&self, with: impl FnOnce(&mut Weather)) {
-        with(&mut held(&self.weather));
+    pub fn set_faults(&self, update: impl FnOnce(&mut LinkFaults)) {
+        update(&mut lock(&self.faults));
     }
 
     /// Datagrams that came, and their bytes.
-    pub fn passed(&self) -> (u64, u64) {
-        (self.passed.load(Ordering::Relaxed), self.bytes.load(Ordering::Relaxed))
+    pub fn received(&self) -> (u64, u64) {
+        (self.received.load(Ordering::Relaxed), self.bytes.load(Ordering::Relaxed))
     }
 }
 
-impl Drop for Datagrams {
+impl Drop for DatagramProxy {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-struct Layer {
+struct ProxyLoop {
     sockets: Vec<(usize, usize, UdpSocket)>,
     addresses: Vec<SocketAddr>,
-    weather: Arc<Mutex<Weather>>,
-    over: Arc<AtomicBool>,
-    passed: Arc<AtomicU64>,
+    faults: Arc<Mutex<LinkFaults>>,
+    stopping: Arc<AtomicBool>,
+    received: Arc<AtomicU64>,
     bytes: Arc<AtomicU64>,
-    draws: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
-impl Layer {
+impl ProxyLoop {
     fn run(mut self) {
-        let places: BTreeMap<(usize, usize), usize> =
+        let socket_of_link: BTreeMap<(usize, usize), usize> =
             self.sockets.iter().enumerate().map(|(at, (from, to, _))| ((*from, *to), at)).collect();
-        let mut under_way: BinaryHeap<UnderWay> = BinaryHeap::new();
-        let mut buffer = vec![0; LONGEST];
+        let mut in_flight: BinaryHeap<InFlight> = BinaryHeap::new();
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut number = 0;
-        while !self.over.load(Ordering::Relaxed) {
+        while !self.stopping.load(Ordering::Relaxed) {
             let now = Instant::now();
-            while under_way.peek().is_some_and(|(due, ..)| due.0.0 <= now) {
-                let Some((_, from, to, bytes)) = under_way.pop() else { break };
+            while in_flight.peek().is_some_and(|(due, ..)| due.0.0 <= now) {
+                let Some((_, from, to, bytes)) = in_flight.pop() else { break };
                 // It comes from the door that the receiver knows the sender by.
-                if let Some(&at) = places.get(&(to, from)) {
+                if let Some(&at) = socket_of_link.get(&(to, from)) {
                     let _ = self.sockets[at].2.send_to(&bytes, self.addresses[to]);
                 }
             }
             let next =
-                under_way.peek().map_or(20, |(due, ..)| due.0.0.duration_since(now).as_millis().min(20));
+                in_flight.peek().map_or(20, |(due, ..)| due.0.0.duration_since(now).as_millis().min(20));
             let ready: Vec<usize> = {
                 let mut polled: Vec<PollFd<'_>> =
                     self.sockets.iter().map(|s| PollFd::new(&s.2, PollFlags::IN)).collect();
@@ -172,20 +173,21 @@
                     .map(|(at, _)| at)
                     .collect()
             };
-            let weather = held(&self.weather).clone();
+            let faults = lock(&self.faults).clone();
             for at in ready {
                 let (from, to) = (self.sockets[at].0, self.sockets[at].1);
                 while let Ok((length, _)) = self.sockets[at].2.recv_from(&mut buffer) {
-                    self.passed.fetch_add(1, Ordering::Relaxed);
+                    self.received.fetch_add(1, Ordering::Relaxed);
                     self.bytes.fetch_add(length as u64, Ordering::Relaxed);
-                    let lost = weather.cut.contains(&(from, to)) || self.draws.u64(..1000) < weather.lost;
-                    let copies = 1 + u64::from(self.draws.u64(..1000) < weather.doubled);
+                    let lost =
+                        faults.cut.contains(&(from, to)) || self.rng.u64(..1000) < faults.lost_per_1000;
+                    let copies = 1 + u64::from(self.rng.u64(..1000) < faults.duplicated_per_1000);
                     for _ in 0..if lost { 0 } else { copies } {
                         number += 1;
-                        let delay = Duration::from_millis(self.draws.u64(..weather.delay_ms + 1));
-                        if under_way.len() < UNDER_WAY {
+                        let delay = Duration::from_millis(self.rng.u64(..faults.max_delay_ms + 1));
+                        if in_flight.len() < MAX_IN_FLIGHT {
                             let due = std::cmp::Reverse((Instant::now() + delay, number));
-                            under_way.push((due, from, to, buffer[..length].to_vec()));
+                            in_flight.push((due, from, to, buffer[..length].to_vec()));
                         }
                     }
                 }
--- a/rig/src/http.rs
+++ b/rig/src/http.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 /// What a lock holds, whoever panicked with it.
-pub fn held<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
-    lock.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// One side of an HTTP connection.
@@ -19,8 +19,8 @@
     ///
     /// # Errors
     /// Where a socket, a thread or a process cannot be had.
-    pub fn over(stream: TcpStream, patience: Duration) -> std::io::Result<Http> {
-        stream.set_read_timeout(Some(patience))?;
+    pub fn from_stream(stream: TcpStream, timeout: Duration) -> std::io::Result<Http> {
+        stream.set_read_timeout(Some(timeout))?;
         stream.set_nodelay(true)?;
         Ok(Http(BufReader::new(stream)))
     }
@@ -29,8 +29,8 @@
     ///
     /// # Errors
     /// Where a socket, a thread or a process cannot be had.
-    pub fn connect(address: SocketAddr, patience: Duration) -> std::io::Result<Http> {
-        Http::over(TcpStream::connect_timeout(&address, Duration::from_secs(1))?, patience)
+    pub fn connect(address: SocketAddr, timeout: Duration) -> std::io::Result<Http> {
+        Http::from_stream(TcpStream::connect_timeout(&address, Duration::from_secs(1))?, timeout)
     }
 
     /// Writes a message.
@@ -84,34 +84,34 @@
 /// Serves each connection of a listener on a thread of its own until the run is over.
 pub fn serve(
     listener: TcpListener,
-    over: impl Fn() -> bool + Send + 'static,
-    each: impl Fn(TcpStream) + Send + Sync + 'static,
+    is_stopping: impl Fn() -> bool + Send + 'static,
+    handle: impl Fn(TcpStream) + Send + Sync + 'static,
 ) {
-    let each = Arc::new(each);
+    let handle = Arc::new(handle);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            if over() {
+            if is_stopping() {
                 return;
             }
-            let each = Arc::clone(&each);
-            thread::spawn(move || each(stream));
+            let handle = Arc::clone(&handle);
+            thread::spawn(move || handle(stream));
         }
     });
 }
 
 /// Tells a dispatcher of a job's state, as a booking worker does. Whether it was heard.
-pub fn told(
+pub fn post_job_event(
     dispatcher: SocketAddr,
-    patience: Duration,
+    timeout: Duration,
     id: &str,
-    from: &str,
+    worker: &str,
     state: &str,
     result: &str,
 ) -> bool {
-    let body = format!(r#"{{"id":"{id}","from":"{from}","state":"{state}","result":"{result}"}}"#);
+    let body = format!(r#"{{"id":"{id}","from":"{worker}","state":"{state}","result":"{result}"}}"#);
     let text =
         format!("POST /v1/job-events HTTP/1.1\r\nHost: d\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let answer = Http::connect(dispatcher, patience).and_then(|mut http| {
+    let answer = Http::connect(dispatcher, timeout).and_then(|mut http| {
         http.write(&text)?;
         http.read()
     });
@@ -119,33 +119,39 @@
 }
 
 /// What came of a job that a client handed in.
-pub struct Got {
+pub struct JobResponse {
     /// The answer's status and body, or why there was none.
     pub answer: std::io::Result<(u16, String)>,
     /// A time to come back was named.
-    pub advised: bool,
+    pub has_retry_after: bool,
     /// It went over a connection that was kept.
-    pub kept: bool,
+    pub reused: bool,
     /// More than the one answer had come on that before.
-    pub more: bool,
+    pub had_extra_bytes: bool,
 }
 
 /// Hands a job in over a kept connection, or a new one, and waits for its answer.
-pub fn hand_in(conn: &mut Option<Http>, to: SocketAddr, deadline: Duration, class: &str, id: &str) -> Got {
+pub fn submit_job(
+    conn: &mut Option<Http>,
+    to: SocketAddr,
+    deadline: Duration,
+    class: &str,
+    id: &str,
+) -> JobResponse {
     let text = format!(
         "POST /{class}/x HTTP/1.1\r\nHost: d\r\nReq-Id: {id}\r\nReq-Deadline: {}m\r\nContent-Length: 3\r\n\r\njob",
         deadline.as_millis()
     );
-    let kept = conn.is_some();
-    let (mut advised, mut more) = (false, false);
+    let reused = conn.is_some();
+    let (mut has_retry_after, mut had_extra_bytes) = (false, false);
     let answer = conn.take().map_or_else(|| Http::connect(to, deadline * 2), Ok).and_then(|mut http| {
-        more = kept && !http.0.buffer().is_empty();
+        had_extra_bytes = reused && !http.0.buffer().is_empty();
         http.write(&text)?;
         let (head, body) = http.read()?;
-        advised = header(&head, "retry-after").is_some();
+        has_retry_after = header(&head, "retry-after").is_some();
         let closes = header(&head, "connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
         *conn = (!closes).then_some(http);
         Ok((status(&head), body))
     });
-    Got { answer, advised, kept, more }
+    JobResponse { answer, has_retry_after, reused, had_extra_bytes }
 }
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -26,10 +26,10 @@
 #[derive(Debug, Error)]
 pub enum RigError {
     /// The system refused something.
-    #[error("{what}: {cause}")]
-    System {
+    #[error("{context}: {cause}")]
+    Io {
         /// What was tried.
-        what: String,
+        context: String,
         /// Why it failed.
         cause: std::io::Error,
     },
@@ -40,27 +40,27 @@
     #[error("{0}")]
     Arguments(String),
     /// The proof failed.
-    #[error("not proved: {0}")]
-    Disproved(String),
+    #[error("check failed: {0}")]
+    CheckFailed(String),
 }
 
 /// Says what was tried, where the system refuses it.
 ///
 /// # Errors
 /// The error of the result, with what was tried.
-pub fn tried<T>(what: &str, result: std::io::Result<T>) -> Result<T, RigError> {
-    result.map_err(|cause| RigError::System { what: what.into(), cause })
+pub fn io_context<T>(operation: &str, result: std::io::Result<T>) -> Result<T, RigError> {
+    result.map_err(|cause| RigError::Io { context: operation.into(), cause })
 }
 
 /// Whether a proof holds: each of these is 0, and half of the jobs were served at least.
 ///
 /// # Errors
 /// Where one of the figures is not 0, or too little was served.
-pub fn proved(zeros: &[(&str, u64)], jobs: u64, served: u64) -> Result<(), RigError> {
-    match zeros.iter().find(|zero| zero.1 > 0) {
-        Some((name, count)) => Err(RigError::Disproved(format!("{name} is {count}"))),
+pub fn check_invariants(zeros: &[(&str, u64)], jobs: u64, served: u64) -> Result<(), RigError> {
+    match zeros.iter().find(|figure| figure.1 > 0) {
+        Some((name, count)) => Err(RigError::CheckFailed(format!("{name} is {count}"))),
         None if jobs == 0 || served * 2 < jobs => {
-            Err(RigError::Disproved("less than half of the jobs were served".into()))
+            Err(RigError::CheckFailed("less than half of the jobs were served".into()))
         }
         None => Ok(()),
     }
--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -11,7 +11,7 @@
 /// key=value; it ends non-zero where its proof fails.
 #[derive(Parser)]
 #[command(version)]
-struct Arguments {
+struct Cli {
     #[command(subcommand)]
     experiment: Experiment,
 }
@@ -214,7 +214,7 @@
 
 impl ScaleArguments {
     fn plan(self) -> scale::Plan {
-        let usual = scale::Plan::default();
+        let defaults = scale::Plan::default();
         scale::Plan {
             members: self.members,
             workers: self.workers,
@@ -232,7 +232,7 @@
             aligned: self.aligned,
             lost: self.lost,
             policy_bytes: self.policy_bytes,
-            lease_ms: self.lease_ms.unwrap_or(usual.lease_ms),
+            lease_ms: self.lease_ms.unwrap_or(defaults.lease_ms),
             changes: !self.calm,
             keeps_leases: true,
         }
@@ -240,15 +240,15 @@
 }
 
 /// The last line of an experiment: its figures. Where its proof fails they are printed all the same.
-fn report(line: String, proof: Result<(), RigError>) -> Result<String, RigError> {
-    if proof.is_err() {
+fn report(line: String, check: Result<(), RigError>) -> Result<String, RigError> {
+    if check.is_err() {
         println!("{line}");
     }
-    proof.map(|()| line)
+    check.map(|()| line)
 }
 
-fn disproved(what: impl Into<String>) -> RigError {
-    RigError::Disproved(what.into())
+fn check_failed(what: impl Into<String>) -> RigError {
+    RigError::CheckFailed(what.into())
 }
 
 fn run(experiment: Experiment) -> Result<String, RigError> {
@@ -256,32 +256,34 @@
         Experiment::Streams { .. } => run_streams(&experiment),
         Experiment::Zones { dispatchers, zones, seconds, seed, rate, fault, alone } => {
             if dispatchers < 3 || zones < 2 || zones > dispatchers {
-                return Err(disproved("3 dispatchers and 2 zones are needed at least"));
+                return Err(check_failed(
+                    "at least 3 dispatchers and 2 zones are needed, and no more zones than dispatchers",
+                ));
             }
-            let only = named_fault(fault.as_deref())?;
+            let only = parse_fault(fault.as_deref())?;
             let plan =
                 micabeam_rig::zones::Plan { dispatchers, zones, seconds, seed, rate, agreed: !alone, only };
             let figures = micabeam_rig::zones::experiment(&plan)?;
-            report(figures.line(), figures.proves())
+            report(figures.line(), figures.verify())
         }
         Experiment::Soak { dispatchers, seconds, seed, binary } => {
             let figures = soak::experiment(&soak::Plan { dispatchers, seconds, seed, binary })?;
-            report(figures.to_string(), figures.proves())
+            report(figures.to_string(), figures.verify())
         }
         Experiment::Upgrade { rounds, rate, seed } => {
             let figures = upgrade::experiment(&upgrade::Plan { rounds, rate, seed })?;
-            report(figures.line(), figures.proves())
+            report(figures.line(), figures.verify())
         }
         Experiment::Rollout { dispatchers, seconds, seed, alone } => {
             if dispatchers < 3 {
-                return Err(disproved("3 dispatchers are needed at least"));
+                return Err(check_failed("at least 3 dispatchers are needed"));
             }
             let figures = rollout::experiment(&rollout::Plan { dispatchers, seconds, seed, agreed: !alone })?;
-            report(figures.line(), figures.proves())
+            report(figures.line(), figures.verify())
         }
         Experiment::Scale(arguments) => {
             let figures = scale::experiment(&arguments.plan())?;
-            report(figures.line(), figures.proves())
+            report(figures.line(), figures.verify())
         }
         Experiment::Lists { workers, out } => Ok(scale::play_list(workers, out)?.line()),
         Experiment::Ladder { mb, pipes } => ladder(mb, pipes),
@@ -293,11 +295,11 @@
 }
 
 /// The one fault that is to be played, where one is named.
-fn named_fault(name: Option<&str>) -> Result<Option<micabeam_rig::zones::Fault>, RigError> {
+fn parse_fault(name: Option<&str>) -> Result<Option<micabeam_rig::zones::Fault>, RigError> {
     let Some(name) = name else { return Ok(None) };
     match micabeam_rig::zones::Fault::named(name) {
         Some(fault) => Ok(Some(fault)),
-        None => Err(disproved(format!("there is no fault `{name}`"))),
+        None => Err(check_failed(format!("unknown fault `{name}`"))),
     }
 }
 
@@ -305,7 +307,7 @@
     let &Experiment::Streams { count, mb, slow, slow_kb_s, slow_mb, least_kb_s, pipes, ceiling_mb, bare_mb } =
         experiment
     else {
-        return Err(disproved("no experiment with streams"));
+        return Err(check_failed("not the experiment `streams`"));
     };
     let plan = Plan {
         count,
@@ -319,11 +321,11 @@
         bare_bytes: bare_mb.unwrap_or((mb / 10).max(1)) * 1_000_000,
     };
     let figures = streams::experiment(&plan)?;
-    report(figures.line(), figures.proves(&plan))
+    report(figures.line(), figures.verify(&plan))
 }
 
 fn main() -> ExitCode {
-    match run(Arguments::parse().experiment) {
+    match run(Cli::parse().experiment) {
         Ok(line) => {
             println!("{line}");
             ExitCode::SUCCESS
--- a/rig/src/peers.rs
+++ b/rig/src/peers.rs
@@ -10,18 +10,18 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::body::Body;
-use crate::{RigError, tried};
+use crate::{RigError, io_context};
 
 /// Longest wait for a byte: only a peer that hangs meets it.
-const PATIENCE: Duration = Duration::from_secs(60);
+const IO_TIMEOUT: Duration = Duration::from_secs(60);
 /// Bytes of one read or write.
-const PIECE: usize = 128 * 1024;
+const MAX_PART_BYTES: usize = 128 * 1024;
 /// Stack of a peer's thread: hundreds of them run.
-const STACK: usize = 512 * 1024;
+const STACK_BYTES: usize = 512 * 1024;
 
 /// Which way a body goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the client to the server.
     Up,
     /// From the server to the client.
@@ -30,11 +30,11 @@
 
 /// One stream, as its client asks for it. The path carries all that the server needs to know.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct StreamRequest {
     /// The class, the first part of the path.
     pub class: &'static str,
     /// Which way the body goes.
-    pub way: Way,
+    pub direction: Direction,
     /// The body.
     pub body: Body,
     /// It goes in chunks, without a length.
@@ -47,11 +47,11 @@
 
 /// What became of a stream, as its client sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum StreamOutcome {
     /// All of it came, and it is the right body.
-    Whole,
+    Complete,
     /// It failed, and the client can tell.
-    Clean(String),
+    FailedCleanly(String),
     /// It looks whole and is not, or never ends.
     Broken(String),
 }
@@ -69,11 +69,11 @@
     }
 
     /// Bytes of the next piece: a tenth of a second's at a pace.
-    fn piece(&self) -> usize {
-        if self.rate == 0 { PIECE } else { (self.rate / 10).max(1) as usize }
+    fn next_len(&self) -> usize {
+        if self.rate == 0 { MAX_PART_BYTES } else { (self.rate / 10).max(1) as usize }
     }
 
-    fn moved(&mut self, bytes: usize) {
+    fn on_transferred(&mut self, bytes: usize) {
         self.moved += bytes as u64;
         if self.rate > 0 {
             let due = Duration::from_secs_f64(self.moved as f64 / self.rate as f64);
@@ -85,16 +85,16 @@
 fn send(out: &mut impl Write, body: Body, chunked: bool, rate: u64) -> io::Result<()> {
     let (mut at, mut pacer) = (0, Pacer::new(rate));
     while at < body.size {
-        let piece = body.piece(at, pacer.piece());
+        let part = body.slice(at, pacer.next_len());
         if chunked {
-            out.write_all(format!("{:x};n={at}\r\n", piece.len()).as_bytes())?;
-            out.write_all(piece)?;
+            out.write_all(format!("{:x};n={at}\r\n", part.len()).as_bytes())?;
+            out.write_all(part)?;
             out.write_all(b"\r\n")?;
         } else {
-            out.write_all(piece)?;
+            out.write_all(part)?;
         }
-        at += piece.len() as u64;
-        pacer.moved(piece.len());
+        at += part.len() as u64;
+        pacer.on_transferred(part.len());
     }
     if chunked { out.write_all(b"0\r\nRig-Size: told\r\n\r\n") } else { Ok(()) }
 }
@@ -102,22 +102,22 @@
 struct Received {
     hash: u64,
     size: u64,
-    whole: bool,
+    complete: bool,
 }
 
 /// Reads a body: by its length, by its chunks where there is none.
 fn receive(from: &mut BufReader<TcpStream>, length: Option<u64>, rate: u64) -> io::Result<Received> {
     let (mut hash, mut size, mut pacer) = (Xxh3::new(), 0, Pacer::new(rate));
-    let mut buffer = vec![0; PIECE];
-    let mut take = |from: &mut BufReader<TcpStream>, mut left: u64| -> io::Result<bool> {
+    let mut buffer = vec![0; MAX_PART_BYTES];
+    let mut read_part = |from: &mut BufReader<TcpStream>, mut left: u64| -> io::Result<bool> {
         while left > 0 {
-            let most = pacer.piece().min(buffer.len()).min(usize::try_from(left).unwrap_or(usize::MAX));
-            match from.read(&mut buffer[..most]) {
+            let max = pacer.next_len().min(buffer.len()).min(usize::try_from(left).unwrap_or(usize::MAX));
+            match from.read(&mut buffer[..max]) {
                 Ok(0) => return Ok(false),
                 Ok(n) => {
                     hash.update(&buffer[..n]);
                     (size, left) = (size + n as u64, left - n as u64);
-                    pacer.moved(n);
+                    pacer.on_transferred(n);
                 }
                 // A reset is an end that can be seen.
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return Ok(false),
@@ -126,8 +126,8 @@
         }
         Ok(true)
     };
-    let whole = match length {
-        Some(length) => take(from, length)?,
+    let complete = match length {
+        Some(length) => read_part(from, length)?,
         None => loop {
             let mut line = String::new();
             if from.read_line(&mut line).unwrap_or(0) == 0 {
@@ -138,12 +138,12 @@
             if count == 0 {
                 break headers(from)?.is_some();
             }
-            if !take(from, count)? || from.read_line(&mut String::new())? == 0 {
+            if !read_part(from, count)? || from.read_line(&mut String::new())? == 0 {
                 break false;
             }
         },
     };
-    Ok(Received { hash: hash.digest(), size, whole })
+    Ok(Received { hash: hash.digest(), size, complete })
 }
 
 /// A head without its first line, or trailers; none where the end came first.
@@ -165,83 +165,98 @@
     headers.iter().find(|(n, _)| n == name).and_then(|(_, v)| v.parse().ok())
 }
 
-impl Ask {
+impl StreamRequest {
     fn path(&self) -> String {
-        let way = if self.way == Way::Up { "up" } else { "down" };
+        let direction = if self.direction == Direction::Up { "up" } else { "down" };
         let Body { seed, size } = self.body;
-        format!("/{}/{way}/{size}/{seed}/{}/{}", self.class, u8::from(self.chunked), self.server_rate)
+        format!("/{}/{direction}/{size}/{seed}/{}/{}", self.class, u8::from(self.chunked), self.server_rate)
     }
 
-    fn of_path(path: &str) -> Option<Ask> {
+    fn from_path(path: &str) -> Option<StreamRequest> {
         let mut parts = path.trim_start_matches('/').split('/').skip(1);
-        let way = if parts.next()? == "up" { Way::Up } else { Way::Down };
+        let direction = if parts.next()? == "up" { Direction::Up } else { Direction::Down };
         let mut number = || parts.next()?.parse::<u64>().ok();
         let (size, seed) = (number()?, number()?);
         let (chunked, server_rate) = (number()? == 1, number()?);
-        Some(Ask { class: "", way, body: Body { seed, size }, chunked, client_rate: 0, server_rate })
+        Some(StreamRequest {
+            class: "",
+            direction,
+            body: Body { seed, size },
+            chunked,
+            client_rate: 0,
+            server_rate,
+        })
     }
 
     /// Runs the stream over a connection of its own, or one that is kept.
-    pub fn run(&self, address: SocketAddr) -> End {
+    pub fn run(&self, address: SocketAddr) -> StreamOutcome {
         match connect(address) {
-            Ok(stream) => self.over(&mut BufReader::new(stream)),
-            Err(e) => End::Clean(format!("no connection: {e}")),
+            Ok(stream) => self.run_on(&mut BufReader::new(stream)),
+            Err(e) => StreamOutcome::FailedCleanly(format!("connect failed: {e}")),
         }
     }
 
     /// Runs the stream over a connection.
-    pub fn over(&self, peer: &mut BufReader<TcpStream>) -> End {
-        match self.try_over(peer) {
+    pub fn run_on(&self, peer: &mut BufReader<TcpStream>) -> StreamOutcome {
+        match self.try_run_on(peer) {
             Ok(end) => end,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                End::Broken("nothing came".into())
+                StreamOutcome::Broken("timed out".into())
             }
-            Err(e) => End::Clean(e.to_string()),
+            Err(e) => StreamOutcome::FailedCleanly(e.to_string()),
         }
     }
 
-    fn try_over(&self, peer: &mut BufReader<TcpStream>) -> io::Result<End> {
-        let method = if self.way == Way::Up { "PUT" } else { "GET" };
+    fn try_run_on(&self, peer: &mut BufReader<TcpStream>) -> io::Result<StreamOutcome> {
+        let method = if self.direction == Direction::Up { "PUT" } else { "GET" };
         let mut head = format!("{method} {} HTTP/1.1\r\nHost: rig\r\n", self.path());
-        match (self.way, self.chunked) {
-            (Way::Up, true) => head.push_str("Transfer-Encoding: chunked\r\n"),
-            (Way::Up, false) => head.push_str(&format!("Content-Length: {}\r\n", self.body.size)),
+        match (self.direction, self.chunked) {
+            (Direction::Up, true) => head.push_str("Transfer-Encoding: chunked\r\n"),
+            (Direction::Up, false) => head.push_str(&format!("Content-Length: {}\r\n", self.body.size)),
             _ => {}
         }
         head.push_str("\r\n");
         peer.get_mut().write_all(head.as_bytes())?;
-        if self.way == Way::Up {
+        if self.direction == Direction::Up {
             // An early answer, or a cut: what came of it is read below.
             let _ = send(peer.get_mut(), self.body, self.chunked, self.client_rate);
         }
         let mut line = String::new();
         if peer.read_line(&mut line)? == 0 {
-            return Ok(End::Clean("cut before an answer".into()));
+            return Ok(StreamOutcome::FailedCleanly("connection closed before the response".into()));
         }
-        let Some(headers) = headers(peer)? else { return Ok(End::Clean("cut in the answer's head".into())) };
+        let Some(headers) = headers(peer)? else {
+            return Ok(StreamOutcome::FailedCleanly("connection closed in the response head".into()));
+        };
         let length = header(&headers, "content-length");
-        let rate = if self.way == Way::Down { self.client_rate } else { 0 };
-        let got = receive(peer, length, rate)?;
+        let rate = if self.direction == Direction::Down { self.client_rate } else { 0 };
+        let received = receive(peer, length, rate)?;
         let status = line.split(' ').nth(1).unwrap_or("");
-        if !got.whole {
-            return Ok(End::Clean(format!("cut after {} bytes", got.size)));
+        if !received.complete {
+            return Ok(StreamOutcome::FailedCleanly(format!(
+                "connection closed after {} bytes of the body",
+                received.size
+            )));
         }
         if status != "200" {
-            return Ok(End::Clean(format!("status {status}")));
+            return Ok(StreamOutcome::FailedCleanly(format!("status {status}")));
         }
-        let (size, hash) = match self.way {
-            Way::Down => (got.size, got.hash),
+        let (size, hash) = match self.direction {
+            Direction::Down => (received.size, received.hash),
             // The server tells what it got.
-            Way::Up => {
+            Direction::Up => {
                 let size = header(&headers, "rig-size").unwrap_or(0);
                 let hash = headers.iter().find(|(n, _)| n == "rig-hash").map_or("", |(_, v)| v.as_str());
                 (size, u64::from_str_radix(hash, 16).unwrap_or(0))
             }
         };
         if (size, hash) == (self.body.size, self.body.hash()) {
-            Ok(End::Whole)
+            Ok(StreamOutcome::Complete)
         } else {
-            Ok(End::Broken(format!("{size} bytes of {} with another hash", self.body.size)))
+            Ok(StreamOutcome::Broken(format!(
+                "{size} bytes of {} received, with a different hash",
+                self.body.size
+            )))
         }
     }
 }
@@ -253,44 +268,44 @@
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
     Ok(stream)
 }
 
 /// What a stand-in server has seen.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct ServerStats {
     /// Requests whose head came.
     pub requests: AtomicU64,
     /// Time that requests have taken, from the first byte to the answer's last, in microseconds.
     pub busy_us: AtomicU64,
     /// Request bodies that came whole and were not what their path says.
-    pub wrong: AtomicU64,
+    pub wrong_bodies: AtomicU64,
 }
 
 /// Starts a stand-in server; it runs until the process ends.
 ///
 /// # Errors
 /// Where the process, its files or its sockets fail.
-pub fn serve() -> Result<(SocketAddr, Arc<Seen>), RigError> {
-    let listener = tried("a stand-in server", TcpListener::bind("127.0.0.1:0"))?;
-    let address = tried("a stand-in server", listener.local_addr())?;
-    let seen = Arc::new(Seen::default());
-    let shared = Arc::clone(&seen);
+pub fn serve() -> Result<(SocketAddr, Arc<ServerStats>), RigError> {
+    let listener = io_context("stand-in server", TcpListener::bind("127.0.0.1:0"))?;
+    let address = io_context("stand-in server", listener.local_addr())?;
+    let stats = Arc::new(ServerStats::default());
+    let shared = Arc::clone(&stats);
     spawn(move || {
         for stream in listener.incoming().flatten() {
-            let seen = Arc::clone(&shared);
+            let stats = Arc::clone(&shared);
             spawn(move || {
                 let _ = stream.set_nodelay(true);
-                let _ = stream.set_read_timeout(Some(PATIENCE));
-                let _ = stream.set_write_timeout(Some(PATIENCE));
+                let _ = stream.set_read_timeout(Some(IO_TIMEOUT));
+                let _ = stream.set_write_timeout(Some(IO_TIMEOUT));
                 let mut peer = BufReader::new(stream);
-                while matches!(answer(&mut peer, &seen), Ok(true)) {}
+                while matches!(serve_request(&mut peer, &stats), Ok(true)) {}
             });
         }
     });
-    Ok((address, seen))
+    Ok((address, stats))
 }
 
 /// Starts a thread of the rig's.
@@ -299,53 +314,53 @@
 /// Where the system has no thread left.
 pub fn spawn<T: Send + 'static>(run: impl FnOnce() -> T + Send + 'static) -> thread::JoinHandle<T> {
     // The system has no thread left: there is nothing to measure then.
-    thread::Builder::new().stack_size(STACK).spawn(run).expect("a thread starts")
+    thread::Builder::new().stack_size(STACK_BYTES).spawn(run).expect("the system starts a thread")
 }
 
 /// Answers one request; false at the end of the connection.
-fn answer(peer: &mut BufReader<TcpStream>, seen: &Seen) -> io::Result<bool> {
+fn serve_request(peer: &mut BufReader<TcpStream>, stats: &ServerStats) -> io::Result<bool> {
     let mut line = String::new();
     if peer.read_line(&mut line)? == 0 {
         return Ok(false);
     }
     let began = Instant::now();
-    seen.requests.fetch_add(1, Ordering::Relaxed);
+    stats.requests.fetch_add(1, Ordering::Relaxed);
     let Some(headers) = headers(peer)? else { return Ok(false) };
-    let Some(ask) = line.split(' ').nth(1).and_then(Ask::of_path) else {
+    let Some(request) = line.split(' ').nth(1).and_then(StreamRequest::from_path) else {
         peer.get_mut().write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")?;
         return Ok(true);
     };
-    let result = answer_ask(peer, &headers, ask, seen);
-    seen.busy_us.fetch_add(began.elapsed().as_micros() as u64, Ordering::Relaxed);
+    let result = respond(peer, &headers, request, stats);
+    stats.busy_us.fetch_add(began.elapsed().as_micros() as u64, Ordering::Relaxed);
     result
 }
 
-fn answer_ask(
+fn respond(
     peer: &mut BufReader<TcpStream>,
     headers: &[(String, String)],
-    ask: Ask,
-    seen: &Seen,
+    request: StreamRequest,
+    stats: &ServerStats,
 ) -> io::Result<bool> {
-    if ask.way == Way::Up {
-        let got = receive(peer, header(headers, "content-length"), ask.server_rate)?;
-        if !got.whole {
+    if request.direction == Direction::Up {
+        let received = receive(peer, header(headers, "content-length"), request.server_rate)?;
+        if !received.complete {
             return Ok(false);
         }
-        if got.size != ask.body.size {
-            seen.wrong.fetch_add(1, Ordering::Relaxed);
+        if received.size != request.body.size {
+            stats.wrong_bodies.fetch_add(1, Ordering::Relaxed);
         }
         let head = format!(
             "HTTP/1.1 200 OK\r\nRig-Size: {}\r\nRig-Hash: {:x}\r\nContent-Length: 0\r\n\r\n",
-            got.size, got.hash
+            received.size, received.hash
         );
         peer.get_mut().write_all(head.as_bytes())?;
         return Ok(true);
     }
-    let framing = match ask.chunked {
+    let framing = match request.chunked {
         true => "Transfer-Encoding: chunked".to_string(),
-        false => format!("Content-Length: {}", ask.body.size),
+        false => format!("Content-Length: {}", request.body.size),
     };
     peer.get_mut().write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n").as_bytes())?;
-    send(peer.get_mut(), ask.body, ask.chunked, ask.server_rate)?;
+    send(peer.get_mut(), request.body, request.chunked, request.server_rate)?;
     Ok(true)
 }
--- a/rig/src/process.rs
+++ b/rig/src/process.rs
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::{RigError, tried};
+use crate::{RigError, io_context};
 
 /// How long it may take to say that it is ready.
-const PATIENCE: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A process of the program, killed when it is dropped.
 pub struct Process {
@@ -27,12 +27,17 @@
         for variable in ["LB_LISTEN", "LB_DISCOVERY", "LB_NAME", "LB_CONSOLE"] {
             command.env_remove(variable);
         }
-        let mut child = tried("the program", command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn())?;
-        let mut out = BufReader::new(child.stdout.take().ok_or(RigError::Program("no output".into()))?);
+        let mut child = io_context(
+            "start of the program",
+            command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn(),
+        )?;
+        let mut out = BufReader::new(
+            child.stdout.take().ok_or(RigError::Program("standard output is not piped".into()))?,
+        );
         let mut console = None;
         for _ in 0..2 {
             let mut line = String::new();
-            tried("its output", out.read_line(&mut line))?;
+            io_context("standard output of the program", out.read_line(&mut line))?;
             if line.contains("console at") {
                 console = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
             }
@@ -44,13 +49,13 @@
         let _ = child.wait();
         let mut log_text = String::new();
         let _ = child.stderr.take().map(|mut log| log.read_to_string(&mut log_text));
-        Err(RigError::Program(format!("it does not listen: {log_text}")))
+        Err(RigError::Program(format!("it printed no console address: {log_text}")))
     }
 
     /// Has a thread read its log, line by line.
-    pub fn read_log(&mut self, mut each: impl FnMut(String) + Send + 'static) {
+    pub fn read_log(&mut self, mut on_line: impl FnMut(String) + Send + 'static) {
         let Some(log) = self.child.stderr.take() else { return };
-        thread::spawn(move || BufReader::new(log).lines().map_while(Result::ok).for_each(&mut each));
+        thread::spawn(move || BufReader::new(log).lines().map_while(Result::ok).for_each(&mut on_line));
     }
 
     /// Its number.
@@ -64,11 +69,11 @@
     /// Where the process, its files or its sockets fail.
     pub fn signal(&self, name: &str) -> Result<(), RigError> {
         let line = format!("kill -{name} {}", self.child.id());
-        tried("kill", Command::new("/bin/sh").args(["-c", &line]).status()).map(drop)
+        io_context("kill", Command::new("/bin/sh").args(["-c", &line]).status()).map(drop)
     }
 
     /// What its console answers to a line.
-    pub fn ask(&self, line: &str) -> Option<String> {
+    pub fn ask_console(&self, line: &str) -> Option<String> {
         let mut stream = TcpStream::connect_timeout(&self.console, Duration::from_secs(1)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).ok()?;
@@ -78,14 +83,14 @@
     }
 
     /// A figure of its console.
-    pub fn figure(&self, name: &str) -> Option<f64> {
-        let text = self.ask("telemetry")?;
+    pub fn metric(&self, name: &str) -> Option<f64> {
+        let text = self.ask_console("telemetry")?;
         text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
     /// Whether it says that it is ready.
-    pub fn ready(&self) -> bool {
-        self.ask("readyz").is_some_and(|answer| answer.starts_with("ACK"))
+    pub fn is_ready(&self) -> bool {
+        self.ask_console("readyz").is_some_and(|answer| answer.starts_with("ACK"))
     }
 
     /// Waits until it says so.
@@ -93,10 +98,10 @@
     /// # Errors
     /// Where the process, its files or its sockets fail.
     pub fn await_ready(&self) -> Result<(), RigError> {
-        let end = Instant::now() + PATIENCE;
-        while !self.ready() {
-            if Instant::now() > end {
-                return Err(RigError::Program("it never says that it is ready".into()));
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while !self.is_ready() {
+            if Instant::now() > deadline {
+                return Err(RigError::Program("it did not report that it is ready within 20 s".into()));
             }
             thread::sleep(Duration::from_millis(5));
         }
@@ -107,12 +112,12 @@
     ///
     /// # Errors
     /// Where the process, its files or its sockets fail.
-    pub fn ended(&mut self) -> Result<bool, RigError> {
-        Ok(tried("its end", self.child.try_wait())?.is_some())
+    pub fn has_exited(&mut self) -> Result<bool, RigError> {
+        Ok(io_context("exit status of the program", self.child.try_wait())?.is_some())
     }
 
     /// Its log, where nobody reads it.
-    pub fn log(&mut self) -> Option<ChildStderr> {
+    pub fn take_log(&mut self) -> Option<ChildStderr> {
         self.child.stderr.take()
     }
 
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -10,11 +10,11 @@
 use rustix::pipe::{PipeFlags, SpliceFlags, pipe_with, splice};
 
 use crate::peers::spawn;
-use crate::{RigError, tried};
+use crate::{RigError, io_context};
 
 /// Bytes of the buffer, and moved by one splice.
-const BUFFER: usize = 64 * 1024;
-const LISTENER: u64 = u64::MAX;
+const BUFFER_BYTES: usize = 64 * 1024;
+const LISTENER_TOKEN: u64 = u64::MAX;
 
 /// How bytes are moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,37 +26,44 @@
 }
 
 /// One direction of a pair.
-struct Lane {
+struct OneDirection {
     buffer: Vec<u8>,
-    at: usize,
+    written: usize,
     pipe: Option<(OwnedFd, OwnedFd)>,
-    piped: usize,
-    ended: bool,
-    shut: bool,
+    pipe_bytes: usize,
+    at_eof: bool,
+    shut_down: bool,
 }
 
-impl Lane {
-    fn new(mode: Mode) -> Result<Lane, RigError> {
+impl OneDirection {
+    fn new(mode: Mode) -> Result<OneDirection, RigError> {
         let pipe = match mode {
             Mode::Copy => None,
             Mode::Splice => {
                 let pipe = pipe_with(PipeFlags::NONBLOCK | PipeFlags::CLOEXEC).map_err(Into::into);
-                let (read, write) = tried("a pipe", pipe)?;
+                let (read, write) = io_context("pipe", pipe)?;
                 Some((read, write))
             }
         };
-        Ok(Lane { buffer: Vec::new(), at: 0, pipe, piped: 0, ended: false, shut: false })
+        Ok(OneDirection {
+            buffer: Vec::new(),
+            written: 0,
+            pipe,
+            pipe_bytes: 0,
+            at_eof: false,
+            shut_down: false,
+        })
     }
 
     /// Moves bytes until one side would wait, or others should have their turn. True where it has more to do.
     fn turn(&mut self, from: &TcpStream, to: &TcpStream) -> std::io::Result<bool> {
         for _ in 0..2 {
-            let moved = if self.pipe.is_some() { self.splice(from, to)? } else { self.copy(from, to)? };
-            if !moved {
+            let progressed = if self.pipe.is_some() { self.splice(from, to)? } else { self.copy(from, to)? };
+            if !progressed {
                 return Ok(false);
             }
-            if self.ended {
-                if !std::mem::replace(&mut self.shut, true) {
+            if self.at_eof {
+                if !std::mem::replace(&mut self.shut_down, true) {
                     let _ = to.shutdown(Shutdown::Write);
                 }
                 return Ok(false);
@@ -69,17 +76,17 @@
     fn splice(&mut self, from: &TcpStream, to: &TcpStream) -> std::io::Result<bool> {
         let Some((read, write)) = &self.pipe else { return Ok(true) };
         let flags = SpliceFlags::NONBLOCK | SpliceFlags::MOVE;
-        if self.piped == 0 && !self.ended {
-            match splice(from, None, write, None, BUFFER, flags) {
-                Ok(0) => self.ended = true,
-                Ok(n) => self.piped = n,
+        if self.pipe_bytes == 0 && !self.at_eof {
+            match splice(from, None, write, None, BUFFER_BYTES, flags) {
+                Ok(0) => self.at_eof = true,
+                Ok(n) => self.pipe_bytes = n,
                 Err(rustix::io::Errno::AGAIN) => return Ok(false),
                 Err(e) => return Err(e.into()),
             }
         }
-        while self.piped > 0 {
-            match splice(read, None, to, None, self.piped, flags) {
-                Ok(n) => self.piped -= n,
+        while self.pipe_bytes > 0 {
+            match splice(read, None, to, None, self.pipe_bytes, flags) {
+                Ok(n) => self.pipe_bytes -= n,
                 Err(rustix::io::Errno::AGAIN) => return Ok(false),
                 Err(e) => return Err(e.into()),
             }
@@ -89,11 +96,11 @@
 
     /// Moves bytes through a buffer. False where one side would wait.
     fn copy(&mut self, mut from: &TcpStream, mut to: &TcpStream) -> std::io::Result<bool> {
-        if self.at == self.buffer.len() && !self.ended {
-            self.buffer.resize(BUFFER, 0);
-            self.at = 0;
+        if self.written == self.buffer.len() && !self.at_eof {
+            self.buffer.resize(BUFFER_BYTES, 0);
+            self.written = 0;
             match from.read(&mut self.buffer) {
-                Ok(0) => self.ended = true,
+                Ok(0) => self.at_eof = true,
                 Ok(n) => self.buffer.truncate(n),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.buffer.clear();
@@ -101,13 +108,13 @@
                 }
                 Err(e) => return Err(e),
             }
-            if self.ended {
+            if self.at_eof {
                 self.buffer.clear();
             }
         }
-        while self.at < self.buffer.len() {
-            match to.write(&self.buffer[self.at..]) {
-                Ok(n) => self.at += n,
+        while self.written < self.buffer.len() {
+            match to.write(&self.buffer[self.written..]) {
+                Ok(n) => self.written += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
                 Err(e) => return Err(e),
             }
@@ -119,8 +126,8 @@
 struct Pair {
     client: TcpStream,
     server: TcpStream,
-    up: Lane,
-    down: Lane,
+    up: OneDirection,
+    down: OneDirection,
 }
 
 /// Starts a bare relay to a server; it runs until the process ends.
@@ -128,18 +135,18 @@
 /// # Errors
 /// Where a socket, a thread or a process cannot be had.
 pub fn start(to: SocketAddr, mode: Mode) -> Result<SocketAddr, RigError> {
-    let listener = tried("the bare relay", TcpListener::bind("127.0.0.1:0"))?;
-    tried("the bare relay", listener.set_nonblocking(true))?;
-    let address = tried("the bare relay", listener.local_addr())?;
+    let listener = io_context("bare relay", TcpListener::bind("127.0.0.1:0"))?;
+    io_context("bare relay", listener.set_nonblocking(true))?;
+    let address = io_context("bare relay", listener.local_addr())?;
     spawn(move || {
         if let Err(e) = run(&listener, to, mode) {
-            eprintln!("the bare relay ended: {e}");
+            eprintln!("the bare relay failed: {e}");
         }
     });
     Ok(address)
 }
 
-fn watch(poll: &OwnedFd, stream: &TcpStream, number: u64) -> std::io::Result<()> {
+fn register(poll: &OwnedFd, stream: &TcpStream, number: u64) -> std::io::Result<()> {
     stream.set_nonblocking(true)?;
     stream.set_nodelay(true)?;
     let flags = EventFlags::IN | EventFlags::OUT | EventFlags::ET;
@@ -147,9 +154,9 @@
 }
 
 fn run(listener: &TcpListener, to: SocketAddr, mode: Mode) -> Result<(), RigError> {
-    let poll = tried("epoll", epoll::create(CreateFlags::CLOEXEC).map_err(Into::into))?;
-    let added = epoll::add(&poll, listener, EventData::new_u64(LISTENER), EventFlags::IN);
-    tried("epoll", added.map_err(Into::into))?;
+    let poll = io_context("epoll", epoll::create(CreateFlags::CLOEXEC).map_err(Into::into))?;
+    let added = epoll::add(&poll, listener, EventData::new_u64(LISTENER_TOKEN), EventFlags::IN);
+    io_context("epoll", added.map_err(Into::into))?;
     let (mut pairs, mut last) = (BTreeMap::<u64, Pair>::new(), 0);
     let mut ready: VecDeque<u64> = VecDeque::new();
     let mut events = Vec::with_capacity(256);
@@ -159,19 +166,19 @@
         let wait = if ready.is_empty() { None } else { Some(&wait) };
         match epoll::wait(&poll, rustix::buffer::spare_capacity(&mut events), wait) {
             Ok(_) | Err(rustix::io::Errno::INTR) => {}
-            Err(e) => return tried("epoll", Err(e.into())),
+            Err(e) => return io_context("epoll", Err(e.into())),
         }
         for event in &events {
             match event.data.u64() {
-                LISTENER => {
+                LISTENER_TOKEN => {
                     while let Ok((client, _)) = listener.accept() {
-                        let server = tried("its server", TcpStream::connect(to))?;
+                        let server = io_context("connect to the server", TcpStream::connect(to))?;
                         last += 1;
-                        tried(
+                        io_context(
                             "epoll",
-                            watch(&poll, &client, last).and_then(|()| watch(&poll, &server, last)),
+                            register(&poll, &client, last).and_then(|()| register(&poll, &server, last)),
                         )?;
-                        let (up, down) = (Lane::new(mode)?, Lane::new(mode)?);
+                        let (up, down) = (OneDirection::new(mode)?, OneDirection::new(mode)?);
                         pairs.insert(last, Pair { client, server, up, down });
                         ready.push_back(last);
                     }
@@ -187,7 +194,7 @@
             let up = pair.up.turn(&pair.client, &pair.server);
             let down = pair.down.turn(&pair.server, &pair.client);
             match (up, down) {
-                (Ok(up), Ok(down)) if !(pair.up.shut && pair.down.shut) => {
+                (Ok(up), Ok(down)) if !(pair.up.shut_down && pair.down.shut_down) => {
                     if up || down {
                         ready.push_back(number);
                     }
--- a/rig/src/rollout.rs
+++ b/rig/src/rollout.rs
@@ -11,25 +11,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::datagrams::{Addresses, Datagrams};
-use crate::http::{Got, Http, hand_in, header, held, serve, told};
+use crate::datagrams::{Addresses, DatagramProxy};
+use crate::http::{Http, JobResponse, header, lock, post_job_event, serve, submit_job};
 use crate::process::Process;
-use crate::{RigError, proved, tried};
+use crate::{RigError, check_invariants, io_context};
 
 /// How long a client waits for its answer.
-const DEADLINE: Duration = Duration::from_secs(4);
+const JOB_DEADLINE: Duration = Duration::from_secs(4);
 /// Blocks of workers: version v sends all to block v modulo so many.
 const BLOCKS: u64 = 4;
 /// The block that the first process has not heard of: it says no to each version that names it.
-const UNHEARD: u64 = 3;
+const UNKNOWN_BLOCK: u64 = 3;
 /// Workers of a block.
-const WORKERS: usize = 2;
+const WORKERS_PER_BLOCK: usize = 2;
 /// A job takes so long, in milliseconds.
-const RUNS: u64 = 20;
+const JOB_MS: u64 = 20;
 /// How long a process serves without news, in milliseconds.
-const LEASE: u64 = 2000;
+const LEASE_MS: u64 = 2000;
 /// How long the fleet has to come up, or to come back.
-const JOINS: Duration = Duration::from_secs(20);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What goes wrong while a change is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     /// Where a figure disproves what the experiment is to show.
-    pub fn proves(&self) -> Result<(), RigError> {
+    pub fn verify(&self) -> Result<(), RigError> {
         let zeros = [
             ("half_applied", self.half_applied),
             ("old_after_new", self.old_after_new),
@@ -145,13 +145,13 @@
             ("unanswered", self.unanswered),
             ("unsafe_ran_twice", self.unsafe_ran_twice),
         ];
-        proved(&zeros, self.jobs, self.served)
+        check_invariants(&zeros, self.jobs, self.served)
     }
 }
 
 /// A job that was served.
 #[derive(Clone, Copy, Debug)]
-struct Served {
+struct ServedJob {
     sent: Instant,
     done: Instant,
     block: u64,
@@ -159,7 +159,7 @@
 
 /// A decision as a process logged it.
 #[derive(Clone, Debug)]
-struct Decided {
+struct LoggedDecision {
     process: usize,
     at: Instant,
     in_force: u64,
@@ -169,24 +169,24 @@
 struct World {
     plan: Plan,
     clients: Vec<SocketAddr>,
-    over: AtomicBool,
-    next: AtomicU64,
+    stopping: AtomicBool,
+    next_job: AtomicU64,
     /// Blocks at which each job ran, in order.
     runs: Mutex<HashMap<String, Vec<u64>>>,
-    served: Mutex<Vec<Served>>,
-    decided: Mutex<Vec<Decided>>,
+    served: Mutex<Vec<ServedJob>>,
+    decisions: Mutex<Vec<LoggedDecision>>,
     /// Times of a process that a run explains by a fault.
-    away: Mutex<Vec<(usize, Instant, Option<Instant>)>>,
+    outages: Mutex<Vec<(usize, Instant, Option<Instant>)>>,
     figures: Mutex<Figures>,
 }
 
 impl World {
-    fn was_away(&self, process: usize, from: Instant) -> bool {
+    fn was_unavailable(&self, process: usize, from: Instant) -> bool {
         let slack = Duration::from_secs(1);
-        let at = |(who, _, until): &(usize, Instant, Option<Instant>)| {
+        let covers = |(who, _, until): &(usize, Instant, Option<Instant>)| {
             *who == process && until.is_none_or(|back| back + slack >= from)
         };
-        held(&self.away).iter().any(at)
+        lock(&self.outages).iter().any(covers)
     }
 }
 
@@ -200,23 +200,24 @@
 }
 
 fn worker(world: &Arc<World>, block: u64, number: usize, stream: std::net::TcpStream) {
-    let Ok(mut http) = Http::over(stream, Duration::from_secs(120)) else { return };
+    let Ok(mut http) = Http::from_stream(stream, Duration::from_secs(120)) else { return };
     while let Ok((head, _)) = http.read() {
         let Some(id) = header(&head, "req-id").map(String::from) else {
             let _ = http.write("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n");
             continue;
         };
-        held(&world.runs).entry(id.clone()).or_default().push(block);
+        lock(&world.runs).entry(id.clone()).or_default().push(block);
         if http.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").is_err() {
             return;
         }
         let world = Arc::clone(world);
         thread::spawn(move || {
-            thread::sleep(Duration::from_millis(RUNS));
+            thread::sleep(Duration::from_millis(JOB_MS));
             let process = id.split('-').next().and_then(|p| p.parse().ok()).unwrap_or(0);
             let (from, result) = (format!("s-{block}-{number}"), format!("{block} {id}"));
             for _ in 0..10 {
-                if told(world.clients[process], Duration::from_secs(1), &id, &from, "done", &result) {
+                if post_job_event(world.clients[process], Duration::from_secs(1), &id, &from, "done", &result)
+                {
                     return;
                 }
                 thread::sleep(Duration::from_millis(100));
@@ -227,34 +228,34 @@
 
 fn client(world: &Arc<World>, process: usize, pause: Duration) {
     let mut conn: Option<Http> = None;
-    while !world.over.load(Ordering::Relaxed) {
+    while !world.stopping.load(Ordering::Relaxed) {
         let sent = Instant::now();
-        let number = world.next.fetch_add(1, Ordering::Relaxed);
+        let number = world.next_job.fetch_add(1, Ordering::Relaxed);
         let class = if number.is_multiple_of(3) { "search" } else { "confirm" };
         let id = format!("{process}-{number}");
-        let Got { answer, advised, kept, more } =
-            hand_in(&mut conn, world.clients[process], DEADLINE, class, &id);
-        let (done, away) = (Instant::now(), world.was_away(process, sent));
-        let mut figures = held(&world.figures);
+        let JobResponse { answer, has_retry_after, reused, had_extra_bytes } =
+            submit_job(&mut conn, world.clients[process], JOB_DEADLINE, class, &id);
+        let (done, away) = (Instant::now(), world.was_unavailable(process, sent));
+        let mut figures = lock(&world.figures);
         figures.jobs += 1;
-        figures.answered_twice += u64::from(more);
+        figures.answered_twice += u64::from(had_extra_bytes);
         match answer {
             Ok((200, body)) => {
-                let (block, of) = body.split_once(' ').unwrap_or(("", ""));
-                figures.answered_twice += u64::from(of != id);
+                let (block, job_id) = body.split_once(' ').unwrap_or(("", ""));
+                figures.answered_twice += u64::from(job_id != id);
                 figures.served += 1;
-                held(&world.served).push(Served { sent, done, block: block.parse().unwrap_or(u64::MAX) });
+                lock(&world.served).push(ServedJob { sent, done, block: block.parse().unwrap_or(u64::MAX) });
             }
-            Ok(_) if advised => figures.denied += 1,
+            Ok(_) if has_retry_after => figures.denied += 1,
             Ok(_) => {}
             Err(_) if away => figures.away += 1,
-            Err(_) if kept && !held(&world.runs).contains_key(&id) => figures.jobs -= 1,
+            Err(_) if reused && !lock(&world.runs).contains_key(&id) => figures.jobs -= 1,
             Err(e) => {
-                println!("{id}: no answer after {:?}: {e}", done - sent);
+                println!("{id}: no response after {:?}: {e}", done - sent);
                 figures.unanswered += 1;
             }
         }
-        if done - sent > DEADLINE + Duration::from_millis(500) && !away {
+        if done - sent > JOB_DEADLINE + Duration::from_millis(500) && !away {
             println!("{id}: answered after {:?}", done - sent);
             figures.unanswered += 1;
         }
@@ -263,7 +264,7 @@
     }
 }
 
-fn follow(world: &Arc<World>, process: &mut Process, number: usize) {
+fn follow_log(world: &Arc<World>, process: &mut Process, number: usize) {
     let world = Arc::clone(world);
     process.read_log(move |line| {
         let at = Instant::now();
@@ -273,63 +274,63 @@
         if !line.contains("policy decided") {
             return;
         }
-        let of = |name: &str| line.split_once(&format!(" {name}="))?.1.split(' ').next();
-        let number_of = |name: &str| of(name).and_then(|text| text.trim_matches('"').parse::<u64>().ok());
+        let field = |name: &str| line.split_once(&format!(" {name}="))?.1.split(' ').next();
+        let number_of = |name: &str| field(name).and_then(|text| text.trim_matches('"').parse::<u64>().ok());
         let given_up = line.contains("outcome=\"given up\"").then(|| number_of("version")).flatten();
         let in_force = number_of("in_force").unwrap_or(0);
-        held(&world.decided).push(Decided { process: number, at, in_force, given_up });
+        lock(&world.decisions).push(LoggedDecision { process: number, at, in_force, given_up });
     });
 }
 
-struct Stage {
+struct Cluster {
     world: Arc<World>,
-    layer: Datagrams,
+    layer: DatagramProxy,
     processes: Vec<Option<Process>>,
     binary: PathBuf,
     dir: PathBuf,
 }
 
-impl Stage {
+impl Cluster {
     fn start(&mut self, number: usize) -> Result<(), RigError> {
         let mut command = Command::new(&self.binary);
         command.env("LB_CONFIG", self.dir.join(format!("{number}.json"))).env("TMPDIR", &self.dir);
         command.arg("--operator").arg(self.dir.join(format!("{number}.toml")));
         let mut process = Process::start(command)?;
-        follow(&self.world, &mut process, number);
+        follow_log(&self.world, &mut process, number);
         self.processes[number] = Some(process);
-        self.back(number);
+        self.mark_available(number);
         Ok(())
     }
 
-    fn gone(&self, number: usize) {
-        held(&self.world.away).push((number, Instant::now(), None));
+    fn mark_unavailable(&self, number: usize) {
+        lock(&self.world.outages).push((number, Instant::now(), None));
     }
 
-    fn back(&self, number: usize) {
+    fn mark_available(&self, number: usize) {
         let now = Instant::now();
-        let mut away = held(&self.world.away);
+        let mut away = lock(&self.world.outages);
         away.iter_mut().filter(|a| a.0 == number && a.2.is_none()).for_each(|a| a.2 = Some(now));
     }
 
     fn leader(&self) -> usize {
-        let leads = |p: &Option<Process>| p.as_ref().is_some_and(|p| p.figure("lb_fleet_leads") == Some(1.0));
+        let leads = |p: &Option<Process>| p.as_ref().is_some_and(|p| p.metric("lb_fleet_leads") == Some(1.0));
         self.processes.iter().position(leads).unwrap_or(0)
     }
 
     /// Has a process's operator want a version; where each decides alone, all operators, one after the other.
-    fn want(&self, number: usize, version: u64) -> Result<(), RigError> {
+    fn request_version(&self, number: usize, version: u64) -> Result<(), RigError> {
         if !self.world.plan.agreed {
             for other in (0..self.processes.len()).filter(|other| *other != number) {
-                self.want_at(other, version)?;
+                self.write_policy_and_reload(other, version)?;
                 thread::sleep(Duration::from_millis(5));
             }
         }
-        self.want_at(number, version)
+        self.write_policy_and_reload(number, version)
     }
 
-    fn want_at(&self, number: usize, version: u64) -> Result<(), RigError> {
+    fn write_policy_and_reload(&self, number: usize, version: u64) -> Result<(), RigError> {
         let path = self.dir.join(format!("{number}.policy"));
-        tried("a policy", std::fs::write(path, policy(version)))?;
+        io_context("write a policy", std::fs::write(path, policy(version)))?;
         match &self.processes[number] {
             Some(process) => process.signal("HUP"),
             None => Ok(()),
@@ -337,90 +338,100 @@
     }
 
     /// Waits until all run one version and serve, and one that was wanted is decided on; the version that they run.
-    fn settled(&self, wanted: u64) -> Result<u64, RigError> {
-        let end = Instant::now() + JOINS;
+    fn await_one_version(&self, min_version: u64) -> Result<u64, RigError> {
+        let end = Instant::now() + SETTLE_TIMEOUT;
         loop {
-            let standing: Vec<String> =
-                self.processes.iter().flatten().filter_map(|p| p.ask("policy")).collect();
-            let of = |text: &String, name: &str| {
+            let statuses: Vec<String> =
+                self.processes.iter().flatten().filter_map(|p| p.ask_console("policy")).collect();
+            let number_after = |text: &String, name: &str| {
                 text.split_once(name).and_then(|(_, rest)| rest.split(' ').next()?.parse::<u64>().ok())
             };
-            let runs: BTreeSet<_> = standing.iter().map(|text| of(text, "runs ")).collect();
-            let same = runs.len() == 1 && standing.len() == self.processes.len();
-            let decided = |text: &String| of(text, " last ").unwrap_or(0) >= wanted;
-            let calm = |text: &String| text.contains("serves yes holds no") && text.contains("staged none");
-            let ready = |text: &String| calm(text) && decided(text);
-            if let (true, Some(Some(version))) = (same && standing.iter().all(ready), runs.first()) {
+            let runs: BTreeSet<_> = statuses.iter().map(|text| number_after(text, "runs ")).collect();
+            let same = runs.len() == 1 && statuses.len() == self.processes.len();
+            let decided = |text: &String| number_after(text, " last ").unwrap_or(0) >= min_version;
+            let is_idle =
+                |text: &String| text.contains("serves yes holds no") && text.contains("staged none");
+            let ready = |text: &String| is_idle(text) && decided(text);
+            if let (true, Some(Some(version))) = (same && statuses.iter().all(ready), runs.first()) {
                 return Ok(*version);
             }
             if Instant::now() > end {
-                return Err(RigError::Disproved(format!("they do not come to one version: {standing:?}")));
+                return Err(RigError::CheckFailed(format!(
+                    "the processes did not settle on one version: {statuses:?}"
+                )));
             }
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    fn cut(&self, parted: impl Fn(usize, usize) -> bool) {
+    fn cut_links(&self, is_cut: impl Fn(usize, usize) -> bool) {
         let count = self.world.plan.dispatchers;
         let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b)));
-        self.layer.change(|w| w.cut.extend(pairs.filter(|(a, b)| a != b && parted(*a, *b))));
+        self.layer.set_faults(|w| w.cut.extend(pairs.filter(|(a, b)| a != b && is_cut(*a, *b))));
     }
 
-    fn stopped(&mut self, number: usize, lasts: Duration) -> Result<(), RigError> {
-        self.gone(number);
+    fn freeze(&mut self, number: usize, duration: Duration) -> Result<(), RigError> {
+        self.mark_unavailable(number);
         if let Some(process) = &self.processes[number] {
             process.signal("STOP")?;
-            thread::sleep(lasts);
+            thread::sleep(duration);
             process.signal("CONT")?;
         }
-        self.back(number);
+        self.mark_available(number);
         Ok(())
     }
 
-    fn killed(&mut self, number: usize, lasts: Duration) -> Result<(), RigError> {
-        self.gone(number);
+    fn kill_and_restart(&mut self, number: usize, duration: Duration) -> Result<(), RigError> {
+        self.mark_unavailable(number);
         self.processes[number] = None;
-        thread::sleep(lasts);
+        thread::sleep(duration);
         self.start(number)
     }
 
     /// Plays a fault around the wish for a version: what is wanted comes at some time within it.
-    fn play(&mut self, fault: Fault, draws: &mut fastrand::Rng, version: &mut u64) -> Result<(), RigError> {
+    fn run_fault(
+        &mut self,
+        fault: Fault,
+        rng: &mut fastrand::Rng,
+        version: &mut u64,
+    ) -> Result<(), RigError> {
         let count = self.world.plan.dispatchers;
-        let lasts = Duration::from_millis(draws.u64(50..3500));
-        let soon = Duration::from_millis(draws.u64(..120));
-        let at = draws.usize(..count);
+        let duration = Duration::from_millis(rng.u64(50..3500));
+        let delay = Duration::from_millis(rng.u64(..120));
+        let at = rng.usize(..count);
         *version += 1;
         match fault {
-            Fault::None => self.want(at, *version)?,
+            Fault::None => self.request_version(at, *version)?,
             Fault::LeaderKilled | Fault::Killed(_) => {
                 let victim = if let Fault::Killed(who) = fault { who } else { self.leader() };
-                self.want((victim + 1 + draws.usize(..count - 1)) % count, *version)?;
-                thread::sleep(soon);
-                self.killed(victim, lasts)?;
+                self.request_version((victim + 1 + rng.usize(..count - 1)) % count, *version)?;
+                thread::sleep(delay);
+                self.kill_and_restart(victim, duration)?;
             }
             Fault::LeaderFrozen | Fault::Frozen(_) => {
                 let victim = if let Fault::Frozen(who) = fault { who } else { self.leader() };
-                self.want((victim + 1 + draws.usize(..count - 1)) % count, *version)?;
-                thread::sleep(soon);
-                self.stopped(victim, lasts)?;
+                self.request_version((victim + 1 + rng.usize(..count - 1)) % count, *version)?;
+                thread::sleep(delay);
+                self.freeze(victim, duration)?;
             }
             Fault::Alone(who) => {
-                self.cut(|a, b| (a == who) != (b == who));
-                self.want(at, *version)?;
-                thread::sleep(lasts);
-                self.layer.change(|w| w.cut.clear());
+                self.cut_links(|a, b| (a == who) != (b == who));
+                self.request_version(at, *version)?;
+                thread::sleep(duration);
+                self.layer.set_faults(|w| w.cut.clear());
             }
-            Fault::Split => self.play_split(version, lasts)?,
+            Fault::Split => self.run_split(version, duration)?,
             Fault::Lossy => {
-                self.layer.change(|w| (w.lost, w.doubled, w.delay_ms) = (300, 50, 60));
-                self.want(at, *version)?;
-                thread::sleep(lasts);
-                self.layer.change(|w| (w.lost, w.doubled, w.delay_ms) = (0, 0, 1));
+                self.layer
+                    .set_faults(|w| (w.lost_per_1000, w.duplicated_per_1000, w.max_delay_ms) = (300, 50, 60));
+                self.request_version(at, *version)?;
+                thread::sleep(duration);
+                self.layer
+                    .set_faults(|w| (w.lost_per_1000, w.duplicated_per_1000, w.max_delay_ms) = (0, 0, 1));
             }
             Fault::AllKilled => {
-                self.want(at, *version)?;
-                thread::sleep(soon);
+                self.request_version(at, *version)?;
+                thread::sleep(delay);
                 self.restart_all()?;
             }
         }
@@ -428,21 +439,21 @@
     }
 
     /// Wants another version on each side of a split.
-    fn play_split(&mut self, version: &mut u64, lasts: Duration) -> Result<(), RigError> {
+    fn run_split(&mut self, version: &mut u64, duration: Duration) -> Result<(), RigError> {
         let count = self.world.plan.dispatchers;
-        self.cut(|a, b| (a * 5 < count * 2) != (b * 5 < count * 2));
-        self.want(0, *version)?;
+        self.cut_links(|a, b| (a * 5 < count * 2) != (b * 5 < count * 2));
+        self.request_version(0, *version)?;
         *version += 1;
-        self.want(count - 1, *version)?;
-        thread::sleep(lasts);
-        self.layer.change(|w| w.cut.clear());
+        self.request_version(count - 1, *version)?;
+        thread::sleep(duration);
+        self.layer.set_faults(|w| w.cut.clear());
         Ok(())
     }
 
     /// Kills all processes and starts them again.
     fn restart_all(&mut self) -> Result<(), RigError> {
         for number in 0..self.world.plan.dispatchers {
-            self.gone(number);
+            self.mark_unavailable(number);
             self.processes[number] = None;
         }
         for number in 0..self.world.plan.dispatchers {
@@ -457,7 +468,7 @@
     dir: &Path,
     hosts: &[(u64, String)],
     addresses: &[SocketAddr],
-    layer: &Datagrams,
+    layer: &DatagramProxy,
     number: usize,
 ) -> Result<(), RigError> {
     let class = |name: &str, semantics: &str| {
@@ -465,7 +476,7 @@
     };
     let known: Vec<&str> = hosts
         .iter()
-        .filter(|(block, _)| number > 0 || *block != UNHEARD)
+        .filter(|(block, _)| number > 0 || *block != UNKNOWN_BLOCK)
         .map(|(_, line)| line.as_str())
         .collect();
     let config = format!(
@@ -481,25 +492,25 @@
         class("search", "retryable"),
         class("confirm", "fragile"),
     );
-    tried("the configuration", std::fs::write(dir.join(format!("{number}.json")), config))?;
-    tried("a policy", std::fs::write(dir.join(format!("{number}.policy")), policy(1)))?;
+    io_context("write the configuration", std::fs::write(dir.join(format!("{number}.json")), config))?;
+    io_context("write a policy", std::fs::write(dir.join(format!("{number}.policy")), policy(1)))?;
     let voters = if world.plan.dispatchers >= 5 { 5 } else { 3 };
     let mut file = format!(
         "[fleet]\ncluster = \"rig\"\nname = \"n{number}\"\nstate = \"{0}.votes\"\nzones = [\"z\"]\n\
-         [rollout]\npolicy = \"{0}.policy\"\nkeep = \"{0}.kept\"\nlease_ms = {LEASE}\n",
+         [rollout]\npolicy = \"{0}.policy\"\nkeep = \"{0}.kept\"\nlease_ms = {LEASE_MS}\n",
         dir.join(number.to_string()).display(),
     );
     if !world.plan.agreed {
         file += "agreed = false\n";
     }
     for member in 0..world.plan.dispatchers {
-        let address = if member == number { addresses[number] } else { layer.door(number, member) };
+        let address = if member == number { addresses[number] } else { layer.proxy_address(number, member) };
         file += &format!(
             "[[fleet.member]]\nname = \"n{member}\"\naddress = \"{address}\"\nzone = \"z\"\nvoter = {}\n",
             member < voters
         );
     }
-    tried("the operator's file", std::fs::write(dir.join(format!("{number}.toml")), file))
+    io_context("write the operator file", std::fs::write(dir.join(format!("{number}.toml")), file))
 }
 
 /// Plays a plan with the real program.
@@ -509,8 +520,8 @@
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let binary = crate::program::build()?;
     let dir = std::env::temp_dir().join(format!("micabeam-rollout-{}-{}", std::process::id(), plan.seed));
-    tried("the files", std::fs::create_dir_all(&dir))?;
-    let result = played(plan, binary, &dir);
+    io_context("directory of the run", std::fs::create_dir_all(&dir))?;
+    let result = run(plan, binary, &dir);
     let _ = std::fs::remove_dir_all(&dir);
     result
 }
@@ -519,18 +530,18 @@
 fn start_workers(world: &Arc<World>) -> Result<Vec<(u64, String)>, RigError> {
     let mut hosts = Vec::new();
     for block in 0..BLOCKS {
-        for number in 0..WORKERS {
-            let listener = tried("a stand-in", TcpListener::bind("127.0.0.1:0"))?;
-            let dial = tried("a stand-in", listener.local_addr())?;
+        for number in 0..WORKERS_PER_BLOCK {
+            let listener = io_context("stand-in", TcpListener::bind("127.0.0.1:0"))?;
+            let dial = io_context("stand-in", listener.local_addr())?;
             let line = format!(
                 r#"{{"host":"s-{block}-{number}","dial":"{dial}","site":"z","health":"up","share":1.0,"born_ms":0}}"#
             );
             hosts.push((block, line));
-            let (at, over) = (Arc::clone(world), Arc::clone(world));
+            let (world, shared) = (Arc::clone(world), Arc::clone(world));
             serve(
                 listener,
-                move || over.over.load(Ordering::Relaxed),
-                move |stream| worker(&at, block, number, stream),
+                move || shared.stopping.load(Ordering::Relaxed),
+                move |stream| worker(&world, block, number, stream),
             );
         }
     }
@@ -549,19 +560,19 @@
     threads
 }
 
-fn played(plan: &Plan, binary: PathBuf, dir: &Path) -> Result<Figures, RigError> {
-    let Addresses { clients, datagrams: addresses } = Addresses::free(plan.dispatchers, plan.seed)?;
-    let layer = Datagrams::start(&addresses, plan.seed)?;
-    layer.change(|w| w.delay_ms = 1);
+fn run(plan: &Plan, binary: PathBuf, dir: &Path) -> Result<Figures, RigError> {
+    let Addresses { clients, datagrams: addresses } = Addresses::find_free(plan.dispatchers, plan.seed)?;
+    let layer = DatagramProxy::start(&addresses, plan.seed)?;
+    layer.set_faults(|w| w.max_delay_ms = 1);
     let world = Arc::new(World {
         plan: *plan,
         clients,
-        over: AtomicBool::new(false),
-        next: AtomicU64::new(0),
+        stopping: AtomicBool::new(false),
+        next_job: AtomicU64::new(0),
         runs: Mutex::default(),
         served: Mutex::default(),
-        decided: Mutex::default(),
-        away: Mutex::default(),
+        decisions: Mutex::default(),
+        outages: Mutex::default(),
         figures: Mutex::default(),
     });
     let hosts = start_workers(&world)?;
@@ -569,62 +580,64 @@
         write_files(&world, dir, &hosts, &addresses, &layer, number)?;
     }
     let processes = (0..plan.dispatchers).map(|_| None).collect();
-    let mut stage = Stage { world: Arc::clone(&world), layer, processes, binary, dir: dir.to_path_buf() };
+    let mut cluster = Cluster { world: Arc::clone(&world), layer, processes, binary, dir: dir.to_path_buf() };
     for number in 0..plan.dispatchers {
-        stage.start(number)?;
+        cluster.start(number)?;
     }
-    let mut version = stage.settled(1)?;
+    let mut version = cluster.await_one_version(1)?;
     let threads = start_clients(&world);
-    let result = changes(plan, &mut stage, &mut version);
-    world.over.store(true, Ordering::Relaxed);
+    let result = run_changes(plan, &mut cluster, &mut version);
+    world.stopping.store(true, Ordering::Relaxed);
     for thread in threads {
-        thread.join().map_err(|_| RigError::Disproved("a client panicked".into()))?;
+        thread.join().map_err(|_| RigError::CheckFailed("a client panicked".into()))?;
     }
-    drop(stage);
-    let times = result?;
-    let mut figures = *held(&world.figures);
-    (figures.faults, figures.changes) = (times.faults, times.wanted);
-    check(&world, &times, &mut figures);
+    drop(cluster);
+    let timeline = result?;
+    let mut figures = *lock(&world.figures);
+    (figures.faults, figures.changes) = (timeline.faults, timeline.versions_requested);
+    check(&world, &timeline, &mut figures);
     Ok(figures)
 }
 
 /// When what was done.
-struct Times {
+struct Timeline {
     faults: u64,
-    wanted: u64,
+    versions_requested: u64,
     calm: (Instant, Instant),
     /// Without faults: from when to when versions were changed.
-    plain: (Instant, Instant),
+    change_period: (Instant, Instant),
     /// Each of these changes: its version, and when it was wanted.
     changes: Vec<(u64, Instant)>,
 }
 
-fn changes(plan: &Plan, stage: &mut Stage, version: &mut u64) -> Result<Times, RigError> {
+fn run_changes(plan: &Plan, cluster: &mut Cluster, version: &mut u64) -> Result<Timeline, RigError> {
     thread::sleep(Duration::from_millis(500));
     let calm = Instant::now();
     thread::sleep(Duration::from_secs(2));
-    let plain = Instant::now();
-    let mut list = Vec::new();
-    for turn in 0..6 {
-        *version += if (*version + 1) % BLOCKS == UNHEARD { 2 } else { 1 };
-        list.push((*version, Instant::now()));
-        stage.want(turn % plan.dispatchers, *version)?;
-        let now = stage.settled(*version)?;
+    let change_period = Instant::now();
+    let mut changes = Vec::new();
+    for round in 0..6 {
+        *version += if (*version + 1) % BLOCKS == UNKNOWN_BLOCK { 2 } else { 1 };
+        changes.push((*version, Instant::now()));
+        cluster.request_version(round % plan.dispatchers, *version)?;
+        let now = cluster.await_one_version(*version)?;
         if plan.agreed && now != *version {
-            return Err(RigError::Disproved(format!("version {version} was wanted, and {now} runs")));
+            return Err(RigError::CheckFailed(format!(
+                "version {version} was requested, but {now} is in force"
+            )));
         }
         thread::sleep(Duration::from_millis(200));
     }
-    let (plain, start) = ((plain, Instant::now()), Instant::now());
-    let calm = (calm, plain.0);
-    let mut draws = fastrand::Rng::with_seed(plan.seed);
+    let (change_period, start) = ((change_period, Instant::now()), Instant::now());
+    let calm = (calm, change_period.0);
+    let mut rng = fastrand::Rng::with_seed(plan.seed);
     let (mut kinds, mut faults, first) = (Vec::new(), 0, *version);
     while start.elapsed() < Duration::from_secs(plan.seconds) {
         if kinds.is_empty() {
             kinds = (0..9).collect();
-            draws.shuffle(&mut kinds);
+            rng.shuffle(&mut kinds);
         }
-        let who = draws.usize(..plan.dispatchers);
+        let who = rng.usize(..plan.dispatchers);
         let fault = match kinds.pop().unwrap_or(0) {
             0 => Fault::LeaderKilled,
             1 => Fault::LeaderFrozen,
@@ -638,15 +651,15 @@
         };
         println!("{:6} ms {fault:?} at version {}", start.elapsed().as_millis(), *version + 1);
         faults += u64::from(fault != Fault::None);
-        stage.play(fault, &mut draws, version)?;
+        cluster.run_fault(fault, &mut rng, version)?;
         // What a process wanted that was killed then may never have been heard of.
         thread::sleep(Duration::from_millis(300));
-        let now = stage.settled(0)?;
+        let now = cluster.await_one_version(0)?;
         println!("{:6} ms all run {now}", start.elapsed().as_millis());
         *version = (*version).max(now);
     }
-    let wanted = list.len() as u64 + *version - first;
-    Ok(Times { faults, wanted, calm, plain, changes: list })
+    let versions_requested = changes.len() as u64 + *version - first;
+    Ok(Timeline { faults, versions_requested, calm, change_period, changes })
 }
 
 fn p99(mut list: Vec<u64>) -> u64 {
@@ -655,14 +668,14 @@
 }
 
 /// Sets what clients saw beside what the processes' logs say was decided.
-fn check(world: &World, times: &Times, figures: &mut Figures) {
-    let runs = held(&world.runs);
+fn check(world: &World, timeline: &Timeline, figures: &mut Figures) {
+    let runs = lock(&world.runs);
     for (id, blocks) in runs.iter() {
         let number = id.split('-').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
         figures.unsafe_ran_twice += u64::from(blocks.len() > 1 && !number.is_multiple_of(3));
         figures.mixed += u64::from(blocks.iter().any(|block| block != &blocks[0]));
     }
-    let decided = held(&world.decided);
+    let decided = lock(&world.decisions);
     let mut in_force: BTreeSet<u64> = decided.iter().map(|d| d.in_force).filter(|v| *v > 0).collect();
     let given_up: BTreeSet<u64> = decided.iter().filter_map(|d| d.given_up).collect();
     figures.committed = in_force.len() as u64;
@@ -672,11 +685,11 @@
         // Each takes what its own operator wants: that is what is in force there.
         in_force = (1..=figures.changes + 1).collect();
     }
-    let served = held(&world.served);
+    let served = lock(&world.served);
     check_order(&served, &in_force, figures);
-    check_times(&served, times, figures);
+    check_times(&served, timeline, figures);
     let mut spans: Vec<u64> = Vec::new();
-    for (version, wanted) in &times.changes {
+    for (version, wanted) in &timeline.changes {
         let reads = (0..world.plan.dispatchers).filter_map(|process| {
             let read = decided.iter().find(|d| d.process == process && d.in_force == *version)?;
             Some(read.at.saturating_duration_since(*wanted).as_millis() as u64)
@@ -689,7 +702,7 @@
 }
 
 /// What a client has seen bounds what anything sent later may run under.
-fn check_order(served: &[Served], in_force: &BTreeSet<u64>, figures: &mut Figures) {
+fn check_order(served: &[ServedJob], in_force: &BTreeSet<u64>, figures: &mut Figures) {
     let mut events: Vec<(Instant, bool, usize)> = Vec::new();
     for (at, job) in served.iter().enumerate() {
         events.push((job.sent, false, at));
@@ -716,11 +729,14 @@
 }
 
 /// How long jobs took beyond their own time, with and without changes.
-fn check_times(served: &[Served], times: &Times, figures: &mut Figures) {
+fn check_times(served: &[ServedJob], timeline: &Timeline, figures: &mut Figures) {
     let took = |from: Instant, to: Instant| -> Vec<u64> {
         let within = served.iter().filter(|job| job.sent >= from && job.done <= to);
-        within.map(|job| (job.done - job.sent).as_millis() as u64).map(|ms| ms.saturating_sub(RUNS)).collect()
+        within
+            .map(|job| (job.done - job.sent).as_millis() as u64)
+            .map(|ms| ms.saturating_sub(JOB_MS))
+            .collect()
     };
-    figures.calm_ms_p99 = p99(took(times.calm.0, times.calm.1));
-    figures.pause_ms_p99 = p99(took(times.plain.0, times.plain.1));
+    figures.calm_ms_p99 = p99(took(timeline.calm.0, timeline.calm.1));
+    figures.pause_ms_p99 = p99(took(timeline.change_period.0, timeline.change_period.1));
 }
--- a/rig/src/scale/figures.rs
+++ b/rig/src/scale/figures.rs
@@ -86,14 +86,14 @@
     ///
     /// # Errors
     /// Where a figure disproves what the experiment is to show.
-    pub fn proves(&self) -> Result<(), RigError> {
+    pub fn verify(&self) -> Result<(), RigError> {
         let zeros = [
             ("dropped_workers", self.dropped_workers),
             ("half_applied", self.half_applied),
             ("old_after_new", self.old_after_new),
         ];
         match zeros.iter().find(|zero| zero.1 > 0) {
-            Some((name, count)) => Err(RigError::Disproved(format!("{name} is {count}"))),
+            Some((name, count)) => Err(RigError::CheckFailed(format!("{name} is {count}"))),
             None => Ok(()),
         }
     }
--- a/rig/src/scale/lists.rs
+++ b/rig/src/scale/lists.rs
@@ -85,7 +85,7 @@
 }
 
 fn failed(what: impl std::fmt::Display) -> RigError {
-    RigError::Disproved(format!("the list: {what}"))
+    RigError::CheckFailed(format!("the list: {what}"))
 }
 
 /// Plays a list of so many workers, and so many attempts that stay out.
--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -120,7 +120,7 @@
         let end = START + PATIENCE;
         while !self.members.iter().all(|member| member.front.may_serve(self.now) && member.knows_all()) {
             if self.now > end {
-                return Err(RigError::Disproved("the fleet does not come up".into()));
+                return Err(RigError::CheckFailed("the fleet does not come up".into()));
             }
             self.run(self.now + 100.0);
         }
--- a/rig/src/soak/mod.rs
+++ b/rig/src/soak/mod.rs
@@ -22,9 +22,9 @@
 use record::{Life, Millis, SlowStart};
 use world::World;
 
-use crate::http::{Http, held, status};
+use crate::http::{Http, lock, status};
 use crate::process::Process;
-use crate::{RigError, program, tried};
+use crate::{RigError, io_context, program};
 
 /// Dispatchers that the settings of a large fleet name.
 const LARGE_FLEET: usize = 30;
@@ -163,13 +163,13 @@
     fn finish(&mut self, clients: Vec<thread::JoinHandle<()>>) -> Result<Figures, RigError> {
         self.world.over.store(true, Ordering::Relaxed);
         for client in clients {
-            client.join().map_err(|_| RigError::Disproved("a client panicked".into()))?;
+            client.join().map_err(|_| RigError::CheckFailed("a client panicked".into()))?;
         }
         self.processes.clear();
         let _ = std::fs::remove_dir_all(&self.dir);
         let is_large = self.fleet > self.plan.dispatchers;
         let ready_within_ms = if is_large { LARGE_FLEET_READY_WITHIN_MS } else { READY_WITHIN_MS };
-        let record = held(&self.world.record);
+        let record = lock(&self.world.record);
         Ok(record.check(self.plan.seed, self.plan.dispatchers, SLOW_START, ready_within_ms))
     }
 
@@ -178,7 +178,7 @@
         let shim = built.with_file_name("libmicabeam_shim.so");
         let binary = plan.binary.clone().unwrap_or(built);
         let dir = std::env::temp_dir().join(format!("micabeam-soak-{}-{}", std::process::id(), plan.seed));
-        tried("a directory", std::fs::create_dir_all(&dir))?;
+        io_context("a directory", std::fs::create_dir_all(&dir))?;
         let pid = std::process::id();
         // Addresses that nothing else of this machine's tests listens at.
         let address = |number: usize| {
@@ -235,7 +235,7 @@
 
     fn start_process_with(&mut self, number: usize, call_faults: &str) -> Result<(), RigError> {
         let file = self.dir.join(format!("{number}.json"));
-        tried("the configuration", std::fs::write(&file, self.config(number)))?;
+        io_context("the configuration", std::fs::write(&file, self.config(number)))?;
         let mut command = Command::new(&self.binary);
         command.env("LB_CONFIG", &file).env("TMPDIR", &self.dir);
         command.env("LD_PRELOAD", &self.shim);
@@ -248,7 +248,7 @@
         let life =
             Life { dispatcher: number, started_ms, ready_ms: None, terminated_ms: None, ended_ms: None };
         let at = {
-            let mut record = held(&self.world.record);
+            let mut record = lock(&self.world.record);
             record.lives.push(life);
             record.lives.len() - 1
         };
@@ -262,7 +262,7 @@
         self.world.takes_clients[number].store(false, Ordering::Relaxed);
         self.known[number] = self.world.known_list();
         let now_ms = self.world.now_ms();
-        let mut record = held(&self.world.record);
+        let mut record = lock(&self.world.record);
         if let Some(life) = record.lives.iter_mut().rfind(|life| life.dispatcher == number) {
             life.ended_ms.get_or_insert(now_ms);
         }
@@ -280,13 +280,13 @@
         let Some(mut process) = self.processes[number].take() else { return Ok(()) };
         process.signal("TERM")?;
         let now_ms = self.world.now_ms();
-        if let Some(life) = held(&self.world.record).lives.iter_mut().rfind(|life| life.dispatcher == number)
+        if let Some(life) = lock(&self.world.record).lives.iter_mut().rfind(|life| life.dispatcher == number)
         {
             life.terminated_ms = Some(now_ms);
         }
         thread::sleep(Duration::from_millis(self.draws.u64(200..400)));
         self.world.takes_clients[number].store(false, Ordering::Relaxed);
-        while self.world.now_ms() < now_ms + KILL_AFTER_MS as Millis && !process.ended()? {
+        while self.world.now_ms() < now_ms + KILL_AFTER_MS as Millis && !process.has_exited()? {
             thread::sleep(Duration::from_millis(2));
         }
         self.note_end(number);
@@ -315,15 +315,15 @@
         let lasted_s = (self.world.now_ms() - began_ms) / 1e3;
         for (number, before) in before.into_iter().enumerate() {
             let Some(process) = &mut self.processes[number] else { continue };
-            if process.ended()? {
+            if process.has_exited()? {
                 println!("dispatcher {number} has ended by itself");
-                held(&self.world.record).crashed += 1;
+                lock(&self.world.record).crashed += 1;
                 continue;
             }
             let used_s = usage(process).ok().zip(before).map_or(0.0, |(after, before)| after - before);
             if used_s > SPIN_CPU_S * lasted_s {
                 println!("dispatcher {number} used {used_s:.2} s in {lasted_s:.2} s");
-                held(&self.world.record).spins += 1;
+                lock(&self.world.record).spins += 1;
             }
         }
         Ok(())
@@ -337,7 +337,7 @@
         let born_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
         self.world.change_list(servers, |server| (server.is_up, server.born_ms) = (true, born_ms));
         let now_ms = self.world.now_ms();
-        held(&self.world.record).cold_starts.extend(servers.iter().map(|&server| (server, now_ms)));
+        lock(&self.world.record).cold_starts.extend(servers.iter().map(|&server| (server, now_ms)));
     }
 
     fn lose_zone(&mut self) -> Result<(), RigError> {
@@ -418,10 +418,10 @@
 
 /// Has the front take a dispatcher in once `/up` says yes, as it asks again and again.
 fn await_up(world: &World, number: usize, life: usize) {
-    while !world.over.load(Ordering::Relaxed) && held(&world.record).lives[life].ended_ms.is_none() {
+    while !world.over.load(Ordering::Relaxed) && lock(&world.record).lives[life].ended_ms.is_none() {
         if says_yes(world.dispatchers[number]) {
             let now_ms = world.now_ms();
-            held(&world.record).lives[life].ready_ms = Some(now_ms);
+            lock(&world.record).lives[life].ready_ms = Some(now_ms);
             world.takes_clients[number].store(true, Ordering::Relaxed);
             return;
         }
--- a/rig/src/soak/record.rs
+++ b/rig/src/soak/record.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 use crate::RigError;
-use crate::proved;
+use crate::check_invariants;
 
 /// Milliseconds since the start of the run.
 pub type Millis = f64;
@@ -213,9 +213,9 @@
     ///
     /// # Errors
     /// Where one was, or less than half of the requests were served.
-    pub fn proves(&self) -> Result<(), RigError> {
+    pub fn verify(&self) -> Result<(), RigError> {
         let zeros: Vec<(&str, u64)> = RULES.into_iter().zip(self.breaks).collect();
-        proved(&zeros, self.requests, self.served)
+        check_invariants(&zeros, self.requests, self.served)
     }
 }
 
--- a/rig/src/soak/world.rs
+++ b/rig/src/soak/world.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use super::record::{Attempt, End, ListChange, Millis, Record, Request, SilentCall, Span};
-use crate::http::{Http, header, held, serve, status, told};
-use crate::{RigError, tried};
+use crate::http::{Http, header, lock, post_job_event, serve, status};
+use crate::{RigError, io_context};
 
 /// How long discovery has for one call.
 const CALL_MS: Millis = 25.0;
@@ -66,10 +66,10 @@
     /// # Errors
     /// Where a socket cannot be had.
     pub fn start(dispatchers: Vec<SocketAddr>, servers: usize, seed: u64) -> Result<Arc<World>, RigError> {
-        let listen = || tried("a stand-in", TcpListener::bind("127.0.0.1:0"));
+        let listen = || io_context("a stand-in", TcpListener::bind("127.0.0.1:0"));
         let server_listeners = (0..servers).map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
         let list_listeners = dispatchers.iter().map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
-        let address = |listener: &TcpListener| tried("a stand-in", listener.local_addr());
+        let address = |listener: &TcpListener| io_context("a stand-in", listener.local_addr());
         let long_ago = ListedServer { is_up: true, born_ms: 0 };
         let world = Arc::new(World {
             began: Instant::now(),
@@ -106,7 +106,7 @@
             listener,
             move || over.over.load(Ordering::Relaxed),
             move |stream| {
-                if let Ok(http) = Http::over(stream, PATIENCE) {
+                if let Ok(http) = Http::from_stream(stream, PATIENCE) {
                     each(&world, http);
                 }
             },
@@ -119,24 +119,24 @@
     }
 
     fn draw(&self, range: std::ops::Range<u64>) -> u64 {
-        held(&self.draws).u64(range)
+        lock(&self.draws).u64(range)
     }
 
     /// Changes servers of the list, in one version.
     pub fn change_list(&self, servers: &[usize], change: impl Fn(&mut ListedServer)) {
-        let mut service = held(&self.service);
+        let mut service = lock(&self.service);
         service.version += 1;
         for &server in servers {
             change(&mut service.servers[server]);
             let is_up = service.servers[server].is_up;
             let (version, at_ms) = (service.version, self.now_ms());
-            held(&self.record).changes.push(ListChange { version, at_ms, server, is_up });
+            lock(&self.record).changes.push(ListChange { version, at_ms, server, is_up });
         }
     }
 
     /// The list as it is now, in the form of a configuration, and its version.
     pub fn known_list(&self) -> String {
-        self.list(&held(&self.service))
+        self.list(&lock(&self.service))
     }
 
     fn list(&self, service: &Service) -> String {
@@ -153,8 +153,8 @@
 
     /// Takes discovery down, or brings it back.
     pub fn set_outage(&self, is_down: bool) {
-        held(&self.service).is_down = is_down;
-        let (mut record, now_ms) = (held(&self.record), self.now_ms());
+        lock(&self.service).is_down = is_down;
+        let (mut record, now_ms) = (lock(&self.record), self.now_ms());
         if is_down {
             record.outages.push(Span { from_ms: now_ms, until_ms: f64::INFINITY });
         } else if let Some(outage) = record.outages.last_mut() {
@@ -183,25 +183,25 @@
             0 => return None,
             1 => {
                 let silence = SilentCall { dispatcher, from_ms: came_ms, wait_ends_ms: came_ms + wait_ms };
-                held(&self.record).silences.push(silence);
+                lock(&self.record).silences.push(silence);
                 let _ = http.read();
                 return None;
             }
             _ => {}
         }
-        while since.is_some_and(|since| since >= held(&self.service).version)
+        while since.is_some_and(|since| since >= lock(&self.service).version)
             && self.now_ms() < came_ms + wait_ms
         {
-            if held(&self.service).is_down || self.over.load(Ordering::Relaxed) {
+            if lock(&self.service).is_down || self.over.load(Ordering::Relaxed) {
                 return None;
             }
             thread::sleep(Duration::from_millis(2));
         }
         let (version, body) = {
-            let service = held(&self.service);
+            let service = lock(&self.service);
             (service.version, self.list(&service))
         };
-        held(&self.record).answers.push((dispatcher, self.now_ms(), version));
+        lock(&self.record).answers.push((dispatcher, self.now_ms(), version));
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if self.draw(0..CALLS_PER_FAULT * 3) == 0 {
             let _ = http.write(&answer[..answer.len() / 2]);
@@ -214,7 +214,7 @@
     fn take_turn(&self, http: &mut Http) -> Option<()> {
         let came_ms = self.now_ms();
         let (done_ms, is_down) = {
-            let mut service = held(&self.service);
+            let mut service = lock(&self.service);
             service.busy_until_ms = service.busy_until_ms.max(came_ms) + CALL_MS;
             (service.busy_until_ms, service.is_down)
         };
@@ -280,7 +280,7 @@
         }
         let ended_ms = self.now_ms();
         let request = Request { dispatcher, written_ms, wait_ms, is_unsafe, is_first, ended_ms, end };
-        held(&self.record).requests.insert(id, request);
+        lock(&self.record).requests.insert(id, request);
     }
 }
 
@@ -301,7 +301,7 @@
             continue;
         };
         let deadline_ms = header(&head, "req-deadline").map_or(f64::INFINITY, deadline_ms);
-        held(&world.record).attempts.push(Attempt { id: id.clone(), server, began_ms, deadline_ms });
+        lock(&world.record).attempts.push(Attempt { id: id.clone(), server, began_ms, deadline_ms });
         if http.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").is_err() {
             return;
         }
@@ -316,7 +316,7 @@
     let dispatcher = id[1..].split('-').next().and_then(|number| number.parse::<usize>().ok());
     let Some(&address) = dispatcher.and_then(|number| world.dispatchers.get(number)) else { return };
     for _ in 0..10 {
-        if told(address, Duration::from_secs(1), id, &format!("s-{server}"), "done", id) {
+        if post_job_event(address, Duration::from_secs(1), id, &format!("s-{server}"), "done", id) {
             return;
         }
         thread::sleep(Duration::from_millis(50));
--- a/rig/src/stores.rs
+++ b/rig/src/stores.rs
@@ -12,13 +12,13 @@
 use micabeam::ledger::{Outcome, Record};
 use redb::{ReadableTable, TableDefinition};
 
-use crate::{RigError, tried};
+use crate::{RigError, io_context};
 
 const TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
 /// Records that share a sync.
-const GROUPS: [usize; 3] = [1, 16, 256];
+const GROUP_SIZES: [usize; 3] = [1, 16, 256];
 /// Longest record that a log's reader believes in.
-const MOST: usize = 1 << 24;
+const MAX_RECORD_BYTES: usize = 1 << 24;
 
 /// An engine that keeps records in order.
 trait Store {
@@ -26,7 +26,7 @@
     fn append(&mut self, records: &[Vec<u8>]) -> Result<(), String>;
 }
 
-fn text(e: impl std::fmt::Display) -> String {
+fn error_text(e: impl std::fmt::Display) -> String {
     e.to_string()
 }
 
@@ -34,20 +34,20 @@
 
 impl Redb {
     fn open(path: &Path) -> Result<Redb, String> {
-        let db = redb::Database::create(path.join("db")).map_err(text)?;
-        let write = db.begin_write().map_err(text)?;
-        drop(write.open_table(TABLE).map_err(text)?);
-        write.commit().map_err(text)?;
+        let db = redb::Database::create(path.join("db")).map_err(error_text)?;
+        let write = db.begin_write().map_err(error_text)?;
+        drop(write.open_table(TABLE).map_err(error_text)?);
+        write.commit().map_err(error_text)?;
         Ok(Redb(db, 0))
     }
 
     fn read(path: &Path) -> Result<usize, String> {
-        let db = redb::Database::open(path.join("db")).map_err(text)?;
-        let read = db.begin_read().map_err(text)?;
-        let table = read.open_table(TABLE).map_err(text)?;
+        let db = redb::Database::open(path.join("db")).map_err(error_text)?;
+        let read = db.begin_read().map_err(error_text)?;
+        let table = read.open_table(TABLE).map_err(error_text)?;
         let mut count = 0;
-        for row in table.iter().map_err(text)? {
-            let (_, value) = row.map_err(text)?;
+        for row in table.iter().map_err(error_text)? {
+            let (_, value) = row.map_err(error_text)?;
             count += usize::from(Record::decode(value.value()).is_ok());
         }
         Ok(count)
@@ -56,15 +56,15 @@
 
 impl Store for Redb {
     fn append(&mut self, records: &[Vec<u8>]) -> Result<(), String> {
-        let write = self.0.begin_write().map_err(text)?;
+        let write = self.0.begin_write().map_err(error_text)?;
         {
-            let mut table = write.open_table(TABLE).map_err(text)?;
+            let mut table = write.open_table(TABLE).map_err(error_text)?;
             for record in records {
                 self.1 += 1;
-                table.insert(self.1, record.as_slice()).map_err(text)?;
+                table.insert(self.1, record.as_slice()).map_err(error_text)?;
             }
         }
-        write.commit().map_err(text)
+        write.commit().map_err(error_text)
     }
 }
 
@@ -72,8 +72,9 @@
 
 impl Fjall {
     fn open(path: &Path) -> Result<Fjall, String> {
-        let db = fjall::Config::new(path).open().map_err(text)?;
-        let records = db.open_partition("records", fjall::PartitionCreateOptions::default()).map_err(text)?;
+        let db = fjall::Config::new(path).open().map_err(error_text)?;
+        let records =
+            db.open_partition("records", fjall::PartitionCreateOptions::default()).map_err(error_text)?;
         Ok(Fjall(db, records, 0))
     }
 
@@ -81,7 +82,7 @@
         let store = Fjall::open(path)?;
         let mut count = 0;
         for row in store.1.iter() {
-            let (_, value) = row.map_err(text)?;
+            let (_, value) = row.map_err(error_text)?;
             count += usize::from(Record::decode(&value).is_ok());
         }
         Ok(count)
@@ -95,8 +96,8 @@
             self.2 += 1;
             batch.insert(&self.1, self.2.to_be_bytes(), record.as_slice());
         }
-        batch.commit().map_err(text)?;
-        self.0.persist(fjall::PersistMode::SyncData).map_err(text)
+        batch.commit().map_err(error_text)?;
+        self.0.persist(fjall::PersistMode::SyncData).map_err(error_text)
     }
 }
 
@@ -106,16 +107,16 @@
 impl Log {
     fn open(path: &Path) -> Result<Log, String> {
         let file = OpenOptions::new().create(true).append(true).open(path.join("log"));
-        Ok(Log(file.map_err(text)?))
+        Ok(Log(file.map_err(error_text)?))
     }
 
     fn read(path: &Path) -> Result<usize, String> {
-        let mut file = BufReader::with_capacity(1 << 20, File::open(path.join("log")).map_err(text)?);
+        let mut file = BufReader::with_capacity(1 << 20, File::open(path.join("log")).map_err(error_text)?);
         let (mut count, mut head) = (0, [0; 8]);
         while file.read_exact(&mut head).is_ok() {
             let word = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
             let length = word(0) as usize;
-            if length > MOST {
+            if length > MAX_RECORD_BYTES {
                 break;
             }
             let mut record = vec![0; length];
@@ -136,13 +137,13 @@
             frames.extend(crc32c::crc32c(record).to_le_bytes());
             frames.extend(record);
         }
-        self.0.write_all(&frames).map_err(text)?;
-        self.0.sync_data().map_err(text)
+        self.0.write_all(&frames).map_err(error_text)?;
+        self.0.sync_data().map_err(error_text)
     }
 }
 
 /// The records of so many jobs, in the order in which a busy ledger would store them.
-fn load(jobs: usize) -> Vec<Vec<u8>> {
+fn make_records(jobs: usize) -> Vec<Vec<u8>> {
     let (due, body) = (1.7e12, vec![b'b'; 200]);
     let records = |no: u64| {
         let worker = "booking-worker-7".to_string();
@@ -155,10 +156,10 @@
     (1..=jobs as u64).flat_map(records).map(|r| r.encode()).collect()
 }
 
-fn size(path: &Path) -> u64 {
+fn disk_bytes(path: &Path) -> u64 {
     let entries = std::fs::read_dir(path).into_iter().flatten().flatten();
     let of = |entry: std::fs::DirEntry| match entry.metadata() {
-        Ok(meta) if meta.is_dir() => size(&entry.path()),
+        Ok(meta) if meta.is_dir() => disk_bytes(&entry.path()),
         // What it takes of the disk, not how long it says it is.
         Ok(meta) => std::os::unix::fs::MetadataExt::blocks(&meta) * 512,
         Err(_) => 0,
@@ -184,28 +185,33 @@
         "{:>6} {:>6} {:>10} {:>10} {:>9} {:>11} {:>10}",
         "engine", "group", "records/s", "ms a sync", "bytes/job", "read back s", "records"
     );
-    for group in GROUPS {
+    for group in GROUP_SIZES {
         // A sync for each record is slow enough with fewer.
-        let records = load(if group == 1 { jobs / 20 } else { jobs });
+        let records = make_records(if group == 1 { jobs / 20 } else { jobs });
         for (name, open, count) in engines {
             let dir = directory(name, group)?;
-            let wrong = |e: String| RigError::Disproved(format!("{name}: {e}"));
-            let mut store = open(&dir).map_err(wrong)?;
+            let check_failed = |e: String| RigError::CheckFailed(format!("{name}: {e}"));
+            let mut store = open(&dir).map_err(check_failed)?;
             let began = Instant::now();
             for records in records.chunks(group) {
-                store.append(records).map_err(wrong)?;
+                store.append(records).map_err(check_failed)?;
             }
-            let took = began.elapsed().as_secs_f64();
+            let write_s = began.elapsed().as_secs_f64();
             drop(store);
-            let (began, came) = (Instant::now(), count(&dir).map_err(wrong)?);
-            let back = began.elapsed().as_secs_f64();
-            let bytes = size(&dir) as f64 / (records.len() / 3) as f64;
-            let rate = records.len() as f64 / took;
-            let sync = took * 1e3 / records.len().div_ceil(group) as f64;
-            println!("{name:>6} {group:>6} {rate:>10.0} {sync:>10.3} {bytes:>9.0} {back:>11.2} {came:>10}");
-            tried("the store's folder", std::fs::remove_dir_all(&dir))?;
-            if came != records.len() {
-                return Err(wrong(format!("{came} of {} records came back", records.len())));
+            let (began, read_count) = (Instant::now(), count(&dir).map_err(check_failed)?);
+            let read_s = began.elapsed().as_secs_f64();
+            let bytes = disk_bytes(&dir) as f64 / (records.len() / 3) as f64;
+            let rate = records.len() as f64 / write_s;
+            let sync = write_s * 1e3 / records.len().div_ceil(group) as f64;
+            println!(
+                "{name:>6} {group:>6} {rate:>10.0} {sync:>10.3} {bytes:>9.0} {read_s:>11.2} {read_count:>10}"
+            );
+            io_context("directory of the store", std::fs::remove_dir_all(&dir))?;
+            if read_count != records.len() {
+                return Err(check_failed(format!(
+                    "{read_count} of {} records were read back",
+                    records.len()
+                )));
             }
             line.push(format!("{name}_{group}={rate:.0}"));
         }
@@ -215,6 +221,6 @@
 
 fn directory(name: &str, group: usize) -> Result<PathBuf, RigError> {
     let dir = std::env::temp_dir().join(format!("micabeam-stores-{}-{name}-{group}", std::process::id()));
-    tried("the store's folder", std::fs::create_dir_all(&dir))?;
+    io_context("directory of the store", std::fs::create_dir_all(&dir))?;
     Ok(dir)
 }
--- a/rig/src/upgrade.rs
+++ b/rig/src/upgrade.rs
@@ -11,18 +11,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::http::{Http, header, held, serve, status, told};
+use crate::http::{Http, header, lock, post_job_event, serve, status};
 use crate::process::Process;
-use crate::{RigError, proved, tried};
+use crate::{RigError, check_invariants, io_context};
 
 /// How long a client waits for its answer.
-const DEADLINE: Duration = Duration::from_secs(4);
+const JOB_DEADLINE: Duration = Duration::from_secs(4);
 /// How long after the news of a drain new jobs may still come.
-const DRAIN: Duration = Duration::from_millis(2050);
+const DRAIN_GRACE: Duration = Duration::from_millis(2050);
 /// How long a process may serve by the list that it has before it asks, as its settings say.
-const ASK_WITHIN: Duration = Duration::from_secs(4);
+const LIST_CONFIRM_TIMEOUT: Duration = Duration::from_secs(4);
 /// How long a process is frozen.
-const FREEZE: Duration = Duration::from_secs(1);
+const FREEZE_TIME: Duration = Duration::from_secs(1);
 /// Booking workers.
 const WORKERS: usize = 4;
 
@@ -126,47 +126,52 @@
     ///
     /// # Errors
     /// Where a figure disproves what the experiment is to show.
-    pub fn proves(&self) -> Result<(), RigError> {
+    pub fn verify(&self) -> Result<(), RigError> {
         let zeros = [
             ("answered_twice", self.answered_twice),
             ("unanswered", self.unanswered),
             ("unsafe_ran_twice", self.unsafe_ran_twice),
             ("late_drains", self.late_drains),
         ];
-        proved(&zeros, self.jobs, self.served)
+        check_invariants(&zeros, self.jobs, self.served)
     }
 }
 
 /// All that the stand-ins share.
 struct World {
     address: SocketAddr,
-    dials: Vec<SocketAddr>,
-    over: AtomicBool,
+    worker_addresses: Vec<SocketAddr>,
+    stopping: AtomicBool,
     /// Both processes were terminated, and no other serves yet.
-    deserted: AtomicBool,
+    all_terminated: AtomicBool,
     /// Runs of each job.
     runs: Mutex<HashMap<String, u32>>,
     /// When a process was killed.
-    kills: Mutex<Vec<Instant>>,
+    killed_at: Mutex<Vec<Instant>>,
     /// When a process was frozen for a second.
-    freezes: Mutex<Vec<Instant>>,
+    frozen_at: Mutex<Vec<Instant>>,
     /// The version of the list, and which worker drains since when.
     list: Mutex<(u64, Option<(usize, Instant)>)>,
     /// A process was started with none beside it, and has not read the list yet: since when.
-    unread: Mutex<Option<Instant>>,
+    list_unread_since: Mutex<Option<Instant>>,
     figures: Mutex<Figures>,
-    next: AtomicU64,
+    next_job: AtomicU64,
 }
 
 /// Has a stand-in serve a listener.
-fn stand(world: &Arc<World>, listener: TcpListener, each: fn(&Arc<World>, usize, Http), number: usize) {
-    let (world, over) = (Arc::clone(world), Arc::clone(world));
+fn serve_stand_in(
+    world: &Arc<World>,
+    listener: TcpListener,
+    handle: fn(&Arc<World>, usize, Http),
+    number: usize,
+) {
+    let (world, shared) = (Arc::clone(world), Arc::clone(world));
     serve(
         listener,
-        move || over.over.load(Ordering::Relaxed),
+        move || shared.stopping.load(Ordering::Relaxed),
         move |stream| {
-            if let Ok(http) = Http::over(stream, Duration::from_secs(120)) {
-                each(&world, number, http);
+            if let Ok(http) = Http::from_stream(stream, Duration::from_secs(120)) {
+                handle(&world, number, http);
             }
         },
     );
@@ -180,21 +185,22 @@
             let _ = http.write("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n");
             continue;
         };
-        let drains = held(&world.list).1.filter(|d| d.0 == number);
+        let draining = lock(&world.list).1.filter(|d| d.0 == number);
         // One that has nobody to hear of a drain from is held to the list of its configuration until it has asked.
-        let unread = held(&world.unread).is_some_and(|since| began < since + ASK_WITHIN);
-        if !unread && drains.is_some_and(|(_, since)| began > since + DRAIN) {
-            held(&world.figures).late_drains += 1;
+        let list_unread =
+            lock(&world.list_unread_since).is_some_and(|since| began < since + LIST_CONFIRM_TIMEOUT);
+        if !list_unread && draining.is_some_and(|(_, since)| began > since + DRAIN_GRACE) {
+            lock(&world.figures).late_drains += 1;
         }
-        *held(&world.runs).entry(id.clone()).or_default() += 1;
+        *lock(&world.runs).entry(id.clone()).or_default() += 1;
         if http.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").is_err() {
             return;
         }
         let world = Arc::clone(world);
         thread::spawn(move || {
-            let mut draws = fastrand::Rng::with_seed(id.bytes().fold(7, |sum, b| sum * 31 + u64::from(b)));
+            let mut rng = fastrand::Rng::with_seed(id.bytes().fold(7, |sum, b| sum * 31 + u64::from(b)));
             call_back(&world, number, &id, "started");
-            thread::sleep(Duration::from_millis(20 + draws.u64(..280)));
+            thread::sleep(Duration::from_millis(20 + rng.u64(..280)));
             call_back(&world, number, &id, "done");
         });
     }
@@ -203,7 +209,7 @@
 /// Calls back on a new connection until the call is answered, ten times at most.
 fn call_back(world: &World, number: usize, id: &str, state: &str) {
     for _ in 0..10 {
-        if told(world.address, Duration::from_secs(2), id, &format!("s-{number}"), state, id) {
+        if post_job_event(world.address, Duration::from_secs(2), id, &format!("s-{number}"), state, id) {
             return;
         }
         thread::sleep(Duration::from_millis(100));
@@ -217,130 +223,134 @@
         let of =
             |name: &str| target.split(['?', '&']).find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok());
         let end = Instant::now() + Duration::from_millis(of("timeout_ms=").unwrap_or(0).min(20_000));
-        while of("since=").is_some_and(|since| since >= held(&world.list).0) && Instant::now() < end {
+        while of("since=").is_some_and(|since| since >= lock(&world.list).0) && Instant::now() < end {
             thread::sleep(Duration::from_millis(2));
         }
-        let (version, drains) = *held(&world.list);
+        let (version, drains) = *lock(&world.list);
         let line = |(n, dial): (usize, &SocketAddr)| {
             let health = if drains.is_some_and(|d| d.0 == n) { "draining" } else { "up" };
             format!(r#"{{"host":"s-{n}","dial":"{dial}","health":"{health}","share":1.0,"born_ms":0}}"#)
         };
-        let hosts: Vec<String> = world.dials.iter().enumerate().map(line).collect();
+        let hosts: Vec<String> = world.worker_addresses.iter().enumerate().map(line).collect();
         let body = format!(r#"{{"seq":{version},"whole":true,"hosts":[{}]}}"#, hosts.join(","));
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        if http.write(&answer).is_err() {
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        if http.write(&response).is_err() {
             return;
         }
-        *held(&world.unread) = None;
+        *lock(&world.list_unread_since) = None;
     }
 }
 
 /// Whether a process was killed since then.
-fn killed(world: &World, began: Instant) -> bool {
-    held(&world.kills).iter().any(|k| *k >= began)
+fn was_killed_since(world: &World, began: Instant) -> bool {
+    lock(&world.killed_at).iter().any(|k| *k >= began)
 }
 
 /// How a job went for its client.
-struct JobRun {
+struct Submission {
     /// The status and whether the body was right; none without an answer.
-    end: Option<(u16, bool)>,
+    response: Option<(u16, bool)>,
     /// The connection broke where something may have read the job.
-    broke: bool,
+    connection_lost: bool,
     /// When the last try began: the deadline that a process reads counts from the try that reaches it.
     sent: Instant,
     /// Nobody was there at some time of its tries.
-    was_deserted: bool,
+    saw_all_terminated: bool,
 }
 
 /// A client: submits jobs at a pace and waits for each answer.
 fn client(world: &Arc<World>, pause: Duration) {
     let mut conn: Option<Http> = None;
-    while !world.over.load(Ordering::Relaxed) {
+    while !world.stopping.load(Ordering::Relaxed) {
         thread::sleep(pause);
-        let number = world.next.fetch_add(1, Ordering::Relaxed);
+        let number = world.next_job.fetch_add(1, Ordering::Relaxed);
         let (id, class) = (format!("j{number}"), if number.is_multiple_of(3) { "search" } else { "confirm" });
         let text = format!(
             "POST /{class}/x HTTP/1.1\r\nHost: d\r\nReq-Id: {id}\r\nReq-Deadline: {}m\r\nContent-Length: 3\r\n\r\njob",
-            DEADLINE.as_millis()
+            JOB_DEADLINE.as_millis()
         );
         let began = Instant::now();
-        let run = submit(world, &mut conn, &id, &text, began);
-        count_run(world, &id, began, &run);
+        let submission = submit(world, &mut conn, &id, &text, began);
+        count_submission(world, &id, began, &submission);
     }
 }
 
 /// Submits a job. A kept connection may have been closed between requests: the job goes once more on a new one.
-fn submit(world: &World, conn: &mut Option<Http>, id: &str, text: &str, began: Instant) -> JobRun {
-    let mut run = JobRun { end: None, broke: false, sent: began, was_deserted: false };
+fn submit(world: &World, conn: &mut Option<Http>, id: &str, text: &str, began: Instant) -> Submission {
+    let mut submission =
+        Submission { response: None, connection_lost: false, sent: began, saw_all_terminated: false };
     for _ in 0..3 {
-        run.sent = Instant::now();
+        submission.sent = Instant::now();
         let kept = conn.is_some();
-        let deserted = world.deserted.load(Ordering::Relaxed);
-        run.was_deserted |= deserted;
-        let Some(mut http) = conn.take().or_else(|| Http::connect(world.address, DEADLINE * 2).ok()) else {
-            let mut figures = held(&world.figures);
-            let deserted = deserted || world.deserted.load(Ordering::Relaxed);
-            run.was_deserted |= deserted;
-            *(if deserted { &mut figures.nobody_there } else { &mut figures.refused_at_seam }) += 1;
+        let all_terminated = world.all_terminated.load(Ordering::Relaxed);
+        submission.saw_all_terminated |= all_terminated;
+        let Some(mut http) = conn.take().or_else(|| Http::connect(world.address, JOB_DEADLINE * 2).ok())
+        else {
+            let mut figures = lock(&world.figures);
+            let all_terminated = all_terminated || world.all_terminated.load(Ordering::Relaxed);
+            submission.saw_all_terminated |= all_terminated;
+            *(if all_terminated { &mut figures.nobody_there } else { &mut figures.refused_at_seam }) += 1;
             drop(figures);
             thread::sleep(Duration::from_millis(50));
             continue;
         };
         if kept && !http.0.buffer().is_empty() {
-            held(&world.figures).answered_twice += 1;
+            lock(&world.figures).answered_twice += 1;
         }
         match http.write(text).and_then(|()| http.read()) {
             Ok((head, body)) => {
                 let closes = header(&head, "connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-                run.end = Some((status(&head), body == id));
+                submission.response = Some((status(&head), body == id));
                 *conn = (!closes).then_some(http);
                 break;
             }
             // A close or reset that crossed a request which nobody has read.
             Err(e)
                 if e.kind() != std::io::ErrorKind::WouldBlock
-                    && !held(&world.runs).contains_key(id)
-                    && !killed(world, began) =>
+                    && !lock(&world.runs).contains_key(id)
+                    && !was_killed_since(world, began) =>
             {
                 let count = u64::from(!kept);
-                let mut figures = held(&world.figures);
-                *(if deserted { &mut figures.nobody_there } else { &mut figures.refused_at_seam }) += count;
+                let mut figures = lock(&world.figures);
+                *(if all_terminated { &mut figures.nobody_there } else { &mut figures.refused_at_seam }) +=
+                    count;
             }
             Err(e) => {
-                run.broke = true;
-                if !killed(world, began) {
-                    println!("{id}: no answer after {:?}: {e}", began.elapsed());
+                submission.connection_lost = true;
+                if !was_killed_since(world, began) {
+                    println!("{id}: no response after {:?}: {e}", began.elapsed());
                 }
                 break;
             }
         }
     }
-    run
+    submission
 }
 
 /// Counts what became of a job.
-fn count_run(world: &World, id: &str, began: Instant, run: &JobRun) {
-    let &JobRun { end, broke, sent, was_deserted } = run;
-    let mut figures = held(&world.figures);
+fn count_submission(world: &World, id: &str, began: Instant, submission: &Submission) {
+    let &Submission { response, connection_lost, sent, saw_all_terminated } = submission;
+    let mut figures = lock(&world.figures);
     // Each try found nobody, or a close that crossed it, while both processes were gone: it was never handed in.
-    if end.is_none() && !broke && was_deserted {
+    if response.is_none() && !connection_lost && saw_all_terminated {
         return;
     }
     figures.jobs += 1;
-    match end {
+    match response {
         Some((200, true)) => figures.served += 1,
         Some((200, false)) => figures.answered_twice += 1,
         Some(_) => {}
-        None if killed(world, began) => figures.killed += 1,
+        None if was_killed_since(world, began) => figures.killed += 1,
         None => {
-            println!("{id}: no answer in three tries over {:?}", began.elapsed());
+            println!("{id}: no response in three attempts over {:?}", began.elapsed());
             figures.unanswered += 1;
         }
     }
     // What comes to a frozen process waits for its thaw, and has its time from then on.
-    let froze = held(&world.freezes).iter().any(|f| *f + FREEZE >= sent);
-    let most = DEADLINE + Duration::from_millis(500) + if froze { FREEZE } else { Duration::ZERO };
-    if end.is_some() && sent.elapsed() > most {
+    let was_frozen = lock(&world.frozen_at).iter().any(|f| *f + FREEZE_TIME >= sent);
+    let max =
+        JOB_DEADLINE + Duration::from_millis(500) + if was_frozen { FREEZE_TIME } else { Duration::ZERO };
+    if response.is_some() && sent.elapsed() > max {
         println!("{id}: answered after {:?}", sent.elapsed());
         figures.unanswered += 1;
     }
@@ -351,10 +361,10 @@
     binary: &Path,
     config: &Path,
     notes: &Path,
-    full: Option<&Path>,
+    full_disk_note: Option<&Path>,
 ) -> Result<Process, RigError> {
-    let mut command = Command::new(full.map_or(binary, |_| Path::new("/bin/sh")));
-    if let Some(note) = full {
+    let mut command = Command::new(full_disk_note.map_or(binary, |_| Path::new("/bin/sh")));
+    if let Some(note) = full_disk_note {
         command.args(["-c", r#"ln -s /dev/full "$0.$$" && exec "$1""#]).arg(note).arg(binary);
     }
     command.env("LB_CONFIG", config).env("TMPDIR", notes);
@@ -362,25 +372,25 @@
 }
 
 /// Waits for a process's end, at a kill after the time that the platform gives; how many call-backs it passed on.
-fn end(mut process: Process, world: &World) -> Result<u64, RigError> {
+fn await_exit(mut process: Process, world: &World) -> Result<u64, RigError> {
     let end = Instant::now() + Duration::from_millis(3700);
-    while !process.ended()? {
+    while !process.has_exited()? {
         if Instant::now() > end {
-            held(&world.kills).push(Instant::now());
+            lock(&world.killed_at).push(Instant::now());
             process.kill();
         }
         thread::sleep(Duration::from_millis(5));
     }
     let mut text = String::new();
-    if let Some(mut log) = process.log() {
-        tried("its log", log.read_to_string(&mut text))?;
+    if let Some(mut log) = process.take_log() {
+        io_context("log of the program", log.read_to_string(&mut text))?;
     }
-    let passed = text.lines().find_map(|l| l.strip_prefix("passed_on ")?.parse().ok());
-    Ok(passed.unwrap_or(0))
+    let passed_on = text.lines().find_map(|l| l.strip_prefix("passed_on ")?.parse().ok());
+    Ok(passed_on.unwrap_or(0))
 }
 
 fn kill(process: Process, world: &World) {
-    held(&world.kills).push(Instant::now());
+    lock(&world.killed_at).push(Instant::now());
     drop(process);
 }
 
@@ -388,7 +398,7 @@
     let class = |name: &str, semantics: &str| {
         format!(r#"{{"name":"{name}","aim":2000000,"hardLimit":4000000,"semantics":"{semantics}"}}"#)
     };
-    let hosts = world.dials.iter().enumerate().map(|(n, dial)| {
+    let hosts = world.worker_addresses.iter().enumerate().map(|(n, dial)| {
         format!(r#"{{"host":"s-{n}","dial":"{dial}","health":"up","share":1.0,"born_ms":0}}"#)
     });
     let hosts: Vec<String> = hosts.collect();
@@ -407,18 +417,18 @@
 }
 
 /// Damages what the old process has left for the new one, or keeps the new one from leaving anything.
-fn damage(notes: &Path, fault: Fault) -> Result<(), RigError> {
-    for entry in tried("the notes", std::fs::read_dir(notes))?.flatten() {
+fn break_notes(notes: &Path, fault: Fault) -> Result<(), RigError> {
+    for entry in io_context("directory of the handover notes", std::fs::read_dir(notes))?.flatten() {
         let path = entry.path();
         if path.extension().is_none_or(|e| e != "handover") {
             continue;
         }
         match fault {
-            Fault::Torn => tried("a note", std::fs::write(&path, "micabeam-handover 1 pid="))?,
+            Fault::Torn => io_context("handover note", std::fs::write(&path, "micabeam-handover 1 pid="))?,
             // A directory in its place cannot be replaced by a file.
             Fault::NoRoom => {
                 let _ = std::fs::remove_file(&path);
-                tried("a note", std::fs::create_dir_all(path.join("full")))?;
+                io_context("handover note", std::fs::create_dir_all(path.join("full")))?;
             }
             _ => {}
         }
@@ -427,7 +437,7 @@
 }
 
 /// One upgrade: starts a process beside the one that serves, and ends that one. Gives the one that serves then.
-fn round(
+fn run_upgrade(
     world: &World,
     old: Process,
     fault: Fault,
@@ -447,8 +457,8 @@
         let third = start(false)?;
         third.await_ready()?;
         new.signal("TERM")?;
-        let passed = end(new, world)?;
-        held(&world.figures).callbacks_other += passed;
+        let passed_on = await_exit(new, world)?;
+        lock(&world.figures).callbacks_other += passed_on;
         third
     } else {
         new
@@ -457,13 +467,13 @@
     match fault {
         Fault::Both => {
             new.signal("TERM")?;
-            world.deserted.store(true, Ordering::Relaxed);
-            let passed = end(old, world)? + end(new, world)?;
-            held(&world.figures).callbacks_other += passed;
+            world.all_terminated.store(true, Ordering::Relaxed);
+            let passed_on = await_exit(old, world)? + await_exit(new, world)?;
+            lock(&world.figures).callbacks_other += passed_on;
             let next = start(false)?;
-            *held(&world.unread) = Some(Instant::now());
+            *lock(&world.list_unread_since) = Some(Instant::now());
             next.await_ready()?;
-            world.deserted.store(false, Ordering::Relaxed);
+            world.all_terminated.store(false, Ordering::Relaxed);
             return Ok(next);
         }
         Fault::OldKilled => {
@@ -474,14 +484,14 @@
         Fault::OldFrozen => {
             thread::sleep(Duration::from_millis(100));
             old.signal("STOP")?;
-            held(&world.freezes).push(Instant::now());
-            thread::sleep(FREEZE);
+            lock(&world.frozen_at).push(Instant::now());
+            thread::sleep(FREEZE_TIME);
             old.signal("CONT")?;
         }
         _ => {}
     }
-    let passed = end(old, world)?;
-    held(&world.figures).callbacks_other += passed;
+    let passed_on = await_exit(old, world)?;
+    lock(&world.figures).callbacks_other += passed_on;
     Ok(new)
 }
 
@@ -501,32 +511,32 @@
         let binary = crate::program::build()?;
         let notes: PathBuf =
             std::env::temp_dir().join(format!("micabeam-upgrade-{}-{}", std::process::id(), plan.seed));
-        tried("the notes", std::fs::create_dir_all(&notes))?;
-        let listen = || tried("a stand-in", TcpListener::bind("127.0.0.1:0"));
+        io_context("directory of the handover notes", std::fs::create_dir_all(&notes))?;
+        let listen = || io_context("stand-in", TcpListener::bind("127.0.0.1:0"));
         let workers = (0..WORKERS).map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
         let lists = listen()?;
         let pid = std::process::id();
         // An address that nothing else of this machine's tests listens at.
         let address =
             SocketAddr::from(([127, 201 + (pid >> 8) as u8 % 50, pid as u8, plan.seed as u8], 8081));
-        let local = |l: &TcpListener| tried("a stand-in", l.local_addr());
+        let local = |l: &TcpListener| io_context("stand-in", l.local_addr());
         let world = Arc::new(World {
             address,
-            dials: workers.iter().map(local).collect::<Result<_, _>>()?,
-            over: AtomicBool::new(false),
-            deserted: AtomicBool::new(false),
+            worker_addresses: workers.iter().map(local).collect::<Result<_, _>>()?,
+            stopping: AtomicBool::new(false),
+            all_terminated: AtomicBool::new(false),
             runs: Mutex::default(),
-            kills: Mutex::default(),
-            freezes: Mutex::default(),
+            killed_at: Mutex::default(),
+            frozen_at: Mutex::default(),
             list: Mutex::new((1, None)),
-            unread: Mutex::default(),
+            list_unread_since: Mutex::default(),
             figures: Mutex::default(),
-            next: AtomicU64::new(0),
+            next_job: AtomicU64::new(0),
         });
         let file = notes.join("config.json");
-        tried("the configuration", std::fs::write(&file, config(&world, local(&lists)?)))?;
-        workers.into_iter().enumerate().for_each(|(n, l)| stand(&world, l, worker, n));
-        stand(&world, lists, discovery, 0);
+        io_context("write the configuration", std::fs::write(&file, config(&world, local(&lists)?)))?;
+        workers.into_iter().enumerate().for_each(|(n, l)| serve_stand_in(&world, l, worker, n));
+        serve_stand_in(&world, lists, discovery, 0);
         let note = micabeam::frontend::handover::note_path(&notes, address);
         Ok(Testbed { world, binary, notes, config: file, note })
     }
@@ -548,31 +558,37 @@
     }
 
     /// Drains another worker, or none.
-    fn change_list(&self, draws: &mut fastrand::Rng) {
-        let mut list = held(&self.world.list);
-        let drains = draws.u64(..WORKERS as u64 + 1) as usize;
+    fn change_list(&self, rng: &mut fastrand::Rng) {
+        let mut list = lock(&self.world.list);
+        let drains = rng.u64(..WORKERS as u64 + 1) as usize;
         *list = (list.0 + 1, (drains < WORKERS).then(|| (drains, Instant::now())));
     }
 
     /// Plays one upgrade with a fault. Gives the process that serves then.
-    fn play(&self, serving: Process, fault: Fault, draws: &mut fastrand::Rng) -> Result<Process, RigError> {
-        self.change_list(draws);
-        damage(&self.notes, fault)?;
+    fn run_round(
+        &self,
+        serving: Process,
+        fault: Fault,
+        rng: &mut fastrand::Rng,
+    ) -> Result<Process, RigError> {
+        self.change_list(rng);
+        break_notes(&self.notes, fault)?;
         if fault == Fault::Full {
             let memory = self.note.with_extension(format!("memory.{}", serving.id()));
-            tried("a full disk", std::os::unix::fs::symlink("/dev/full", memory))?;
+            io_context("link to /dev/full", std::os::unix::fs::symlink("/dev/full", memory))?;
         }
-        thread::sleep(Duration::from_millis(draws.u64(..300)));
-        let serving = round(&self.world, serving, fault, &|full| self.start_process(full))?;
+        thread::sleep(Duration::from_millis(rng.u64(..300)));
+        let serving = run_upgrade(&self.world, serving, fault, &|full| self.start_process(full))?;
         if matches!(fault, Fault::NoRoom | Fault::Full) {
-            self.make_room()?;
+            self.clear_note_faults()?;
         }
         Ok(serving)
     }
 
     /// Takes away what kept processes from leaving anything.
-    fn make_room(&self) -> Result<(), RigError> {
-        for entry in tried("the notes", std::fs::read_dir(&self.notes))?.flatten() {
+    fn clear_note_faults(&self) -> Result<(), RigError> {
+        for entry in io_context("directory of the handover notes", std::fs::read_dir(&self.notes))?.flatten()
+        {
             let _ = std::fs::remove_dir_all(entry.path().join("full"));
             let _ = std::fs::remove_dir(entry.path());
             if entry.file_type().is_ok_and(|kind| kind.is_symlink()) {
@@ -585,11 +601,11 @@
     /// The figures of a run that is over.
     fn figures(&self, plan: &Plan) -> Figures {
         let number = |id: &str| id[1..].parse::<u64>().unwrap_or(0);
-        let runs = held(&self.world.runs);
+        let runs = lock(&self.world.runs);
         let twice =
             runs.iter().filter(|(id, runs)| **runs > 1 && !number(id).is_multiple_of(3)).count() as u64;
         drop(runs);
-        let mut figures = *held(&self.world.figures);
+        let mut figures = *lock(&self.world.figures);
         (figures.rounds, figures.unsafe_ran_twice) = (plan.rounds, twice);
         figures
     }
@@ -604,20 +620,20 @@
     let mut serving = testbed.start_process(false)?;
     serving.await_ready()?;
     let clients = testbed.start_clients(plan);
-    let mut draws = fastrand::Rng::with_seed(plan.seed);
+    let mut rng = fastrand::Rng::with_seed(plan.seed);
     for number in 0..plan.rounds {
-        let fault = FAULTS[draws.u64(..FAULTS.len() as u64) as usize];
+        let fault = FAULTS[rng.u64(..FAULTS.len() as u64) as usize];
         println!("round {number}: {fault:?}");
-        serving = testbed.play(serving, fault, &mut draws)?;
+        serving = testbed.run_round(serving, fault, &mut rng)?;
     }
-    testbed.world.over.store(true, Ordering::Relaxed);
+    testbed.world.stopping.store(true, Ordering::Relaxed);
     for client in clients {
-        client.join().map_err(|_| RigError::Disproved("a client panicked".into()))?;
+        client.join().map_err(|_| RigError::CheckFailed("a client panicked".into()))?;
     }
     serving.signal("TERM")?;
-    let passed = end(serving, &testbed.world)?;
+    let passed_on = await_exit(serving, &testbed.world)?;
     let _ = std::fs::remove_dir_all(&testbed.notes);
     let mut figures = testbed.figures(plan);
-    figures.callbacks_other += passed;
+    figures.callbacks_other += passed_on;
     Ok(figures)
 }
--- a/rig/src/zones/check.rs
+++ b/rig/src/zones/check.rs
@@ -6,7 +6,7 @@
 use super::stage::Played;
 use super::world::{Read, World};
 use super::{DRAIN, Fault, Figures};
-use crate::http::held;
+use crate::http::lock;
 
 /// A zone's state in a line of states.
 pub(super) fn state(states: &str, zone: usize) -> &str {
@@ -20,10 +20,10 @@
 /// Reads the processes' logs and the workers' arrivals.
 pub(super) fn check(world: &World, played: &[Played], figures: &mut Figures) {
     let number = |id: &str| id.split('-').nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
-    let runs = held(&world.runs);
+    let runs = lock(&world.runs);
     figures.unsafe_ran_twice =
         runs.iter().filter(|(id, runs)| **runs > 1 && !number(id).is_multiple_of(3)).count() as u64;
-    let mut reads = held(&world.reads).clone();
+    let mut reads = lock(&world.reads).clone();
     reads.sort_by_key(|read| read.at);
     let tables = check_agreement(world, played, &reads, figures);
     figures.decisions = tables.len() as u64;
@@ -126,7 +126,7 @@
             let known = own[..at].iter().rposition(|r| !closed(r)).map_or(own[0].at, |open| own[open + 1].at);
             let next = own.get(at + 1).map(|next| next.at);
             let since = read.at.max(known + DRAIN);
-            let late = held(&world.arrivals)
+            let late = lock(&world.arrivals)
                 .iter()
                 .filter(|a| a.process == process && a.zone == zone && a.at > since)
                 .filter(|a| next.or(until).is_none_or(|next| a.at < next))
--- a/rig/src/zones/mod.rs
+++ b/rig/src/zones/mod.rs
@@ -12,9 +12,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::datagrams::{Addresses, Datagrams};
-use crate::http::held;
-use crate::{RigError, proved, tried};
+use crate::datagrams::{Addresses, DatagramProxy};
+use crate::http::lock;
+use crate::{RigError, check_invariants, io_context};
 use check::check;
 use stage::{Played, Stage, script, write_files};
 use world::{World, Zone, client, discovery, stand, worker};
@@ -198,7 +198,7 @@
     ///
     /// # Errors
     /// Where a figure disproves what the experiment is to show.
-    pub fn proves(&self) -> Result<(), RigError> {
+    pub fn verify(&self) -> Result<(), RigError> {
         let zeros = [
             ("epochs_back", self.epochs_back),
             ("two_leaders_acted", self.two_leaders_acted),
@@ -210,7 +210,7 @@
             ("fallen", self.fallen),
             ("late_drains", self.late_drains),
         ];
-        proved(&zeros, self.jobs, self.served)
+        check_invariants(&zeros, self.jobs, self.served)
     }
 }
 
@@ -221,18 +221,18 @@
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let binary = crate::program::build()?;
     let dir = std::env::temp_dir().join(format!("micabeam-zones-{}-{}", std::process::id(), plan.seed));
-    tried("the files", std::fs::create_dir_all(&dir))?;
+    io_context("the files", std::fs::create_dir_all(&dir))?;
     let result = played(plan, binary, &dir);
     let _ = std::fs::remove_dir_all(&dir);
     result
 }
 
 fn local(listener: &TcpListener) -> Result<std::net::SocketAddr, RigError> {
-    tried("a stand-in", listener.local_addr())
+    io_context("a stand-in", listener.local_addr())
 }
 
 fn listen() -> Result<TcpListener, RigError> {
-    tried("a stand-in", TcpListener::bind("127.0.0.1:0"))
+    io_context("a stand-in", TcpListener::bind("127.0.0.1:0"))
 }
 
 /// Starts the workers and the discovery that the dispatchers of each zone see: through ports of their own. Gives the address
@@ -278,18 +278,18 @@
 fn measure_calm(world: &World, stage: &Stage) -> Result<(f64, f64), RigError> {
     thread::sleep(Duration::from_secs(1));
     world.calm.store(true, Ordering::Relaxed);
-    let (before, began, used) = (stage.layer.passed().1, Instant::now(), stage.used()?);
+    let (before, began, used) = (stage.layer.received().1, Instant::now(), stage.used()?);
     thread::sleep(Duration::from_secs(3));
     let used = (stage.used()? - used) / began.elapsed().as_secs_f64();
     world.calm.store(false, Ordering::Relaxed);
-    let bytes = (stage.layer.passed().1 - before) as f64 / began.elapsed().as_secs_f64();
+    let bytes = (stage.layer.received().1 - before) as f64 / began.elapsed().as_secs_f64();
     Ok((used, bytes))
 }
 
 fn played(plan: &Plan, binary: PathBuf, dir: &Path) -> Result<Figures, RigError> {
-    let Addresses { clients, datagrams: addresses } = Addresses::free(plan.dispatchers, plan.seed)?;
-    let layer = Datagrams::start(&addresses, plan.seed)?;
-    layer.change(|w| w.delay_ms = 1);
+    let Addresses { clients, datagrams: addresses } = Addresses::find_free(plan.dispatchers, plan.seed)?;
+    let layer = DatagramProxy::start(&addresses, plan.seed)?;
+    layer.set_faults(|w| w.max_delay_ms = 1);
     let world = Arc::new(World {
         plan: *plan,
         clients,
@@ -324,10 +324,10 @@
     let played = play_script(plan, &mut stage)?;
     world.over.store(true, Ordering::Relaxed);
     for thread in threads {
-        thread.join().map_err(|_| RigError::Disproved("a client panicked".into()))?;
+        thread.join().map_err(|_| RigError::CheckFailed("a client panicked".into()))?;
     }
     drop(stage);
-    let mut figures = *held(&world.figures);
+    let mut figures = *lock(&world.figures);
     figures.faults = played.len() as u64;
     figures.cpu_ms_s = used * 1e3 / plan.dispatchers as f64;
     figures.bytes_s = (bytes / plan.dispatchers as f64) as u64;
--- a/rig/src/zones/stage.rs
+++ b/rig/src/zones/stage.rs
@@ -10,11 +10,11 @@
 
 use super::world::{Away, Read, World};
 use super::{Fault, JOINS, Plan, SLOTS};
-use crate::datagrams::Datagrams;
-use crate::http::held;
+use crate::datagrams::DatagramProxy;
+use crate::http::lock;
 use crate::process::Process;
 use crate::program::usage;
-use crate::{RigError, tried};
+use crate::{RigError, io_context};
 
 /// Reads a process's log for decisions.
 fn follow(world: &Arc<World>, process: &mut Process, number: usize, life: u32) {
@@ -36,7 +36,7 @@
         };
         if let (Some(epoch), Some(states)) = (of("epoch").and_then(|e| e.parse().ok()), of("states")) {
             let states = states.to_string();
-            held(&world.reads).push(Read { process: number, life, at, epoch, states });
+            lock(&world.reads).push(Read { process: number, life, at, epoch, states });
         }
     });
 }
@@ -47,7 +47,7 @@
     dir: &Path,
     lists: &[(SocketAddr, String)],
     addresses: &[SocketAddr],
-    layer: &Datagrams,
+    layer: &DatagramProxy,
     number: usize,
 ) -> Result<(), RigError> {
     let (plan, home) = (&world.plan, world.home(number));
@@ -70,7 +70,7 @@
         class("search", "retryable"),
         class("confirm", "fragile"),
     );
-    tried("the configuration", std::fs::write(dir.join(format!("{number}.json")), config))?;
+    io_context("the configuration", std::fs::write(dir.join(format!("{number}.json")), config))?;
     let voters = if plan.dispatchers >= 5 { 5 } else { 3 };
     let mut file = format!(
         "[fleet]\ncluster = \"rig\"\nname = \"n{number}\"\nstate = \"{}\"\nzones = [{}]\nslots = {SLOTS}\n",
@@ -78,7 +78,7 @@
         names.join(", "),
     );
     for member in 0..plan.dispatchers {
-        let address = if member == number { addresses[number] } else { layer.door(number, member) };
+        let address = if member == number { addresses[number] } else { layer.proxy_address(number, member) };
         // Voters in all zones.
         let voter = (0..voters).any(|v| v * plan.dispatchers / voters == member);
         file += &format!(
@@ -86,7 +86,7 @@
             world.home(member)
         );
     }
-    tried("the operator's file", std::fs::write(dir.join(format!("{number}.toml")), file))
+    io_context("the operator's file", std::fs::write(dir.join(format!("{number}.toml")), file))
 }
 
 /// A fault that was played, as the checker needs it.
@@ -100,7 +100,7 @@
 /// The run's processes and what is between them.
 pub(super) struct Stage {
     pub(super) world: Arc<World>,
-    pub(super) layer: Datagrams,
+    pub(super) layer: DatagramProxy,
     pub(super) processes: Vec<Option<Process>>,
     pub(super) lives: Vec<u32>,
     pub(super) binary: PathBuf,
@@ -118,14 +118,14 @@
         let mut process = Process::start(command)?;
         follow(&self.world, &mut process, number, self.lives[number]);
         self.processes[number] = Some(process);
-        for away in held(&self.world.away).iter_mut().filter(|a| a.process == number) {
+        for away in lock(&self.world.away).iter_mut().filter(|a| a.process == number) {
             away.until.get_or_insert_with(Instant::now);
         }
         Ok(())
     }
 
     pub(super) fn gone(&self, number: usize) {
-        held(&self.world.away).push(Away { process: number, from: Instant::now(), until: None });
+        lock(&self.world.away).push(Away { process: number, from: Instant::now(), until: None });
     }
 
     /// Processor time of all, in seconds.
@@ -135,7 +135,7 @@
     }
 
     pub(super) fn leader(&self) -> usize {
-        let leads = |p: &Option<Process>| p.as_ref().is_some_and(|p| p.figure("lb_fleet_leads") == Some(1.0));
+        let leads = |p: &Option<Process>| p.as_ref().is_some_and(|p| p.metric("lb_fleet_leads") == Some(1.0));
         self.processes.iter().position(leads).unwrap_or(0)
     }
 
@@ -144,7 +144,7 @@
         let world = &self.world;
         for other in (0..world.plan.zones).filter(|other| *other != zone) {
             for (one, two) in [(zone, other), (other, zone)] {
-                let mut parted = held(&world.zones[one].cut);
+                let mut parted = lock(&world.zones[one].cut);
                 if cut {
                     parted.insert(two)
                 } else {
@@ -153,7 +153,7 @@
             }
         }
         let count = world.plan.dispatchers;
-        self.layer.change(|weather| {
+        self.layer.set_faults(|weather| {
             for a in 0..count {
                 for b in (0..count).filter(|b| (world.home(a) == zone) != (world.home(*b) == zone)) {
                     if cut {
@@ -201,9 +201,11 @@
             Fault::AllSlow => self.play_slow(lasts),
             Fault::Crowded(zone) => self.play_crowded(zone, lasts),
             Fault::Lossy => {
-                self.layer.change(|w| (w.lost, w.doubled, w.delay_ms) = (300, 50, 60));
+                self.layer
+                    .set_faults(|w| (w.lost_per_1000, w.duplicated_per_1000, w.max_delay_ms) = (300, 50, 60));
                 thread::sleep(lasts);
-                self.layer.change(|w| (w.lost, w.doubled, w.delay_ms) = (0, 0, 1));
+                self.layer
+                    .set_faults(|w| (w.lost_per_1000, w.duplicated_per_1000, w.max_delay_ms) = (0, 0, 1));
             }
             Fault::AllRestarted => {
                 for number in 0..count {
@@ -226,9 +228,9 @@
 
     /// Cuts these ways between processes for a time.
     fn play_cut(&self, pairs: &[(usize, usize)], lasts: Duration) {
-        self.layer.change(|w| w.cut.extend(pairs));
+        self.layer.set_faults(|w| w.cut.extend(pairs));
         thread::sleep(lasts);
-        self.layer.change(|w| w.cut.clear());
+        self.layer.set_faults(|w| w.cut.clear());
     }
 
     /// Cuts all ways between processes of unlike parts for a time.
@@ -248,7 +250,7 @@
             process.signal("CONT")?;
         }
         let now = Instant::now();
-        held(&self.world.away).iter_mut().filter(|a| a.until.is_none()).for_each(|a| a.until = Some(now));
+        lock(&self.world.away).iter_mut().filter(|a| a.until.is_none()).for_each(|a| a.until = Some(now));
         Ok(())
     }
 
@@ -285,13 +287,13 @@
         let all = self.world.plan.dispatchers as f64;
         loop {
             let ready = self.processes.iter().flatten().all(|p| {
-                p.figure("lb_fleet_members_up") == Some(all) && p.figure("lb_fleet_standing") == Some(0.0)
+                p.metric("lb_fleet_members_up") == Some(all) && p.metric("lb_fleet_standing") == Some(0.0)
             });
             if ready {
                 return Ok(());
             }
             if Instant::now() > end {
-                return Err(RigError::Disproved("the fleet does not come up".into()));
+                return Err(RigError::CheckFailed("the fleet does not come up".into()));
             }
             thread::sleep(Duration::from_millis(100));
         }
--- a/rig/src/zones/world.rs
+++ b/rig/src/zones/world.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use super::{DEADLINE, FALLS, Figures, LONG, Plan, SLOTS};
-use crate::http::{Got, Http, hand_in, header, held, serve, told};
+use crate::http::{Http, JobResponse, header, lock, post_job_event, serve, submit_job};
 
 /// How a zone's servers behave now.
 #[derive(Default)]
@@ -72,13 +72,13 @@
 
     /// Whether nothing passes between two zones.
     pub(super) fn parted(&self, one: usize, other: usize) -> bool {
-        one != other && held(&self.zones[one].cut).contains(&other)
+        one != other && lock(&self.zones[one].cut).contains(&other)
     }
 
     /// Whether a process was away at some time between two.
     pub(super) fn was_away(&self, process: usize, from: Instant, until: Instant) -> bool {
         let slack = Duration::from_secs(1);
-        held(&self.away).iter().any(|a| {
+        lock(&self.away).iter().any(|a| {
             a.process == process && a.from <= until && a.until.is_none_or(|back| back + slack >= from)
         })
     }
@@ -100,7 +100,7 @@
     if world.zones[zone].dead.load(Ordering::Relaxed) {
         return refuse(&stream);
     }
-    let Ok(mut http) = Http::over(stream, Duration::from_secs(120)) else { return };
+    let Ok(mut http) = Http::from_stream(stream, Duration::from_secs(120)) else { return };
     while let Ok((head, _)) = http.read() {
         if world.zones[zone].dead.load(Ordering::Relaxed) {
             return refuse(http.0.get_ref());
@@ -117,11 +117,11 @@
             continue;
         };
         let process = id.split('-').next().and_then(|p| p.parse().ok()).unwrap_or(0);
-        held(&world.arrivals).push(Arrival { process, zone, at: Instant::now() });
-        *held(&world.runs).entry(id.clone()).or_default() += 1;
+        lock(&world.arrivals).push(Arrival { process, zone, at: Instant::now() });
+        *lock(&world.runs).entry(id.clone()).or_default() += 1;
         let inside = world.inside[zone][number].fetch_add(1, Ordering::Relaxed) + 1;
         if inside == SLOTS * FALLS {
-            held(&world.figures).fallen += 1;
+            lock(&world.figures).fallen += 1;
         }
         let taken = http.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").is_ok();
         let world = Arc::clone(world);
@@ -144,7 +144,9 @@
     let (from, result) = (format!("s-{zone}-{number}"), format!("{zone} {id}"));
     for _ in 0..10 {
         let passes = !world.parted(zone, world.home(process));
-        if passes && told(world.clients[process], Duration::from_secs(1), id, &from, "done", &result) {
+        if passes
+            && post_job_event(world.clients[process], Duration::from_secs(1), id, &from, "done", &result)
+        {
             return;
         }
         thread::sleep(Duration::from_millis(100));
@@ -153,7 +155,7 @@
 
 /// Discovery of one zone's dispatchers: a list that does not change.
 pub(super) fn discovery(world: &Arc<World>, list: &str, stream: TcpStream) {
-    let Ok(mut http) = Http::over(stream, Duration::from_secs(120)) else { return };
+    let Ok(mut http) = Http::from_stream(stream, Duration::from_secs(120)) else { return };
     while let Ok((head, _)) = http.read() {
         let target = head.split(' ').nth(1).unwrap_or("");
         let of =
@@ -183,14 +185,14 @@
         let id = format!("{process}-{number}");
         let calm = world.calm.load(Ordering::Relaxed);
         let hopeless = world.hopeless.load(Ordering::Relaxed);
-        let Got { answer, advised, kept, more } =
-            hand_in(&mut conn, world.clients[process], DEADLINE, class, &id);
+        let JobResponse { answer, has_retry_after, reused, had_extra_bytes } =
+            submit_job(&mut conn, world.clients[process], DEADLINE, class, &id);
         let took = began.elapsed();
         let away = world.was_away(process, began, Instant::now());
         let mut got_it = false;
-        let mut figures = held(&world.figures);
+        let mut figures = lock(&world.figures);
         figures.jobs += 1;
-        figures.answered_twice += u64::from(more);
+        figures.answered_twice += u64::from(had_extra_bytes);
         match answer {
             Ok((200, body)) => {
                 let (zone, served) = body.split_once(' ').unwrap_or(("", ""));
@@ -205,10 +207,10 @@
                     }
                 }
             }
-            Ok((_, _)) => figures.refused += u64::from(advised),
+            Ok((_, _)) => figures.refused += u64::from(has_retry_after),
             Err(_) if away => figures.away += 1,
             // A kept connection that closed as the request was written: nobody has read it.
-            Err(_) if kept && !held(&world.runs).contains_key(&id) => figures.jobs -= 1,
+            Err(_) if reused && !lock(&world.runs).contains_key(&id) => figures.jobs -= 1,
             Err(e) => {
                 println!("{id}: no answer after {took:?}: {e}");
                 figures.unanswered += 1;
--- a/rig/tests/rollout.rs
+++ b/rig/tests/rollout.rs
@@ -9,7 +9,7 @@
         let figures = experiment(&Plan { dispatchers: 5, seconds: 15, seed, agreed: true })
             .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         println!("seed {seed}: {}", figures.line());
-        figures.proves().unwrap();
+        figures.verify().unwrap();
         assert!(figures.committed >= 7 && figures.faults >= 3, "{}", figures.line());
         assert!(figures.change_ms_worst <= 1000, "{}", figures.line());
     }
@@ -20,5 +20,5 @@
 fn without_agreement_the_checker_finds_what_is_old_after_what_is_new() {
     let figures = experiment(&Plan { dispatchers: 5, seconds: 0, seed: 9, agreed: false }).unwrap();
     println!("{}", figures.line());
-    assert!(figures.old_after_new > 0 && figures.proves().is_err(), "{}", figures.line());
+    assert!(figures.old_after_new > 0 && figures.verify().is_err(), "{}", figures.line());
 }
--- a/rig/tests/scale.rs
+++ b/rig/tests/scale.rs
@@ -16,7 +16,7 @@
     let sizes = [15, 30, 60, 120];
     let figures = sizes.map(|members| play(&Plan { members, ..Plan::default() }));
     for each in &figures {
-        each.proves().unwrap();
+        each.verify().unwrap();
         assert!(
             each.member_bytes_s <= 5000.0 && each.leader_changes == 0 && each.lapsed == 0,
             "{}",
@@ -48,7 +48,7 @@
     for seed in 1..5 {
         let plan = Plan { members: 60, deaths: 4, leader_lost: true, seed, ..Plan::default() };
         let figures = play(&plan);
-        figures.proves().unwrap();
+        figures.verify().unwrap();
         assert!(figures.change_ms_worst <= 3000.0, "seed {seed}: {}", figures.line());
         assert!(figures.lapsed == 0 && figures.unfinished == 0, "seed {seed}: {}", figures.line());
     }
@@ -58,7 +58,7 @@
 #[test]
 fn restarts_hold_up_no_change_for_a_lease() {
     let figures = play(&Plan { members: 60, restarts: 20, ..Plan::default() });
-    figures.proves().unwrap();
+    figures.verify().unwrap();
     assert!(figures.change_ms_worst <= 1500.0 && figures.unfinished == 0, "{}", figures.line());
 }
 
@@ -78,7 +78,7 @@
             seed,
             ..Plan::default()
         });
-        figures.proves().unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        figures.verify().unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert!(figures.changes >= 3 && figures.unfinished == 0, "seed {seed}: {}", figures.line());
     }
 }
@@ -87,7 +87,7 @@
 #[test]
 fn without_leases_the_checker_finds_what_is_old_after_what_is_new() {
     let figures = play(&Plan { members: 20, freezes: 5, keeps_leases: false, ..Plan::default() });
-    assert!(figures.old_after_new > 0 && figures.proves().is_err(), "{}", figures.line());
+    assert!(figures.old_after_new > 0 && figures.verify().is_err(), "{}", figures.line());
 }
 
 /// Guards against a table that drops lines without a word: the size that is planned for fits, and beyond the bound it shows.
@@ -97,7 +97,7 @@
     assert_eq!(play(&Plan { workers: 16_000, ..small.clone() }).dropped_workers, 0);
     let beyond = play(&Plan { workers: MAX_ENDPOINTS + 10, ..small });
     assert_eq!(beyond.dropped_workers, 10);
-    assert!(beyond.proves().is_err());
+    assert!(beyond.verify().is_err());
 }
 
 /// What cannot be played is told in a line.
--- a/rig/tests/soak.rs
+++ b/rig/tests/soak.rs
@@ -15,7 +15,7 @@
     for run in runs {
         let figures = run.join().unwrap();
         println!("{figures}");
-        figures.proves().unwrap();
+        figures.verify().unwrap();
     }
 }
 
@@ -23,7 +23,7 @@
 fn serves_under(call_faults: &str, seed: u64) {
     let SteadyRun { figures, cpu_s } = steady(call_faults, 5, seed).unwrap();
     println!("{call_faults}: {figures} cpu_s={cpu_s:.2}");
-    figures.proves().unwrap();
+    figures.verify().unwrap();
     let unserved = figures.requests - figures.served - figures.left;
     assert!(unserved * 50 <= figures.requests, "{call_faults}: {unserved} not served, {figures}");
     assert!(cpu_s < 0.5, "{call_faults}: {cpu_s:.2} s of processor time in 5 s");
--- a/rig/tests/streams.rs
+++ b/rig/tests/streams.rs
@@ -18,7 +18,7 @@
         bare_bytes: 0,
     };
     let figures = experiment(&plan).unwrap();
-    figures.proves(&plan).unwrap();
+    figures.verify(&plan).unwrap();
     assert_eq!(figures.completed, plan.count, "{}", figures.line());
 }
 
@@ -38,6 +38,6 @@
         bare_bytes: 0,
     };
     let figures = experiment(&plan).unwrap();
-    figures.proves(&plan).unwrap();
+    figures.verify(&plan).unwrap();
     assert_eq!((figures.completed, figures.failed_clean), (8, 8), "{}", figures.line());
 }
--- a/rig/tests/upgrade.rs
+++ b/rig/tests/upgrade.rs
@@ -6,6 +6,6 @@
 #[test]
 fn upgrades_under_load_lose_and_repeat_nothing() {
     let figures = experiment(&Plan { rounds: 10, rate: 60, seed: 3 }).unwrap();
-    figures.proves().unwrap();
+    figures.verify().unwrap();
     assert!(figures.callbacks_other > 0, "the seam was used: {}", figures.line());
 }
--- a/rig/tests/zones.rs
+++ b/rig/tests/zones.rs
@@ -11,7 +11,7 @@
     for seed in 1..4 {
         let figures = experiment(&Plan { seed, ..PLAN }).unwrap();
         println!("seed {seed}: {}", figures.line());
-        figures.proves().unwrap();
+        figures.verify().unwrap();
         assert!(figures.share() > 0.9, "served of the ideal: {}", figures.line());
         assert!(figures.near * 100 > figures.calm * 99, "near: {}", figures.line());
     }
@@ -22,7 +22,7 @@
 fn what_the_neighbours_have_no_room_for_is_refused_at_home() {
     let only = Some(Fault::Crowded(0));
     let figures = experiment(&Plan { seconds: 16, seed: 6, rate: 35, only, ..PLAN }).unwrap();
-    figures.proves().unwrap();
+    figures.verify().unwrap();
     assert!(figures.refused > 0, "{}", figures.line());
 }
 
@@ -43,7 +43,7 @@
         let plan = Plan { seconds: 6, seed: 10 + at as u64, only: Some(fault), ..PLAN };
         let figures = experiment(&plan).unwrap();
         println!("{fault:?}: {}", figures.line());
-        figures.proves().unwrap_or_else(|e| panic!("{fault:?}: {e}"));
+        figures.verify().unwrap_or_else(|e| panic!("{fault:?}: {e}"));
         assert!(figures.share() > 0.9, "{fault:?}: {}", figures.line());
     }
 }
@@ -52,7 +52,7 @@
 #[test]
 fn a_dead_zone_is_closed_by_all() {
     let figures = experiment(&Plan { seconds: 14, seed: 5, only: Some(Fault::ZoneDead(1)), ..PLAN }).unwrap();
-    figures.proves().unwrap();
+    figures.verify().unwrap();
     assert!(figures.closed_in_ms > 0 && figures.closed_in_ms <= 3000, "{}", figures.line());
     assert!(figures.reopened_in_ms > 0 && figures.decisions >= 4, "{}", figures.line());
 }
