--- a/benches/ingest.rs
+++ b/benches/ingest.rs
@@ -1,4 +1,4 @@
-//! What a look at the policy costs a request: 200 rules, of which the last fits.
+//! Cost of matching a request against a policy of 200 rules, of which only the last applies.
 #![allow(missing_docs, reason = "the macros of criterion make functions without any")]
 
 use std::fmt::Write;
--- a/benches/lists.rs
+++ b/benches/lists.rs
@@ -1,4 +1,5 @@
-//! What a list of workers costs a dispatcher: taken in whole, changed by a line, and a job over it.
+//! Cost of the worker list for a dispatcher: reading a complete list, changing one entry, and dispatching a
+//! job over it.
 #![allow(missing_docs, reason = "the macros of criterion make functions without any")]
 
 use std::hint::black_box;
@@ -8,7 +9,7 @@
 use micabeam::routing::{Endpoint, EndpointStatus, LoadReport, Outcome};
 use micabeam::settings::Site;
 
-/// Lines of a list.
+/// Numbers of entries of the list.
 const SIZES: [usize; 4] = [200, 1000, 4000, 16_000];
 
 fn line(number: usize, state: EndpointStatus) -> ListedEndpoint {
--- a/rig/src/body.rs
+++ b/rig/src/body.rs
@@ -1,10 +1,11 @@
-//! Bodies made of a seed, so that either end knows what the other should have sent.
+//! Message bodies generated from a seed, so that the receiver can compute what the sender should have sent.
 
 use std::sync::OnceLock;
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bytes that a body repeats, from a place that its seed gives.
+/// Length in bytes of the block that every body repeats; the seed decides the offset at which a body starts
+/// in it.
 const BLOCK_BYTES: usize = 1 << 20;
 
 fn block() -> &'static [u8] {
@@ -12,7 +13,7 @@
     BYTES.get_or_init(|| {
         let mut state = 0x9e37_79b9_7f4a_7c15u64;
         let next = |_| {
-            // xorshift64: spread bytes are all that is asked of it.
+            // xorshift64; nothing but an even spread of byte values is needed.
             state ^= state << 13;
             state ^= state >> 7;
             state ^= state << 17;
@@ -22,24 +23,25 @@
     })
 }
 
-/// A body of so many bytes.
+/// A body that is generated from a seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Body {
-    /// Where it starts.
+    /// Decides the offset in the block at which the body starts.
     pub seed: u64,
-    /// Its length in bytes.
+    /// Length in bytes.
     pub size: u64,
 }
 
 impl Body {
-    /// A piece of `most` bytes at the most, from a place in the body on.
+    /// Returns at most `max` bytes of the body, from offset `at`. Fewer at the end of the body or of the
+    /// block.
     pub fn slice(&self, at: u64, max: usize) -> &'static [u8] {
         let from = ((self.seed.wrapping_mul(7919) + at) % BLOCK_BYTES as u64) as usize;
         let left = usize::try_from(self.size - at).unwrap_or(usize::MAX);
         &block()[from..(from + max.min(left)).min(BLOCK_BYTES)]
     }
 
-    /// Its hash.
+    /// Returns the xxh3 hash of the whole body.
     pub fn hash(&self) -> u64 {
         let (mut hash, mut at) = (Xxh3::new(), 0);
         while at < self.size {
--- a/rig/src/datagrams.rs
+++ b/rig/src/datagrams.rs
@@ -1,5 +1,8 @@
-//! The fault layer between processes that speak by datagrams: each pair has two sockets here, and what goes through is
-//! delayed, lost, doubled, put out of order or cut, by seed.
+//! A proxy between processes that exchange datagrams, which delays, loses, duplicates and reorders them or
+//! cuts links.
+//!
+//! Each process sends to another through a proxy socket of that link, so each pair has two sockets here. A
+//! seed decides which datagrams are affected.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -13,25 +16,26 @@
 use crate::http::lock;
 use crate::{RigError, io_context};
 
-/// Longest datagram.
+/// Longest datagram that is passed on whole, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_000;
-/// Datagrams that may be under way at once.
+/// Most datagrams that may be delayed at once; further ones are dropped.
 const MAX_IN_FLIGHT: usize = 100_000;
 
-/// Addresses for processes: where clients find them, and where the others do.
+/// Listening addresses of the processes of a run, by process.
 pub struct Addresses {
-    /// For clients.
+    /// Addresses for clients (TCP).
     pub clients: Vec<SocketAddr>,
-    /// For datagrams.
+    /// Addresses for datagrams of the other processes (UDP).
     pub datagrams: Vec<SocketAddr>,
 }
 
 impl Addresses {
-    /// Some that were free a moment ago, for the processes to take: on a host address of this run's own, lest others
-    /// take them meanwhile.
+    /// Finds free ports for the processes by binding and closing them. The loopback IP address comes from
+    /// this process's id and the seed, so that other runs on this machine don't take the ports before the
+    /// processes bind them.
     ///
     /// # Errors
-    /// Where a socket, a thread or a process cannot be had.
+    /// Returns an error if a socket cannot be bound.
     pub fn find_free(count: usize, seed: u64) -> Result<Addresses, RigError> {
         let pid = std::process::id();
         let host = SocketAddr::from(([127, 100 + (pid >> 8) as u8 % 100, pid as u8, seed as u8], 0));
@@ -49,38 +53,39 @@
     }
 }
 
-/// What goes wrong between the processes.
+/// Faults of the links between the processes.
 #[derive(Clone, Debug, Default)]
 pub struct LinkFaults {
-    /// Links that carry nothing, from one to the other.
+    /// Links on which nothing passes, as (sender, receiver).
     pub cut: BTreeSet<(usize, usize)>,
-    /// Datagrams of a thousand that are lost.
+    /// Number of datagrams in a thousand that are lost.
     pub lost_per_1000: u64,
-    /// Datagrams of a thousand that come twice.
+    /// Number of datagrams in a thousand that are delivered twice.
     pub duplicated_per_1000: u64,
-    /// Longest delay, in milliseconds; each datagram has its own, so that some overtake others.
+    /// Longest delay in milliseconds. Each datagram is delayed by a random time up to it, so that some
+    /// overtake others.
     pub max_delay_ms: u64,
 }
 
-/// A datagram under way: when it is due, its number, its link.
+/// A delayed datagram: its due time and number (reversed, for a min-heap), sender, receiver and bytes.
 type InFlight = (std::cmp::Reverse<(Instant, u64)>, usize, usize, Vec<u8>);
 
-/// The layer.
+/// A running proxy, stopped on drop.
 pub struct DatagramProxy {
     faults: Arc<Mutex<LinkFaults>>,
     stopping: Arc<AtomicBool>,
     received: Arc<AtomicU64>,
     bytes: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
-    /// Where a process finds another: by its own number and the other's.
+    /// Addresses of the proxy sockets, by (sender, receiver).
     proxy_addresses: BTreeMap<(usize, usize), SocketAddr>,
 }
 
 impl DatagramProxy {
-    /// A layer between processes at these addresses.
+    /// Starts a proxy between the processes at these addresses, without faults.
     ///
     /// # Errors
-    /// Where a socket, a thread or a process cannot be had.
+    /// Returns an error if a proxy socket cannot be opened.
     pub fn start(addresses: &[SocketAddr], seed: u64) -> Result<DatagramProxy, RigError> {
         let mut sockets = Vec::new();
         let mut proxy_addresses = BTreeMap::new();
@@ -108,17 +113,18 @@
         Ok(DatagramProxy { faults, stopping, received, bytes, thread, proxy_addresses })
     }
 
-    /// Where one process finds another.
+    /// Returns the address at which the process `from` reaches the process `to`.
     pub fn proxy_address(&self, from: usize, to: usize) -> SocketAddr {
         self.proxy_addresses[&(from, to)]
     }
 
-    /// Changes what goes wrong.
+    /// Changes the faults of the links.
     pub fn set_faults(&self, update: impl FnOnce(&mut LinkFaults)) {
         update(&mut lock(&self.faults));
     }
 
-    /// Datagrams that came, and their bytes.
+    /// Returns the number of datagrams that processes have sent, and of their bytes, those that were lost
+    /// included.
     pub fn received(&self) -> (u64, u64) {
         (self.received.load(Ordering::Relaxed), self.bytes.load(Ordering::Relaxed))
     }
@@ -133,6 +139,7 @@
     }
 }
 
+/// The state of the proxy's thread.
 struct ProxyLoop {
     sockets: Vec<(usize, usize, UdpSocket)>,
     addresses: Vec<SocketAddr>,
@@ -154,7 +161,7 @@
             let now = Instant::now();
             while in_flight.peek().is_some_and(|(due, ..)| due.0.0 <= now) {
                 let Some((_, from, to, bytes)) = in_flight.pop() else { break };
-                // It comes from the door that the receiver knows the sender by.
+                // Sent from the socket at whose address the receiver expects the sender.
                 if let Some(&at) = socket_of_link.get(&(to, from)) {
                     let _ = self.sockets[at].2.send_to(&bytes, self.addresses[to]);
                 }
--- a/rig/src/dispatch.rs
+++ b/rig/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Experiment `dispatch`: what slow uploads cost a backend server when they are dispatched at the head, after a held
-//! prefix, or by their measured pace.
+//! Experiment `dispatch`: how long slow uploads occupy a backend server, depending on when they are
+//! dispatched: at the request head, after a buffered prefix, or by their measured rate.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -10,10 +10,12 @@
 use crate::program::{Program, build};
 use crate::streams::operator_file;
 
-/// Runs the three ways over the same slow uploads, and prints what each cost.
+/// Runs the same slow uploads under each of the three settings of `dispatch`, and prints the server time of
+/// each.
 ///
 /// # Errors
-/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
+/// Returns an error if the program or a stand-in cannot be started, or an upload neither completes nor fails
+/// cleanly.
 pub fn experiment(count: usize, rate: u64, least_kb_s: u64) -> Result<String, RigError> {
     let binary = build()?;
     let mut line = Vec::new();
--- a/rig/src/http.rs
+++ b/rig/src/http.rs
@@ -1,4 +1,5 @@
-//! What the stand-ins share: a side of an HTTP connection.
+//! A minimal HTTP/1.1 connection for stand-in clients and servers, and helpers to submit jobs and post
+//! call-backs.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,29 +7,29 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a lock holds, whoever panicked with it.
+/// Locks a mutex, also if a thread panicked while holding it.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// One side of an HTTP connection.
+/// One end of an HTTP connection, client or server.
 pub struct Http(pub BufReader<TcpStream>);
 
 impl Http {
-    /// Over a connection that is open.
+    /// Wraps an open connection and sets its read timeout.
     ///
     /// # Errors
-    /// Where a socket, a thread or a process cannot be had.
+    /// Returns an error if a socket option cannot be set.
     pub fn from_stream(stream: TcpStream, timeout: Duration) -> std::io::Result<Http> {
         stream.set_read_timeout(Some(timeout))?;
         stream.set_nodelay(true)?;
         Ok(Http(BufReader::new(stream)))
     }
 
-    /// Over a new connection.
+    /// Opens a connection, within 1 s, and sets its read timeout.
     ///
     /// # Errors
-    /// Where a socket, a thread or a process cannot be had.
+    /// Returns an error if the connection cannot be opened.
     pub fn connect(address: SocketAddr, timeout: Duration) -> std::io::Result<Http> {
         Http::from_stream(TcpStream::connect_timeout(&address, Duration::from_secs(1))?, timeout)
     }
@@ -36,15 +37,16 @@
     /// Writes a message.
     ///
     /// # Errors
-    /// Where the connection breaks or is silent for too long.
+    /// Returns an error if the connection is broken.
     pub fn write(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
 
-    /// A whole message: its head and its body.
+    /// Reads a message and returns its head and its body. The body needs a content length, which is capped at
+    /// 64 KiB.
     ///
     /// # Errors
-    /// Where the connection breaks or is silent for too long.
+    /// Returns an error if the connection is closed, breaks, or is silent for longer than the read timeout.
     pub fn read(&mut self) -> std::io::Result<(String, String)> {
         let (mut head, mut length) = (String::new(), 0);
         loop {
@@ -68,7 +70,7 @@
     }
 }
 
-/// A header's value, by its name in small letters.
+/// Returns the value of a header, whose name is compared without regard to case.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| {
         let (found, value) = line.split_once(':')?;
@@ -76,12 +78,12 @@
     })
 }
 
-/// The status of an answer's head.
+/// Returns the status code of a response head; 0 if there is none.
 pub fn status(head: &str) -> u16 {
     head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
 }
 
-/// Serves each connection of a listener on a thread of its own until the run is over.
+/// Accepts connections on a thread and handles each on a thread of its own, until `is_stopping` returns true.
 pub fn serve(
     listener: TcpListener,
     is_stopping: impl Fn() -> bool + Send + 'static,
@@ -99,7 +101,8 @@
     });
 }
 
-/// Tells a dispatcher of a job's state, as a booking worker does. Whether it was heard.
+/// Posts a call-back with the state of a job to a dispatcher, as a worker does. Returns whether the
+/// dispatcher accepted it.
 pub fn post_job_event(
     dispatcher: SocketAddr,
     timeout: Duration,
@@ -118,19 +121,19 @@
     answer.is_ok_and(|(head, _)| matches!(status(&head), 200 | 204))
 }
 
-/// What came of a job that a client handed in.
+/// The response to a job that a client submitted.
 pub struct JobResponse {
-    /// The answer's status and body, or why there was none.
+    /// Status and body of the response, or the error of the connection.
     pub answer: std::io::Result<(u16, String)>,
-    /// A time to come back was named.
+    /// Whether the response had a `Retry-After` header.
     pub has_retry_after: bool,
-    /// It went over a connection that was kept.
+    /// Whether the job was sent over a reused connection.
     pub reused: bool,
-    /// More than the one answer had come on that before.
+    /// Whether more bytes than the one response had arrived on that connection before.
     pub had_extra_bytes: bool,
 }
 
-/// Hands a job in over a kept connection, or a new one, and waits for its answer.
+/// Submits a job over the kept-alive connection, or a new one if there is none, and waits for the response.
 pub fn submit_job(
     conn: &mut Option<Http>,
     to: SocketAddr,
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what stands around micabeam, and experiments with the real program among them, on loopback.
+//! Experiments that run the real micabeam binary on loopback among stand-in clients, workers and discovery.
 //!
-//! Each experiment prints a table and, as its last line, `key=value` figures; `main` ends non-zero where its proof
-//! fails. Nothing here is part of the program.
+//! Each experiment prints a table and, as its last line, `key=value` figures. `micabeam-rig` exits non-zero
+//! if the checks of an experiment fail. Nothing in this crate is part of the micabeam binary.
 #![forbid(unsafe_code)]
 
 pub mod body;
@@ -22,40 +22,41 @@
 
 use thiserror::Error;
 
-/// Why an experiment could not be made, or what it disproved.
+/// Error of an experiment: it could not run, or one of its checks failed.
 #[derive(Debug, Error)]
 pub enum RigError {
-    /// The system refused something.
+    /// A call to the operating system failed.
     #[error("{context}: {cause}")]
     Io {
-        /// What was tried.
+        /// The operation that failed, or the file or socket that it was for.
         context: String,
-        /// Why it failed.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The program did not start, or did not build.
+    /// The program could not be built or started, or did not behave as expected.
     #[error("the program: {0}")]
     Program(String),
-    /// What was asked for cannot be played.
+    /// The arguments describe an experiment that cannot be run.
     #[error("{0}")]
     Arguments(String),
-    /// The proof failed.
+    /// A check of the experiment failed.
     #[error("check failed: {0}")]
     CheckFailed(String),
 }
 
-/// Says what was tried, where the system refuses it.
+/// Adds the name of the operation to the I/O error of a result.
 ///
 /// # Errors
-/// The error of the result, with what was tried.
+/// Returns [`RigError::Io`] if the result is an error.
 pub fn io_context<T>(operation: &str, result: std::io::Result<T>) -> Result<T, RigError> {
     result.map_err(|cause| RigError::Io { context: operation.into(), cause })
 }
 
-/// Whether a proof holds: each of these is 0, and half of the jobs were served at least.
+/// Checks that each figure in `zeros` is 0 and that at least half of the jobs were served.
 ///
 /// # Errors
-/// Where one of the figures is not 0, or too little was served.
+/// Returns [`RigError::CheckFailed`] if a figure is not 0, if there were no jobs, or if less than half were
+/// served.
 pub fn check_invariants(zeros: &[(&str, u64)], jobs: u64, served: u64) -> Result<(), RigError> {
     match zeros.iter().find(|figure| figure.1 > 0) {
         Some((name, count)) => Err(RigError::CheckFailed(format!("{name} is {count}"))),
--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -1,4 +1,4 @@
-//! `micabeam-rig`: experiments with the real program among stand-ins.
+//! `micabeam-rig`: command line of the experiments that run the real program among stand-in peers.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
@@ -239,7 +239,8 @@
     }
 }
 
-/// The last line of an experiment: its figures. Where its proof fails they are printed all the same.
+/// Returns the last line of an experiment, its figures. If the check failed, prints the line before returning
+/// the error.
 fn report(line: String, check: Result<(), RigError>) -> Result<String, RigError> {
     if check.is_err() {
         println!("{line}");
@@ -294,7 +295,7 @@
     }
 }
 
-/// The one fault that is to be played, where one is named.
+/// Parses the value of `--fault`; `None` if the option is not given.
 fn parse_fault(name: Option<&str>) -> Result<Option<micabeam_rig::zones::Fault>, RigError> {
     let Some(name) = name else { return Ok(None) };
     match micabeam_rig::zones::Fault::named(name) {
--- a/rig/src/peers.rs
+++ b/rig/src/peers.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients and backend servers that speak HTTP/1.1 and stream bodies, each at a pace of its own.
+//! Stand-in clients and backend servers that stream bodies over HTTP/1.1, each limited to its own rate.
 
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,14 +12,14 @@
 use crate::body::Body;
 use crate::{RigError, io_context};
 
-/// Longest wait for a byte: only a peer that hangs meets it.
+/// Read and write timeout of a connection, so long that only a peer that hangs runs into it.
 const IO_TIMEOUT: Duration = Duration::from_secs(60);
-/// Bytes of one read or write.
+/// Largest number of bytes in one read or write.
 const MAX_PART_BYTES: usize = 128 * 1024;
-/// Stack of a peer's thread: hundreds of them run.
+/// Stack size of a peer's thread; small, because hundreds of them run at once.
 const STACK_BYTES: usize = 512 * 1024;
 
-/// Which way a body goes.
+/// Direction of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From the client to the server.
@@ -28,35 +28,35 @@
     Down,
 }
 
-/// One stream, as its client asks for it. The path carries all that the server needs to know.
+/// A request for one stream. Its path tells the stand-in server everything that it needs to know.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamRequest {
-    /// The class, the first part of the path.
+    /// Job class, the first segment of the path.
     pub class: &'static str,
-    /// Which way the body goes.
+    /// Direction of the body.
     pub direction: Direction,
-    /// The body.
+    /// The body to transfer.
     pub body: Body,
-    /// It goes in chunks, without a length.
+    /// Whether the body is sent with chunked encoding, without a content length.
     pub chunked: bool,
-    /// Bytes a second that the client moves at most; 0: as many as it can.
+    /// Rate limit of the client in bytes per second; 0 for no limit.
     pub client_rate: u64,
-    /// Bytes a second that the server moves at most.
+    /// Rate limit of the server in bytes per second; 0 for no limit.
     pub server_rate: u64,
 }
 
-/// What became of a stream, as its client sees it.
+/// Outcome of a stream, as its client sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamOutcome {
-    /// All of it came, and it is the right body.
+    /// The body arrived whole, with the right size and hash.
     Complete,
-    /// It failed, and the client can tell.
+    /// The stream failed in a way that the client can recognise.
     FailedCleanly(String),
-    /// It looks whole and is not, or never ends.
+    /// The body seemed complete but was wrong, or the connection stalled until the timeout.
     Broken(String),
 }
 
-/// Holds a transfer to a pace, by sleeping when it is ahead.
+/// Limits a transfer to a rate by sleeping when it is ahead; a rate of 0 is no limit.
 struct Pacer {
     rate: u64,
     began: Instant,
@@ -68,7 +68,8 @@
         Pacer { rate, began: Instant::now(), moved: 0 }
     }
 
-    /// Bytes of the next piece: a tenth of a second's at a pace.
+    /// Returns the largest number of bytes for the next read or write: what the rate allows in a tenth of a
+    /// second.
     fn next_len(&self) -> usize {
         if self.rate == 0 { MAX_PART_BYTES } else { (self.rate / 10).max(1) as usize }
     }
@@ -105,7 +106,7 @@
     complete: bool,
 }
 
-/// Reads a body: by its length, by its chunks where there is none.
+/// Reads a body of the given length, or a chunked one if there is no length.
 fn receive(from: &mut BufReader<TcpStream>, length: Option<u64>, rate: u64) -> io::Result<Received> {
     let (mut hash, mut size, mut pacer) = (Xxh3::new(), 0, Pacer::new(rate));
     let mut buffer = vec![0; MAX_PART_BYTES];
@@ -119,7 +120,7 @@
                     (size, left) = (size + n as u64, left - n as u64);
                     pacer.on_transferred(n);
                 }
-                // A reset is an end that can be seen.
+                // Like an end of file, a reset tells the receiver that the body was cut.
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return Ok(false),
                 Err(e) => return Err(e),
             }
@@ -146,7 +147,8 @@
     Ok(Received { hash: hash.digest(), size, complete })
 }
 
-/// A head without its first line, or trailers; none where the end came first.
+/// Reads the headers after the first line of a message, or the trailers; `None` if the connection is closed
+/// before their end.
 fn headers(from: &mut BufReader<TcpStream>) -> io::Result<Option<Vec<(String, String)>>> {
     let mut out = Vec::new();
     loop {
@@ -188,7 +190,7 @@
         })
     }
 
-    /// Runs the stream over a connection of its own, or one that is kept.
+    /// Runs the stream over a new connection.
     pub fn run(&self, address: SocketAddr) -> StreamOutcome {
         match connect(address) {
             Ok(stream) => self.run_on(&mut BufReader::new(stream)),
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Runs the stream over a connection.
+    /// Runs the stream over an open connection.
     pub fn run_on(&self, peer: &mut BufReader<TcpStream>) -> StreamOutcome {
         match self.try_run_on(peer) {
             Ok(end) => end,
@@ -218,7 +220,8 @@
         head.push_str("\r\n");
         peer.get_mut().write_all(head.as_bytes())?;
         if self.direction == Direction::Up {
-            // An early answer, or a cut: what came of it is read below.
+            // A write fails if the server responds early or closes the connection; the read below finds out
+            // which.
             let _ = send(peer.get_mut(), self.body, self.chunked, self.client_rate);
         }
         let mut line = String::new();
@@ -243,7 +246,7 @@
         }
         let (size, hash) = match self.direction {
             Direction::Down => (received.size, received.hash),
-            // The server tells what it got.
+            // The server reports the size and hash of what it received.
             Direction::Up => {
                 let size = header(&headers, "rig-size").unwrap_or(0);
                 let hash = headers.iter().find(|(n, _)| n == "rig-hash").map_or("", |(_, v)| v.as_str());
@@ -261,10 +264,10 @@
     }
 }
 
-/// A connection that waits long and no longer.
+/// Opens a connection with the timeouts of the stand-ins.
 ///
 /// # Errors
-/// Where a socket, a thread or a process cannot be had.
+/// Returns an error if the connection cannot be opened.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
@@ -273,21 +276,21 @@
     Ok(stream)
 }
 
-/// What a stand-in server has seen.
+/// Counters of a stand-in server.
 #[derive(Debug, Default)]
 pub struct ServerStats {
-    /// Requests whose head came.
+    /// Requests of which the request line arrived.
     pub requests: AtomicU64,
-    /// Time that requests have taken, from the first byte to the answer's last, in microseconds.
+    /// Total duration of the requests in microseconds, each from its request line to the end of its response.
     pub busy_us: AtomicU64,
-    /// Request bodies that came whole and were not what their path says.
+    /// Request bodies that arrived whole, but with another size than their path states.
     pub wrong_bodies: AtomicU64,
 }
 
-/// Starts a stand-in server; it runs until the process ends.
+/// Starts a stand-in server, which runs until this process exits. Returns its address and counters.
 ///
 /// # Errors
-/// Where the process, its files or its sockets fail.
+/// Returns an error if the server cannot listen.
 pub fn serve() -> Result<(SocketAddr, Arc<ServerStats>), RigError> {
     let listener = io_context("stand-in server", TcpListener::bind("127.0.0.1:0"))?;
     let address = io_context("stand-in server", listener.local_addr())?;
@@ -308,16 +311,16 @@
     Ok((address, stats))
 }
 
-/// Starts a thread of the rig's.
+/// Starts a thread with the small stack of a stand-in peer.
 ///
 /// # Panics
-/// Where the system has no thread left.
+/// Panics if the operating system cannot start another thread.
 pub fn spawn<T: Send + 'static>(run: impl FnOnce() -> T + Send + 'static) -> thread::JoinHandle<T> {
-    // The system has no thread left: there is nothing to measure then.
+    // Without the thread there is nothing to measure.
     thread::Builder::new().stack_size(STACK_BYTES).spawn(run).expect("the system starts a thread")
 }
 
-/// Answers one request; false at the end of the connection.
+/// Reads and answers one request. Returns false at the end of the connection.
 fn serve_request(peer: &mut BufReader<TcpStream>, stats: &ServerStats) -> io::Result<bool> {
     let mut line = String::new();
     if peer.read_line(&mut line)? == 0 {
--- a/rig/src/process.rs
+++ b/rig/src/process.rs
@@ -1,4 +1,5 @@
-//! A process of the program among others: started by an experiment, asked at its console, signalled and killed.
+//! A process of the program with a configuration file and a console. An experiment starts several, asks their
+//! consoles, and signals or kills them.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,21 +9,23 @@
 
 use crate::{RigError, io_context};
 
-/// How long it may take to say that it is ready.
+/// How long a process may take until its console reports that it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process of the program, killed when it is dropped.
+/// A process of the program, killed on drop.
 pub struct Process {
     child: Child,
-    /// Its console.
+    /// Address of its console.
     pub console: SocketAddr,
 }
 
 impl Process {
-    /// Starts it and waits until its front and its console listen. The command names the binary and its files.
+    /// Starts the program and waits until its frontend and its console listen. `command` names the binary,
+    /// its arguments and its environment.
     ///
     /// # Errors
-    /// Where a socket, a thread or a process cannot be had.
+    /// Returns an error if the program cannot be started or does not print the address of its console; in the
+    /// latter case the error holds its log.
     pub fn start(mut command: Command) -> Result<Process, RigError> {
         for variable in ["LB_LISTEN", "LB_DISCOVERY", "LB_NAME", "LB_CONSOLE"] {
             command.env_remove(variable);
@@ -52,27 +55,29 @@
         Err(RigError::Program(format!("it printed no console address: {log_text}")))
     }
 
-    /// Has a thread read its log, line by line.
+    /// Starts a thread that reads the log and calls `on_line` for each line. Does nothing if the log was
+    /// taken before.
     pub fn read_log(&mut self, mut on_line: impl FnMut(String) + Send + 'static) {
         let Some(log) = self.child.stderr.take() else { return };
         thread::spawn(move || BufReader::new(log).lines().map_while(Result::ok).for_each(&mut on_line));
     }
 
-    /// Its number.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal, by name.
+    /// Sends the process a signal by its name without `SIG`, for example `TERM`.
     ///
     /// # Errors
-    /// Where the process, its files or its sockets fail.
+    /// Returns an error if `/bin/sh` cannot be run.
     pub fn signal(&self, name: &str) -> Result<(), RigError> {
         let line = format!("kill -{name} {}", self.child.id());
         io_context("kill", Command::new("/bin/sh").args(["-c", &line]).status()).map(drop)
     }
 
-    /// What its console answers to a line.
+    /// Sends a line to the console and returns the answer; `None` if the console cannot be reached or does
+    /// not answer.
     pub fn ask_console(&self, line: &str) -> Option<String> {
         let mut stream = TcpStream::connect_timeout(&self.console, Duration::from_secs(1)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
@@ -82,21 +87,21 @@
         Some(text)
     }
 
-    /// A figure of its console.
+    /// Returns the value of a metric without labels, from the console's `telemetry`.
     pub fn metric(&self, name: &str) -> Option<f64> {
         let text = self.ask_console("telemetry")?;
         text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
-    /// Whether it says that it is ready.
+    /// Whether the console answers `readyz` with `ACK`.
     pub fn is_ready(&self) -> bool {
         self.ask_console("readyz").is_some_and(|answer| answer.starts_with("ACK"))
     }
 
-    /// Waits until it says so.
+    /// Waits until the process is ready.
     ///
     /// # Errors
-    /// Where the process, its files or its sockets fail.
+    /// Returns an error if the process is not ready within 20 s.
     pub fn await_ready(&self) -> Result<(), RigError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         while !self.is_ready() {
@@ -108,20 +113,20 @@
         Ok(())
     }
 
-    /// Whether it has ended.
+    /// Whether the process has exited.
     ///
     /// # Errors
-    /// Where the process, its files or its sockets fail.
+    /// Returns an error if the operating system cannot tell.
     pub fn has_exited(&mut self) -> Result<bool, RigError> {
         Ok(io_context("exit status of the program", self.child.try_wait())?.is_some())
     }
 
-    /// Its log, where nobody reads it.
+    /// Takes the log; `None` if it was taken before, or if [`Process::read_log`] reads it.
     pub fn take_log(&mut self) -> Option<ChildStderr> {
         self.child.stderr.take()
     }
 
-    /// Kills it.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
     }
--- a/rig/src/program.rs
+++ b/rig/src/program.rs
@@ -1,4 +1,5 @@
-//! The real program: built, started, measured and stopped.
+//! Builds the micabeam binary, and starts, measures and stops a process of it that runs with an operator file
+//! only.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -7,17 +8,17 @@
 
 use crate::{RigError, io_context};
 
-/// A running program, killed when it is dropped.
+/// A running process of the program, killed on drop.
 pub struct Program {
     child: Child,
     log: BufReader<ChildStderr>,
-    /// Where it listens, in the order in which it said so.
+    /// Addresses that the program listens at, in the order in which it printed them.
     pub addresses: Vec<SocketAddr>,
-    /// Its operator's file.
+    /// Path of its operator file, which is removed on drop.
     pub operator_file: PathBuf,
 }
 
-/// What it has used.
+/// Resources that a process has used so far.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     /// Peak resident memory in MiB.
@@ -26,13 +27,14 @@
     pub cpu_s: f64,
 }
 
-/// Ticks a second in which the system tells processor time; fixed at 100 for what it shows to programs.
+/// Unit of processor time in `/proc/PID/stat`: Linux reports it to user space in ticks of 1/100 s.
 const CLOCK_TICKS_PER_S: f64 = 100.0;
 
-/// Builds the program as a release and gives its path. It costs nothing where the workspace was built before.
+/// Builds the workspace in release mode and returns the path of the micabeam binary. Does nothing if the
+/// build is up to date.
 ///
 /// # Errors
-/// Where the program does not build.
+/// Returns an error if cargo cannot be run or the build fails.
 pub fn build() -> Result<PathBuf, RigError> {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("..");
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
@@ -46,16 +48,17 @@
     Ok(target.join("release/micabeam"))
 }
 
-/// What a process has used so far.
+/// Returns the resources that the process with this id has used so far.
 ///
 /// # Errors
-/// Where the process, its files or its sockets fail.
+/// Returns an error if the process's files below `/proc` cannot be read, or if it has exited.
 pub fn usage(id: u32) -> Result<Usage, RigError> {
     let proc = format!("/proc/{id}");
     let status = io_context("/proc/PID/status", std::fs::read_to_string(format!("{proc}/status")))?;
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")?.trim().split(' ').next()?.parse().ok());
     let stat = io_context("/proc/PID/stat", std::fs::read_to_string(format!("{proc}/stat")))?;
-    // Behind the name in brackets: fields 14 and 15 of all.
+    // utime and stime are fields 14 and 15, the 12th and 13th after the command name, which is in parentheses
+    // and may itself contain spaces.
     let after_name = stat.rsplit(')').next().unwrap_or("");
     let ticks =
         after_name.split_whitespace().skip(11).take(2).filter_map(|t| t.parse::<f64>().ok()).sum::<f64>();
@@ -65,10 +68,12 @@
 }
 
 impl Program {
-    /// Starts the program with this operator's file, of which it is to open so many listeners.
+    /// Writes the text `operator` to an operator file, starts the program with it, and waits until it has
+    /// printed the addresses of `listeners` listeners.
     ///
     /// # Errors
-    /// Where a socket, a thread or a process cannot be had.
+    /// Returns an error if the file cannot be written, or if the program cannot be started or does not print
+    /// its addresses; in the last case the error holds its log.
     pub fn start(binary: &PathBuf, operator: &str, listeners: usize) -> Result<Program, RigError> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -98,33 +103,34 @@
         Ok(Program { child, log, addresses, operator_file })
     }
 
-    /// Its process's number.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it has used so far.
+    /// Returns the resources that the process has used so far.
     ///
     /// # Errors
-    /// Where the process, its files or its sockets fail.
+    /// As [`usage`].
     pub fn usage(&self) -> Result<Usage, RigError> {
         usage(self.child.id())
     }
 
-    /// Sends it a signal, by name.
+    /// Sends the process a signal by its name without `SIG`, for example `TERM`.
     ///
     /// # Errors
-    /// Where the process, its files or its sockets fail.
+    /// Returns an error if `/bin/sh` cannot be run.
     pub fn signal(&self, name: &str) -> Result<(), RigError> {
         let sent =
             Command::new("/bin/sh").args(["-c", &format!("kill -{name} {}", self.child.id())]).status();
         io_context("kill", sent).map(drop)
     }
 
-    /// Stops it by SIGTERM and gives its counters, by name.
+    /// Sends SIGTERM, waits until the process exits, and returns the names and values of the counters in its
+    /// log.
     ///
     /// # Errors
-    /// Where the process, its files or its sockets fail.
+    /// Returns an error if the log cannot be read or the process exits with a failure.
     pub fn stop(mut self) -> Result<Vec<(String, f64)>, RigError> {
         self.signal("TERM")?;
         let mut text = String::new();
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -1,5 +1,6 @@
-//! What the program is measured against: bare loops that copy bytes between two sockets, in one thread, with no
-//! framing, no limits and no decisions. One copies through a buffer, one moves pages by `splice`.
+//! Baseline relays that the program's throughput is compared with. They move bytes between two sockets in one
+//! thread, without framing, limits or routing; one copies through a buffer, the other moves pages with
+//! `splice`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{ErrorKind, Read, Write};
@@ -12,20 +13,21 @@
 use crate::peers::spawn;
 use crate::{RigError, io_context};
 
-/// Bytes of the buffer, and moved by one splice.
+/// Size of the copy buffer, and the most bytes that one splice moves.
 const BUFFER_BYTES: usize = 64 * 1024;
+/// Epoll token of the listener; pairs are numbered from 1.
 const LISTENER_TOKEN: u64 = u64::MAX;
 
-/// How bytes are moved.
+/// How a relay moves bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Through a buffer of the process.
+    /// Through a buffer in user space.
     Copy,
-    /// Through a pipe of the system, without a copy into the process.
+    /// With `splice` through a kernel pipe, without a copy into user space.
     Splice,
 }
 
-/// One direction of a pair.
+/// State of one direction of a pair.
 struct OneDirection {
     buffer: Vec<u8>,
     written: usize,
@@ -55,7 +57,8 @@
         })
     }
 
-    /// Moves bytes until one side would wait, or others should have their turn. True where it has more to do.
+    /// Moves at most two buffers, so that other pairs get their turn. Returns true if it stopped at that
+    /// limit, and false if a socket would block or the direction has ended.
     fn turn(&mut self, from: &TcpStream, to: &TcpStream) -> std::io::Result<bool> {
         for _ in 0..2 {
             let progressed = if self.pipe.is_some() { self.splice(from, to)? } else { self.copy(from, to)? };
@@ -72,7 +75,7 @@
         Ok(true)
     }
 
-    /// Moves bytes through the pipe. False where one side would wait.
+    /// Moves bytes through the pipe. Returns false if a socket would block.
     fn splice(&mut self, from: &TcpStream, to: &TcpStream) -> std::io::Result<bool> {
         let Some((read, write)) = &self.pipe else { return Ok(true) };
         let flags = SpliceFlags::NONBLOCK | SpliceFlags::MOVE;
@@ -94,7 +97,7 @@
         Ok(true)
     }
 
-    /// Moves bytes through a buffer. False where one side would wait.
+    /// Moves bytes through the buffer. Returns false if a socket would block.
     fn copy(&mut self, mut from: &TcpStream, mut to: &TcpStream) -> std::io::Result<bool> {
         if self.written == self.buffer.len() && !self.at_eof {
             self.buffer.resize(BUFFER_BYTES, 0);
@@ -123,6 +126,7 @@
     }
 }
 
+/// A client connection, its server connection, and the state of both directions.
 struct Pair {
     client: TcpStream,
     server: TcpStream,
@@ -130,10 +134,11 @@
     down: OneDirection,
 }
 
-/// Starts a bare relay to a server; it runs until the process ends.
+/// Starts a bare relay to a server, which runs until this process exits. Returns the address that it listens
+/// at.
 ///
 /// # Errors
-/// Where a socket, a thread or a process cannot be had.
+/// Returns an error if the relay cannot listen.
 pub fn start(to: SocketAddr, mode: Mode) -> Result<SocketAddr, RigError> {
     let listener = io_context("bare relay", TcpListener::bind("127.0.0.1:0"))?;
     io_context("bare relay", listener.set_nonblocking(true))?;
@@ -187,7 +192,7 @@
                 _ => {}
             }
         }
-        // One turn each, then the events again.
+        // Gives each ready pair one turn, then polls again.
         for _ in 0..ready.len() {
             let Some(number) = ready.pop_front() else { break };
             let Some(pair) = pairs.get_mut(&number) else { continue };
--- a/rig/src/rollout.rs
+++ b/rig/src/rollout.rs
@@ -1,6 +1,9 @@
-//! Changes of a policy that real processes share, with faults between them: workers in blocks that log what they start,
-//! clients at each process, and operators who want a new version every second. What is judged is what clients and workers
-//! saw: nothing runs under a version that was not decided, or under an old one after a new one was seen anywhere.
+//! Experiment `rollout`: real processes change a policy that they share, with faults in and between them.
+//!
+//! Each version of the policy sends all jobs to one block of workers, so the block at which a job ran tells
+//! the version. Clients submit jobs to every process while new versions are requested. The checks use what
+//! clients and workers saw: no job runs under a version that was not decided, or under an old version after a
+//! newer one was seen anywhere.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{SocketAddr, TcpListener};
@@ -16,93 +19,105 @@
 use crate::process::Process;
 use crate::{RigError, check_invariants, io_context};
 
-/// How long a client waits for its answer.
+/// Deadline of a job.
 const JOB_DEADLINE: Duration = Duration::from_secs(4);
-/// Blocks of workers: version v sends all to block v modulo so many.
+/// Number of blocks of workers; version v sends all jobs to block v modulo this.
 const BLOCKS: u64 = 4;
-/// The block that the first process has not heard of: it says no to each version that names it.
+/// A block that the configuration of the first process doesn't list, so that it rejects each version that
+/// uses it.
 const UNKNOWN_BLOCK: u64 = 3;
-/// Workers of a block.
+/// Number of workers of a block.
 const WORKERS_PER_BLOCK: usize = 2;
-/// A job takes so long, in milliseconds.
+/// Run time of a job, in milliseconds.
 const JOB_MS: u64 = 20;
-/// How long a process serves without news, in milliseconds.
+/// How long a process serves without a new lease, in milliseconds.
 const LEASE_MS: u64 = 2000;
-/// How long the fleet has to come up, or to come back.
+/// How long the processes may take to settle on one version, at the start and after a fault.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What goes wrong while a change is made.
+/// The fault during a change of version. Numbers are those of processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
+    /// No fault.
     None,
+    /// The leader is killed and started again.
     LeaderKilled,
+    /// The leader is stopped with SIGSTOP and resumed.
     LeaderFrozen,
+    /// A process is killed and started again.
     Killed(usize),
+    /// A process is stopped with SIGSTOP and resumed.
     Frozen(usize),
+    /// A process is cut off from all others.
     Alone(usize),
+    /// The processes are partitioned, two fifths from the others, and each side requests another version.
     Split,
+    /// Of a thousand datagrams 300 are lost and 50 delivered twice, and all are delayed by up to 60 ms.
     Lossy,
+    /// All processes are killed and started again.
     AllKilled,
 }
 
-/// What a run is.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Processes.
+    /// Number of processes.
     pub dispatchers: usize,
-    /// How long changes go on.
+    /// How long versions are changed with faults, in seconds.
     pub seconds: u64,
-    /// Decides faults and jobs.
+    /// Seed that decides faults and jobs.
     pub seed: u64,
-    /// Whether they share the policy by decision; without, each has it read by itself, as a fleet without agreement does.
+    /// Whether the processes change the policy by agreement; if not, each applies its own policy file.
     pub agreed: bool,
 }
 
-/// What clients and workers saw.
+/// Results of a run, from what clients and workers saw and the processes logged.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// Faults played.
+    /// Number of faults.
     pub faults: u64,
-    /// Versions wanted.
+    /// Versions that were requested.
     pub changes: u64,
-    /// Of them in force.
+    /// Versions that came into force.
     pub committed: u64,
-    /// Of them given up.
+    /// Versions that were given up.
     pub given_up: u64,
     /// Jobs that ran under a version that was not decided.
     pub half_applied: u64,
-    /// Jobs that ran under an older version than one that had been seen before they were sent.
+    /// Jobs that ran under an older version than one that had been seen before they were submitted.
     pub old_after_new: u64,
-    /// Jobs whose dispatches went to servers of two versions.
+    /// Jobs whose attempts went to blocks of different versions.
     pub mixed: u64,
-    /// Versions that came in force after they were given up, or the other way round.
+    /// Versions that were both in force and given up.
     pub undone: u64,
-    /// Jobs.
+    /// Jobs that were submitted.
     pub jobs: u64,
-    /// Jobs served.
+    /// Jobs that were served.
     pub served: u64,
-    /// Jobs denied with a time to come back.
+    /// Jobs that were rejected with a `Retry-After` header.
     pub denied: u64,
-    /// Jobs without an answer at a process that was killed or frozen.
+    /// Jobs without a response at a process that was killed or stopped.
     pub away: u64,
-    /// Connections on which more came than the one answer.
+    /// Responses with the body of another job, and connections with more bytes than the one response.
     pub answered_twice: u64,
-    /// Jobs without an answer that no kill or freeze explains.
+    /// Jobs without a response in time, at a process that was neither killed nor stopped.
     pub unanswered: u64,
-    /// Jobs that may not run twice and did.
+    /// Jobs that ran twice although they may run only once.
     pub unsafe_ran_twice: u64,
-    /// From the signal to the last process that runs a version, without faults, in milliseconds: median and worst.
+    /// Median time of a change without faults, from the request until the last process has logged the version
+    /// as in force, in milliseconds.
     pub change_ms_p50: u64,
-    /// The worst.
+    /// Longest time of such a change, in milliseconds.
     pub change_ms_worst: u64,
-    /// What jobs took beyond their own time while versions changed without faults, 99 of 100.
+    /// 99th percentile of the time that jobs took beyond their run time while versions changed without
+    /// faults, in milliseconds.
     pub pause_ms_p99: u64,
-    /// The same in calm time.
+    /// The same while no version changed.
     pub calm_ms_p99: u64,
 }
 
 impl Figures {
-    /// The last line of the experiment.
+    /// Returns the last line of the experiment.
     pub fn line(&self) -> String {
         format!(
             "faults={} changes={} committed={} given_up={} half_applied={} old_after_new={} mixed={} undone={} jobs={} \
@@ -131,10 +146,11 @@
         )
     }
 
-    /// Whether the proof holds.
+    /// Checks that no job saw a wrong version, was answered twice, left unanswered or run twice although it
+    /// must not be, that no decision was undone, and that at least half of the jobs were served.
     ///
     /// # Errors
-    /// Where a figure disproves what the experiment is to show.
+    /// Returns [`RigError::CheckFailed`] if one of them does not hold.
     pub fn verify(&self) -> Result<(), RigError> {
         let zeros = [
             ("half_applied", self.half_applied),
@@ -149,7 +165,7 @@
     }
 }
 
-/// A job that was served.
+/// A served job: when it was submitted and answered, and the block at which it ran.
 #[derive(Clone, Copy, Debug)]
 struct ServedJob {
     sent: Instant,
@@ -157,7 +173,7 @@
     block: u64,
 }
 
-/// A decision as a process logged it.
+/// A decision that a process logged.
 #[derive(Clone, Debug)]
 struct LoggedDecision {
     process: usize,
@@ -166,21 +182,24 @@
     given_up: Option<u64>,
 }
 
+/// State that the stand-ins share.
 struct World {
     plan: Plan,
     clients: Vec<SocketAddr>,
     stopping: AtomicBool,
     next_job: AtomicU64,
-    /// Blocks at which each job ran, in order.
+    /// Blocks at which each job ran, in order, by job id.
     runs: Mutex<HashMap<String, Vec<u64>>>,
     served: Mutex<Vec<ServedJob>>,
     decisions: Mutex<Vec<LoggedDecision>>,
-    /// Times of a process that a run explains by a fault.
+    /// Times during which a fault made a process unavailable: its number, the start, and the end if it is
+    /// back.
     outages: Mutex<Vec<(usize, Instant, Option<Instant>)>>,
     figures: Mutex<Figures>,
 }
 
 impl World {
+    /// Whether a process was unavailable at `from` or later, or had been back for less than a second then.
     fn was_unavailable(&self, process: usize, from: Instant) -> bool {
         let slack = Duration::from_secs(1);
         let covers = |(who, _, until): &(usize, Instant, Option<Instant>)| {
@@ -190,7 +209,7 @@
     }
 }
 
-/// A policy that sends all to one block.
+/// Returns the text of a policy that sends all jobs to the block of its version.
 fn policy(version: u64) -> String {
     format!(
         "version = {version}\n[[partition]]\nname = \"block\"\nprefixes = [\"s-{}-\"]\n\
@@ -199,6 +218,8 @@
     )
 }
 
+/// A stand-in worker: accepts jobs on a connection, notes its block for each, and posts a call-back when the
+/// job is done.
 fn worker(world: &Arc<World>, block: u64, number: usize, stream: std::net::TcpStream) {
     let Ok(mut http) = Http::from_stream(stream, Duration::from_secs(120)) else { return };
     while let Ok((head, _)) = http.read() {
@@ -226,6 +247,7 @@
     }
 }
 
+/// A client: submits jobs to one process, one per `pause`, and adds the outcomes to the figures.
 fn client(world: &Arc<World>, process: usize, pause: Duration) {
     let mut conn: Option<Http> = None;
     while !world.stopping.load(Ordering::Relaxed) {
@@ -264,6 +286,7 @@
     }
 }
 
+/// Collects the decisions that a process logs, and prints its other messages.
 fn follow_log(world: &Arc<World>, process: &mut Process, number: usize) {
     let world = Arc::clone(world);
     process.read_log(move |line| {
@@ -282,6 +305,7 @@
     });
 }
 
+/// The processes of a run, and the proxy between them.
 struct Cluster {
     world: Arc<World>,
     layer: DatagramProxy,
@@ -312,12 +336,13 @@
         away.iter_mut().filter(|a| a.0 == number && a.2.is_none()).for_each(|a| a.2 = Some(now));
     }
 
+    /// Returns the process that reports that it leads, or the first if none does.
     fn leader(&self) -> usize {
         let leads = |p: &Option<Process>| p.as_ref().is_some_and(|p| p.metric("lb_fleet_leads") == Some(1.0));
         self.processes.iter().position(leads).unwrap_or(0)
     }
 
-    /// Has a process's operator want a version; where each decides alone, all operators, one after the other.
+    /// Requests a version at a process. Without agreement, requests it at each process, one after the other.
     fn request_version(&self, number: usize, version: u64) -> Result<(), RigError> {
         if !self.world.plan.agreed {
             for other in (0..self.processes.len()).filter(|other| *other != number) {
@@ -328,6 +353,7 @@
         self.write_policy_and_reload(number, version)
     }
 
+    /// Writes a version of the policy to a process's file and sends it SIGHUP.
     fn write_policy_and_reload(&self, number: usize, version: u64) -> Result<(), RigError> {
         let path = self.dir.join(format!("{number}.policy"));
         io_context("write a policy", std::fs::write(path, policy(version)))?;
@@ -337,7 +363,8 @@
         }
     }
 
-    /// Waits until all run one version and serve, and one that was wanted is decided on; the version that they run.
+    /// Waits until all processes serve under the same version, no change is under way, and a version of at
+    /// least `min_version` was decided on. Returns the version in force.
     fn await_one_version(&self, min_version: u64) -> Result<u64, RigError> {
         let end = Instant::now() + SETTLE_TIMEOUT;
         loop {
@@ -364,12 +391,14 @@
         }
     }
 
+    /// Cuts the links between each two processes for which `is_cut` returns true.
     fn cut_links(&self, is_cut: impl Fn(usize, usize) -> bool) {
         let count = self.world.plan.dispatchers;
         let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b)));
         self.layer.set_faults(|w| w.cut.extend(pairs.filter(|(a, b)| a != b && is_cut(*a, *b))));
     }
 
+    /// Stops a process with SIGSTOP for a time.
     fn freeze(&mut self, number: usize, duration: Duration) -> Result<(), RigError> {
         self.mark_unavailable(number);
         if let Some(process) = &self.processes[number] {
@@ -381,6 +410,7 @@
         Ok(())
     }
 
+    /// Kills a process, and starts it again after a time.
     fn kill_and_restart(&mut self, number: usize, duration: Duration) -> Result<(), RigError> {
         self.mark_unavailable(number);
         self.processes[number] = None;
@@ -388,7 +418,7 @@
         self.start(number)
     }
 
-    /// Plays a fault around the wish for a version: what is wanted comes at some time within it.
+    /// Requests the next version and injects a fault while it is decided on.
     fn run_fault(
         &mut self,
         fault: Fault,
@@ -438,7 +468,7 @@
         Ok(())
     }
 
-    /// Wants another version on each side of a split.
+    /// Partitions the processes and requests another version on each side.
     fn run_split(&mut self, version: &mut u64, duration: Duration) -> Result<(), RigError> {
         let count = self.world.plan.dispatchers;
         self.cut_links(|a, b| (a * 5 < count * 2) != (b * 5 < count * 2));
@@ -463,6 +493,7 @@
     }
 }
 
+/// Writes the configuration, the first policy and the operator file of a process.
 fn write_files(
     world: &World,
     dir: &Path,
@@ -513,10 +544,11 @@
     io_context("write the operator file", std::fs::write(dir.join(format!("{number}.toml")), file))
 }
 
-/// Plays a plan with the real program.
+/// Runs the experiment with the real program.
 ///
 /// # Errors
-/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
+/// Returns an error if the program or a stand-in cannot be started, or the processes don't settle on one
+/// version.
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let binary = crate::program::build()?;
     let dir = std::env::temp_dir().join(format!("micabeam-rollout-{}-{}", std::process::id(), plan.seed));
@@ -526,7 +558,7 @@
     result
 }
 
-/// Starts the stand-in workers, and gives their lines of the list by their block.
+/// Starts the stand-in workers. Returns the block and the list entry of each.
 fn start_workers(world: &Arc<World>) -> Result<Vec<(u64, String)>, RigError> {
     let mut hosts = Vec::new();
     for block in 0..BLOCKS {
@@ -560,6 +592,7 @@
     threads
 }
 
+/// Runs the experiment with files in `dir`.
 fn run(plan: &Plan, binary: PathBuf, dir: &Path) -> Result<Figures, RigError> {
     let Addresses { clients, datagrams: addresses } = Addresses::find_free(plan.dispatchers, plan.seed)?;
     let layer = DatagramProxy::start(&addresses, plan.seed)?;
@@ -599,26 +632,28 @@
     Ok(figures)
 }
 
-/// When what was done.
+/// The requested changes, and the periods in which they were made.
 struct Timeline {
     faults: u64,
     versions_requested: u64,
+    /// Start and end of the period before, in which no version was changed.
     calm: (Instant, Instant),
-    /// Without faults: from when to when versions were changed.
+    /// Start and end of the period in which versions were changed without faults.
     change_period: (Instant, Instant),
-    /// Each of these changes: its version, and when it was wanted.
+    /// The changes of that period: version and time of request.
     changes: Vec<(u64, Instant)>,
 }
 
+/// Changes versions, first without faults and then with a random fault each.
 fn run_changes(plan: &Plan, cluster: &mut Cluster, version: &mut u64) -> Result<Timeline, RigError> {
     thread::sleep(Duration::from_millis(500));
     let calm = Instant::now();
     thread::sleep(Duration::from_secs(2));
     let change_period = Instant::now();
-    let mut changes = Vec::new();
+    let mut requested = Vec::new();
     for round in 0..6 {
         *version += if (*version + 1) % BLOCKS == UNKNOWN_BLOCK { 2 } else { 1 };
-        changes.push((*version, Instant::now()));
+        requested.push((*version, Instant::now()));
         cluster.request_version(round % plan.dispatchers, *version)?;
         let now = cluster.await_one_version(*version)?;
         if plan.agreed && now != *version {
@@ -652,22 +687,24 @@
         println!("{:6} ms {fault:?} at version {}", start.elapsed().as_millis(), *version + 1);
         faults += u64::from(fault != Fault::None);
         cluster.run_fault(fault, &mut rng, version)?;
-        // What a process wanted that was killed then may never have been heard of.
+        // A version that was requested at a process which was killed may be unknown to all others, so none is
+        // awaited.
         thread::sleep(Duration::from_millis(300));
         let now = cluster.await_one_version(0)?;
         println!("{:6} ms all run {now}", start.elapsed().as_millis());
         *version = (*version).max(now);
     }
-    let versions_requested = changes.len() as u64 + *version - first;
-    Ok(Timeline { faults, versions_requested, calm, change_period, changes })
+    let versions_requested = requested.len() as u64 + *version - first;
+    Ok(Timeline { faults, versions_requested, calm, change_period, changes: requested })
 }
 
+/// Returns the 99th percentile; 0 for an empty list.
 fn p99(mut list: Vec<u64>) -> u64 {
     list.sort_unstable();
     list.get((list.len() * 99 / 100).min(list.len().saturating_sub(1))).copied().unwrap_or(0)
 }
 
-/// Sets what clients saw beside what the processes' logs say was decided.
+/// Compares what clients and workers saw with the decisions that the processes logged.
 fn check(world: &World, timeline: &Timeline, figures: &mut Figures) {
     let runs = lock(&world.runs);
     for (id, blocks) in runs.iter() {
@@ -682,7 +719,7 @@
     figures.given_up = given_up.len() as u64;
     figures.undone = in_force.intersection(&given_up).count() as u64;
     if !world.plan.agreed {
-        // Each takes what its own operator wants: that is what is in force there.
+        // Each process applies every requested version by itself, so each version is in force somewhere.
         in_force = (1..=figures.changes + 1).collect();
     }
     let served = lock(&world.served);
@@ -701,7 +738,8 @@
     figures.change_ms_worst = spans.last().copied().unwrap_or(0);
 }
 
-/// What a client has seen bounds what anything sent later may run under.
+/// Counts jobs that ran under an undecided version, or under an older one than any that a client had seen
+/// before they were submitted.
 fn check_order(served: &[ServedJob], in_force: &BTreeSet<u64>, figures: &mut Figures) {
     let mut events: Vec<(Instant, bool, usize)> = Vec::new();
     for (at, job) in served.iter().enumerate() {
@@ -728,7 +766,7 @@
     }
 }
 
-/// How long jobs took beyond their own time, with and without changes.
+/// Sets the 99th percentiles of the time that jobs took beyond their run time, with and without changes.
 fn check_times(served: &[ServedJob], timeline: &Timeline, figures: &mut Figures) {
     let took = |from: Instant, to: Instant| -> Vec<u64> {
         let within = served.iter().filter(|job| job.sent >= from && job.done <= to);
--- a/rig/src/stores.rs
+++ b/rig/src/stores.rs
@@ -1,8 +1,8 @@
-//! Experiment `stores`: what the ledger's load costs on two embedded engines and on a plain log with checksums, for
-//! groups of records that share one sync.
+//! Experiment `stores`: the cost of the ledger's records on two embedded storage engines and on a plain log
+//! with checksums, for different numbers of records per sync.
 //!
-//! The load is a job's three records: accepted with a body, leased, finished with a result. Each engine keeps them in
-//! the order in which they came, and has them on disk before the next group begins.
+//! Each job has three records: accepted with a body, leased, and finished with a result. Each engine keeps
+//! the records in order, and has a group on disk before the next one begins.
 
 use std::fs::{File, OpenOptions};
 use std::io::{BufReader, Read, Write};
@@ -14,15 +14,16 @@
 
 use crate::{RigError, io_context};
 
+/// The redb table that holds the records, by their sequence number.
 const TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
-/// Records that share a sync.
+/// Numbers of records that share one sync.
 const GROUP_SIZES: [usize; 3] = [1, 16, 256];
-/// Longest record that a log's reader believes in.
+/// Longest record that [`Log::read`] accepts, in bytes; a longer length means that the file is damaged.
 const MAX_RECORD_BYTES: usize = 1 << 24;
 
-/// An engine that keeps records in order.
+/// A storage engine that keeps records in order.
 trait Store {
-    /// Has a group on disk when it returns.
+    /// Appends a group of records. They are on disk when it returns.
     fn append(&mut self, records: &[Vec<u8>]) -> Result<(), String>;
 }
 
@@ -30,6 +31,7 @@
     e.to_string()
 }
 
+/// The redb engine: its database and the last sequence number.
 struct Redb(redb::Database, u64);
 
 impl Redb {
@@ -68,6 +70,7 @@
     }
 }
 
+/// The fjall engine: its keyspace, the partition of the records, and the last sequence number.
 struct Fjall(fjall::Keyspace, fjall::PartitionHandle, u64);
 
 impl Fjall {
@@ -101,7 +104,7 @@
     }
 }
 
-/// Frames of a length and a checksum (CRC-32C), both in four bytes, before the record.
+/// A log file in which a length and a CRC-32C checksum, of four bytes each, precede each record.
 struct Log(File);
 
 impl Log {
@@ -142,7 +145,7 @@
     }
 }
 
-/// The records of so many jobs, in the order in which a busy ledger would store them.
+/// Returns the encoded records of `jobs` jobs, those of one job one after the other.
 fn make_records(jobs: usize) -> Vec<Vec<u8>> {
     let (due, body) = (1.7e12, vec![b'b'; 200]);
     let records = |no: u64| {
@@ -156,24 +159,28 @@
     (1..=jobs as u64).flat_map(records).map(|r| r.encode()).collect()
 }
 
+/// Returns the disk space that the files below a directory take.
 fn disk_bytes(path: &Path) -> u64 {
     let entries = std::fs::read_dir(path).into_iter().flatten().flatten();
     let of = |entry: std::fs::DirEntry| match entry.metadata() {
         Ok(meta) if meta.is_dir() => disk_bytes(&entry.path()),
-        // What it takes of the disk, not how long it says it is.
+        // The allocated blocks, not the file length: the figure is the space taken on disk.
         Ok(meta) => std::os::unix::fs::MetadataExt::blocks(&meta) * 512,
         Err(_) => 0,
     };
     entries.map(of).sum()
 }
 
+/// Opens an engine in a directory.
 type Open = fn(&Path) -> Result<Box<dyn Store>, String>;
+/// Reads an engine's records back and returns the number of those that decode.
 type Count = fn(&Path) -> Result<usize, String>;
 
-/// Runs so many jobs through each engine and prints what each cost.
+/// Stores the records of `jobs` jobs in each engine, and prints the throughput, the time per sync and the
+/// size.
 ///
 /// # Errors
-/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
+/// Returns an error if an engine fails, or doesn't return all records that were stored.
 pub fn experiment(jobs: usize) -> Result<String, RigError> {
     let engines: [(&str, Open, Count); 3] = [
         ("redb", |p| Ok(Box::new(Redb::open(p)?)), Redb::read),
@@ -186,7 +193,7 @@
         "engine", "group", "records/s", "ms a sync", "bytes/job", "read back s", "records"
     );
     for group in GROUP_SIZES {
-        // A sync for each record is slow enough with fewer.
+        // One sync per record is slow, so a twentieth of the jobs suffices.
         let records = make_records(if group == 1 { jobs / 20 } else { jobs });
         for (name, open, count) in engines {
             let dir = directory(name, group)?;
--- a/rig/src/streams.rs
+++ b/rig/src/streams.rs
@@ -1,5 +1,5 @@
-//! Experiment `streams`: many long bodies at once through the real program, some of whose peers are slow, beside
-//! small requests.
+//! Experiment `streams`: many long bodies at once through the real program, some with a slow client or
+//! server, while small requests measure the latency.
 
 use std::collections::BTreeMap;
 use std::io::BufReader;
@@ -16,63 +16,63 @@
 use crate::program::{Program, build};
 use crate::relay::{Mode, start};
 
-/// Stand-in servers that share the streams.
+/// Number of stand-in servers that share the streams.
 const SERVER_COUNT: usize = 4;
-/// Time between two small requests.
+/// Pause after each small request.
 const SMALL_REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Streams at once.
+    /// Number of concurrent streams.
     pub count: usize,
-    /// Bytes of each.
+    /// Length in bytes of the body of each stream without a slow peer.
     pub bytes: u64,
-    /// So many of them have a slow peer: a client, or a server, in turn.
+    /// Number of streams with a slow peer, which is the client and the server in turn.
     pub slow: usize,
-    /// Bytes a second of the slow.
+    /// Rate of the slow peers, in bytes per second.
     pub slow_rate: u64,
-    /// Bytes of a stream with a slow peer.
+    /// Length in bytes of the body of each stream with a slow peer.
     pub slow_bytes: u64,
-    /// The least pace that the program asks for, in KiB a second.
+    /// Lowest rate that the program accepts from peers, in KiB per second.
     pub least_kb_s: u64,
-    /// Pipes that the program may use.
+    /// Number of pipes that the program may use.
     pub pipes: usize,
-    /// The most resident memory, in MiB.
+    /// Limit of the program's peak resident memory, in MiB.
     pub ceiling_mb: f64,
-    /// Bytes of each stream through the bare relays; 0: they are not run.
+    /// Length in bytes of each stream through the bare relays; with 0 they are not run.
     pub bare_bytes: u64,
 }
 
-/// What it came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
-    /// Streams.
+    /// Number of streams.
     pub streams: usize,
-    /// Whole.
+    /// Streams that completed.
     pub completed: usize,
-    /// Failed so that the client can tell.
+    /// Streams that failed in a way that the client can recognise.
     pub failed_clean: usize,
-    /// Neither.
+    /// Streams that did neither, and request bodies that arrived whole with a wrong length.
     pub broken: usize,
-    /// Peak resident memory in MiB.
+    /// Peak resident memory of the program in MiB.
     pub peak_rss_mb: f64,
-    /// Throughput against the bare copy loop's; 0 where that was not run.
+    /// Ratio of the program's throughput to that of the bare copy loop; 0 if that was not run.
     pub relay_ratio: f64,
-    /// The same against splice.
+    /// Ratio of the program's throughput to that of the bare splice loop; 0 if that was not run.
     pub splice_ratio: f64,
-    /// Megabytes (10^6) a second of the streams without a slow peer.
+    /// Throughput of the streams without a slow peer, in megabytes (10^6 bytes) per second.
     pub mb_s: f64,
-    /// Processor seconds for 10^9 bytes.
+    /// Processor time of the program in seconds per 10^9 bytes.
     pub cpu_s_gb: f64,
-    /// Of small requests beside the streams, in milliseconds.
+    /// Median latency of the small requests, in milliseconds.
     pub small_p50_ms: f64,
-    /// Of small requests beside the streams, in milliseconds.
+    /// 99th percentile of the latency of the small requests, in milliseconds.
     pub small_p99_ms: f64,
 }
 
 impl Figures {
-    /// The last line.
+    /// Returns the last line of the experiment.
     pub fn line(&self) -> String {
         format!(
             "streams={} completed={} failed_clean={} broken={} peak_rss_mb={:.1} relay_ratio={:.2} \
@@ -91,10 +91,11 @@
         )
     }
 
-    /// Whether the proof holds.
+    /// Checks that every stream completed or failed cleanly, that all streams without a slow peer completed,
+    /// and that the program stayed within its memory limit.
     ///
     /// # Errors
-    /// Where a figure disproves what the experiment is to show.
+    /// Returns [`RigError::CheckFailed`] if one of them does not hold.
     pub fn verify(&self, plan: &Plan) -> Result<(), RigError> {
         let fast = plan.count - plan.slow;
         if self.broken > 0 || self.completed + self.failed_clean != self.streams {
@@ -116,7 +117,8 @@
     }
 }
 
-/// The operator's file for so many streams over these servers.
+/// Returns the text of an operator file for `count` streams over these servers. `dispatch` is the setting of
+/// that name.
 pub fn operator_file(
     servers: &[SocketAddr],
     count: usize,
@@ -149,7 +151,8 @@
     )
 }
 
-/// The streams of a plan.
+/// Returns the requests of a plan's streams: with slow and fast peers, in both directions, one in five
+/// chunked.
 fn requests(plan: &Plan) -> Vec<StreamRequest> {
     let request = |at: usize| {
         let slow = at < plan.slow;
@@ -163,13 +166,15 @@
     (0..plan.count).map(request).collect()
 }
 
+/// Outcome of the streams of a run.
 struct RunResult {
     outcomes: Vec<(StreamRequest, StreamOutcome)>,
-    /// Seconds from the common start to the end of the last stream without a slow peer.
+    /// Time from the common start to the end of the last stream without a slow peer, in seconds.
     elapsed_s: f64,
 }
 
-/// Runs streams, all begun at once; tells `over` when the last of those without a slow peer has ended.
+/// Runs streams that all start at once. Sets `fast_done` when the last of those without a slow peer has
+/// ended.
 fn run(requests: Vec<StreamRequest>, address: SocketAddr, fast_done: &Arc<AtomicBool>) -> RunResult {
     let fast = |request: &StreamRequest| request.client_rate + request.server_rate == 0;
     let left = Arc::new(AtomicUsize::new(requests.iter().filter(|request| fast(request)).count()));
@@ -202,6 +207,7 @@
     }
 }
 
+/// Returns the throughput of the completed streams without a slow peer, in megabytes (10^6 bytes) per second.
 fn throughput(run: &RunResult) -> f64 {
     let fast = run.outcomes.iter().filter(|(request, outcome)| {
         request.client_rate + request.server_rate == 0 && *outcome == StreamOutcome::Complete
@@ -209,9 +215,10 @@
     fast.map(|(request, _)| request.body.size as f64).sum::<f64>() / run.elapsed_s.max(1e-9) / 1e6
 }
 
-/// Sends small requests over a kept connection until told to stop; their times in microseconds.
+/// Sends small requests over a kept-alive connection until `stop` is set. Returns their latencies in
+/// microseconds.
 fn send_small_requests(address: SocketAddr, stop: &AtomicBool) -> Histogram<u64> {
-    // Up to two minutes; one that resizes itself would cut what it records to its first bounds.
+    // Up to two minutes. A histogram that resizes itself would saturate at its initial bounds.
     let mut times = Histogram::new_with_bounds(1, 120_000_000, 3).expect("the bounds are in order");
     let mut peer = None;
     let mut at = 0u64;
@@ -228,7 +235,7 @@
             times.saturating_record(began.elapsed().as_micros() as u64);
             peer = Some(conn);
         } else {
-            // One that failed counts as the longest wait there is.
+            // A failed request counts as the longest wait, 60 s.
             times.saturating_record(60_000_000);
         }
         std::thread::sleep(SMALL_REQUEST_INTERVAL);
@@ -236,10 +243,10 @@
     times
 }
 
-/// Runs the experiment and prints its table.
+/// Runs the experiment, prints its table and returns its figures.
 ///
 /// # Errors
-/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
+/// Returns an error if the program or a stand-in cannot be started, or a bare relay fails a stream.
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let binary = build()?;
     let servers: Vec<_> = (0..SERVER_COUNT).map(|_| serve()).collect::<Result<_, _>>()?;
@@ -281,7 +288,7 @@
     if plan.bare_bytes > 0 {
         let [copy, splice] = [Mode::Copy, Mode::Splice].map(|mode| run_bare_relay(plan, addresses[0], mode));
         let (copy, splice) = (copy?, splice?);
-        // The program over the same bytes, so that the two are alike in all but what stands between.
+        // The program relays the same bytes, so that the runs differ in nothing but the relay.
         let program = Program::start(&binary, &file, 1)?;
         let same = throughput(&run(bare_requests(plan), program.addresses[0], &Arc::default()));
         program.stop()?;
@@ -292,10 +299,13 @@
     Ok(figures)
 }
 
+/// Returns the requests that the program and the bare relays are compared with: as the plan's, without slow
+/// peers.
 fn bare_requests(plan: &Plan) -> Vec<StreamRequest> {
     requests(&Plan { slow: 0, bytes: plan.bare_bytes, ..plan.clone() })
 }
 
+/// Runs the streams through a bare relay and returns its throughput.
 fn run_bare_relay(plan: &Plan, to: SocketAddr, mode: Mode) -> Result<f64, RigError> {
     let result = run(bare_requests(plan), start(to, mode)?, &Arc::default());
     match result.outcomes.iter().find(|(_, outcome)| *outcome != StreamOutcome::Complete) {
@@ -306,7 +316,8 @@
     }
 }
 
-/// Counts the ends by group, and prints them.
+/// Counts the outcomes by sort of peers and direction, and prints them. The first failure of each group is
+/// shown.
 fn print_table(result: &RunResult, figures: &mut Figures) {
     let mut groups: BTreeMap<String, (usize, usize, usize, Vec<String>)> = BTreeMap::new();
     for (request, outcome) in &result.outcomes {
@@ -339,10 +350,10 @@
     println!("{:.0} MB/s in {:.1} s", figures.mb_s, result.elapsed_s);
 }
 
-/// The cost of more and more streams over the same bytes in all.
+/// Runs 10, 100, 200 and 400 streams that share `total_mb` megabytes, and prints the cost of each run.
 ///
 /// # Errors
-/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
+/// Returns an error if the program or a stand-in cannot be started, or the check of a run fails.
 pub fn ladder(total_mb: u64, pipes: usize) -> Result<String, RigError> {
     let mut last = String::new();
     println!(
--- a/rig/src/upgrade.rs
+++ b/rig/src/upgrade.rs
@@ -1,5 +1,6 @@
-//! Upgrades under load: pairs of real processes at one address, with stand-in clients, booking workers and discovery,
-//! and faults at the seam by seed. What is judged is what clients and workers saw.
+//! Experiment `upgrade`: a new process of the program takes over from a running one at the same address,
+//! again and again under load, with faults during the handover that a seed decides. Clients, workers and
+//! discovery are stand-ins; the checks use what clients and workers saw.
 
 use std::collections::HashMap;
 use std::io::Read;
@@ -15,39 +16,39 @@
 use crate::process::Process;
 use crate::{RigError, check_invariants, io_context};
 
-/// How long a client waits for its answer.
+/// Deadline of a job.
 const JOB_DEADLINE: Duration = Duration::from_secs(4);
-/// How long after the news of a drain new jobs may still come.
+/// How long after discovery reports that a worker drains it may still get new jobs.
 const DRAIN_GRACE: Duration = Duration::from_millis(2050);
-/// How long a process may serve by the list that it has before it asks, as its settings say.
+/// How long a process may use its list before it must confirm it with discovery: `askWithin` of its settings.
 const LIST_CONFIRM_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long a process is frozen.
+/// How long a process is stopped with SIGSTOP.
 const FREEZE_TIME: Duration = Duration::from_secs(1);
-/// Booking workers.
+/// Number of stand-in workers.
 const WORKERS: usize = 4;
 
-/// What goes wrong in a round.
+/// The fault of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// The new process is killed before it says yes.
+    /// The new process is killed before it reports that it is ready.
     NewDiesBefore,
-    /// The new process is killed after its yes.
+    /// The new process is killed after it has reported that it is ready.
     NewDiesAfter,
-    /// The old process is killed during its end.
+    /// The old process is killed while it shuts down.
     OldKilled,
-    /// The old process is frozen for a second in the middle of its end.
+    /// The old process is stopped with SIGSTOP for a second while it shuts down.
     OldFrozen,
-    /// A third process is started while both are there.
+    /// A third process is started while both run, and takes over from them.
     Third,
-    /// The note of the old process is torn.
+    /// The handover note of the old process is truncated.
     Torn,
-    /// A note cannot be left.
+    /// The new process cannot write a handover note.
     NoRoom,
-    /// The disk is full: neither the new one's note nor the old one's memory can be written.
+    /// The disk is full: the new process cannot write its handover note, nor the old one its warm state.
     Full,
-    /// Both are terminated at once, and another is started when they have ended.
+    /// Both processes are terminated at once, and another is started when they have exited.
     Both,
 }
 
@@ -64,46 +65,47 @@
     Fault::Both,
 ];
 
-/// What a run is.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Upgrades, one after the other.
+    /// Number of upgrades, one after the other.
     pub rounds: usize,
-    /// Jobs a second.
+    /// Jobs per second of all clients.
     pub rate: u64,
-    /// Decides faults and jobs.
+    /// Seed that decides faults and jobs.
     pub seed: u64,
 }
 
-/// What clients and workers saw.
+/// Results of a run, from what clients and workers saw.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// Upgrades played.
+    /// Number of upgrades.
     pub rounds: usize,
-    /// Jobs whose clients wrote them whole.
+    /// Jobs that were submitted; those that met no process in any attempt are left out.
     pub jobs: u64,
     /// Jobs that were served.
     pub served: u64,
-    /// Connections on which more came than the one answer.
+    /// Responses with the body of another job, and connections with more bytes than the one response.
     pub answered_twice: u64,
-    /// Jobs without an answer that no kill of a process explains.
+    /// Jobs that got no response although no process was killed meanwhile, and jobs that were answered too
+    /// late.
     pub unanswered: u64,
-    /// Jobs without an answer at a kill.
+    /// Jobs that got no response because a process was killed.
     pub killed: u64,
-    /// Jobs that may not run twice and did.
+    /// Jobs that ran twice although they may run only once.
     pub unsafe_ran_twice: u64,
-    /// Jobs that met a refused or reset connection while a process was there.
+    /// Connection attempts that were refused or reset although a process was running.
     pub refused_at_seam: u64,
-    /// Connections refused after both processes were terminated.
+    /// Connection attempts that failed after both processes were terminated.
     pub nobody_there: u64,
-    /// Call-backs that reached one process and were taken by the other.
+    /// Call-backs that reached one process and were forwarded to the other.
     pub callbacks_other: u64,
-    /// Jobs that came to a draining worker too late.
+    /// Jobs that reached a draining worker later than `DRAIN_GRACE` allows.
     pub late_drains: u64,
 }
 
 impl Figures {
-    /// The last line of the experiment.
+    /// Returns the last line of the experiment.
     pub fn line(&self) -> String {
         format!(
             "rounds={} jobs={} served={} answered_twice={} unanswered={} killed={} unsafe_ran_twice={} \
@@ -122,10 +124,11 @@
         )
     }
 
-    /// Whether the proof holds.
+    /// Checks that no job was answered twice, left unanswered or run twice although it must not be, that no
+    /// draining worker got late jobs, and that at least half of the jobs were served.
     ///
     /// # Errors
-    /// Where a figure disproves what the experiment is to show.
+    /// Returns [`RigError::CheckFailed`] if one of them does not hold.
     pub fn verify(&self) -> Result<(), RigError> {
         let zeros = [
             ("answered_twice", self.answered_twice),
@@ -137,28 +140,29 @@
     }
 }
 
-/// All that the stand-ins share.
+/// State that the stand-ins share.
 struct World {
     address: SocketAddr,
     worker_addresses: Vec<SocketAddr>,
     stopping: AtomicBool,
-    /// Both processes were terminated, and no other serves yet.
+    /// Set while both processes were terminated and no other is ready yet.
     all_terminated: AtomicBool,
-    /// Runs of each job.
+    /// Number of runs of each job, by job id.
     runs: Mutex<HashMap<String, u32>>,
-    /// When a process was killed.
+    /// Times at which a process was killed.
     killed_at: Mutex<Vec<Instant>>,
-    /// When a process was frozen for a second.
+    /// Times at which a process was stopped for `FREEZE_TIME`.
     frozen_at: Mutex<Vec<Instant>>,
-    /// The version of the list, and which worker drains since when.
+    /// Version of the list, and the draining worker with the time at which it began to drain.
     list: Mutex<(u64, Option<(usize, Instant)>)>,
-    /// A process was started with none beside it, and has not read the list yet: since when.
+    /// Start time of a process that was started without a predecessor and has not read the list from
+    /// discovery yet.
     list_unread_since: Mutex<Option<Instant>>,
     figures: Mutex<Figures>,
     next_job: AtomicU64,
 }
 
-/// Has a stand-in serve a listener.
+/// Serves a listener with a stand-in, on a thread for each connection.
 fn serve_stand_in(
     world: &Arc<World>,
     listener: TcpListener,
@@ -177,7 +181,8 @@
     );
 }
 
-/// A booking worker: takes each job, runs it for 20 to 300 ms, and calls back until it is heard.
+/// A stand-in worker: accepts each job, runs it for 20 to 300 ms, and posts call-backs until they are
+/// accepted.
 fn worker(world: &Arc<World>, number: usize, mut http: Http) {
     while let Ok((head, _)) = http.read() {
         let began = Instant::now();
@@ -186,7 +191,8 @@
             continue;
         };
         let draining = lock(&world.list).1.filter(|d| d.0 == number);
-        // One that has nobody to hear of a drain from is held to the list of its configuration until it has asked.
+        // A process that started without a predecessor knows only the list of its configuration, so it cannot
+        // know of a drain until it has asked discovery.
         let list_unread =
             lock(&world.list_unread_since).is_some_and(|since| began < since + LIST_CONFIRM_TIMEOUT);
         if !list_unread && draining.is_some_and(|(_, since)| began > since + DRAIN_GRACE) {
@@ -206,7 +212,7 @@
     }
 }
 
-/// Calls back on a new connection until the call is answered, ten times at most.
+/// Posts a call-back, each time on a new connection, until it is accepted, at most ten times.
 fn call_back(world: &World, number: usize, id: &str, state: &str) {
     for _ in 0..10 {
         if post_job_event(world.address, Duration::from_secs(2), id, &format!("s-{number}"), state, id) {
@@ -216,7 +222,8 @@
     }
 }
 
-/// Discovery: the list, and a watch of its changes.
+/// The stand-in discovery: serves the list, and holds a watch (`since`) until the list changes or the watch
+/// times out.
 fn discovery(world: &Arc<World>, _: usize, mut http: Http) {
     while let Ok((head, _)) = http.read() {
         let target = head.split(' ').nth(1).unwrap_or("").to_string();
@@ -241,24 +248,25 @@
     }
 }
 
-/// Whether a process was killed since then.
+/// Whether a process was killed at or after `began`.
 fn was_killed_since(world: &World, began: Instant) -> bool {
     lock(&world.killed_at).iter().any(|k| *k >= began)
 }
 
-/// How a job went for its client.
+/// Outcome of a job, as its client saw it.
 struct Submission {
-    /// The status and whether the body was right; none without an answer.
+    /// Status of the response and whether its body was the job's; `None` without a response.
     response: Option<(u16, bool)>,
-    /// The connection broke where something may have read the job.
+    /// Whether the connection broke when a process may have read the job already.
     connection_lost: bool,
-    /// When the last try began: the deadline that a process reads counts from the try that reaches it.
+    /// Start of the last attempt. The job's deadline is relative, so it counts from the attempt that reaches
+    /// a process.
     sent: Instant,
-    /// Nobody was there at some time of its tries.
+    /// Whether all processes were terminated during one of the attempts.
     saw_all_terminated: bool,
 }
 
-/// A client: submits jobs at a pace and waits for each answer.
+/// A client: submits jobs one after the other, with a pause before each.
 fn client(world: &Arc<World>, pause: Duration) {
     let mut conn: Option<Http> = None;
     while !world.stopping.load(Ordering::Relaxed) {
@@ -275,7 +283,8 @@
     }
 }
 
-/// Submits a job. A kept connection may have been closed between requests: the job goes once more on a new one.
+/// Submits a job in up to three attempts: again on a new connection if a kept-alive one was closed between
+/// requests, or if no connection could be opened.
 fn submit(world: &World, conn: &mut Option<Http>, id: &str, text: &str, began: Instant) -> Submission {
     let mut submission =
         Submission { response: None, connection_lost: false, sent: began, saw_all_terminated: false };
@@ -304,7 +313,8 @@
                 *conn = (!closes).then_some(http);
                 break;
             }
-            // A close or reset that crossed a request which nobody has read.
+            // The connection was closed or reset before a process read the request, so it is safe to send it
+            // again.
             Err(e)
                 if e.kind() != std::io::ErrorKind::WouldBlock
                     && !lock(&world.runs).contains_key(id)
@@ -327,11 +337,12 @@
     submission
 }
 
-/// Counts what became of a job.
+/// Adds the outcome of a job to the figures.
 fn count_submission(world: &World, id: &str, began: Instant, submission: &Submission) {
     let &Submission { response, connection_lost, sent, saw_all_terminated } = submission;
     let mut figures = lock(&world.figures);
-    // Each try found nobody, or a close that crossed it, while both processes were gone: it was never handed in.
+    // No process has read the job in any attempt, and all were terminated meanwhile: it doesn't count as
+    // submitted.
     if response.is_none() && !connection_lost && saw_all_terminated {
         return;
     }
@@ -346,7 +357,7 @@
             figures.unanswered += 1;
         }
     }
-    // What comes to a frozen process waits for its thaw, and has its time from then on.
+    // A job that arrives at a stopped process waits until that is resumed, and its deadline starts then.
     let was_frozen = lock(&world.frozen_at).iter().any(|f| *f + FREEZE_TIME >= sent);
     let max =
         JOB_DEADLINE + Duration::from_millis(500) + if was_frozen { FREEZE_TIME } else { Duration::ZERO };
@@ -356,7 +367,9 @@
     }
 }
 
-/// Starts a process. On a full disk what it writes its note to has no room: the shell that becomes it knows its id.
+/// Starts a process. With `full_disk_note`, the path of its handover note, writing the note fails as on a
+/// full disk: a shell links the note's temporary file, whose name ends in the process id, to `/dev/full`, and
+/// then becomes the program.
 fn start_process(
     binary: &Path,
     config: &Path,
@@ -371,7 +384,8 @@
     Process::start(command)
 }
 
-/// Waits for a process's end, at a kill after the time that the platform gives; how many call-backs it passed on.
+/// Waits until a process exits, and kills it after 3.7 s as the platform would. Returns the number of
+/// call-backs that it forwarded.
 fn await_exit(mut process: Process, world: &World) -> Result<u64, RigError> {
     let end = Instant::now() + Duration::from_millis(3700);
     while !process.has_exited()? {
@@ -416,7 +430,8 @@
     )
 }
 
-/// Damages what the old process has left for the new one, or keeps the new one from leaving anything.
+/// Damages the handover note of the old process (`Torn`), or keeps the new one from writing its own
+/// (`NoRoom`).
 fn break_notes(notes: &Path, fault: Fault) -> Result<(), RigError> {
     for entry in io_context("directory of the handover notes", std::fs::read_dir(notes))?.flatten() {
         let path = entry.path();
@@ -425,7 +440,7 @@
         }
         match fault {
             Fault::Torn => io_context("handover note", std::fs::write(&path, "micabeam-handover 1 pid="))?,
-            // A directory in its place cannot be replaced by a file.
+            // A file cannot be renamed over a directory that is not empty.
             Fault::NoRoom => {
                 let _ = std::fs::remove_file(&path);
                 io_context("handover note", std::fs::create_dir_all(path.join("full")))?;
@@ -436,7 +451,8 @@
     Ok(())
 }
 
-/// One upgrade: starts a process beside the one that serves, and ends that one. Gives the one that serves then.
+/// Runs one upgrade: starts a process beside the serving one, and terminates that one. Returns the process
+/// that serves afterwards.
 fn run_upgrade(
     world: &World,
     old: Process,
@@ -495,18 +511,18 @@
     Ok(new)
 }
 
-/// The stand-ins of a run, and the file that its processes are started with.
+/// The stand-ins of a run, and the paths that its processes are started with.
 struct Testbed {
     world: Arc<World>,
     binary: PathBuf,
     notes: PathBuf,
     config: PathBuf,
-    /// The handover note of the processes.
+    /// Path of the handover note of the processes.
     note: PathBuf,
 }
 
 impl Testbed {
-    /// Starts the stand-ins.
+    /// Builds the program, writes its configuration, and starts the stand-ins.
     fn start(plan: &Plan) -> Result<Testbed, RigError> {
         let binary = crate::program::build()?;
         let notes: PathBuf =
@@ -516,7 +532,7 @@
         let workers = (0..WORKERS).map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
         let lists = listen()?;
         let pid = std::process::id();
-        // An address that nothing else of this machine's tests listens at.
+        // An address of this run, at which no other test on this machine listens.
         let address =
             SocketAddr::from(([127, 201 + (pid >> 8) as u8 % 50, pid as u8, plan.seed as u8], 8081));
         let local = |l: &TcpListener| io_context("stand-in", l.local_addr());
@@ -541,7 +557,7 @@
         Ok(Testbed { world, binary, notes, config: file, note })
     }
 
-    /// Starts a process of the program, on a full disk or not.
+    /// Starts a process of the program, as on a full disk if `full`.
     fn start_process(&self, full: bool) -> Result<Process, RigError> {
         start_process(&self.binary, &self.config, &self.notes, full.then_some(self.note.as_path()))
     }
@@ -557,14 +573,14 @@
         (0..clients).map(start).collect()
     }
 
-    /// Drains another worker, or none.
+    /// Publishes a new version of the list, in which one random worker drains, or none.
     fn change_list(&self, rng: &mut fastrand::Rng) {
         let mut list = lock(&self.world.list);
         let drains = rng.u64(..WORKERS as u64 + 1) as usize;
         *list = (list.0 + 1, (drains < WORKERS).then(|| (drains, Instant::now())));
     }
 
-    /// Plays one upgrade with a fault. Gives the process that serves then.
+    /// Runs one upgrade with a fault. Returns the process that serves afterwards.
     fn run_round(
         &self,
         serving: Process,
@@ -585,7 +601,7 @@
         Ok(serving)
     }
 
-    /// Takes away what kept processes from leaving anything.
+    /// Removes what kept processes from writing their files: directories and links to `/dev/full`.
     fn clear_note_faults(&self) -> Result<(), RigError> {
         for entry in io_context("directory of the handover notes", std::fs::read_dir(&self.notes))?.flatten()
         {
@@ -598,7 +614,7 @@
         Ok(())
     }
 
-    /// The figures of a run that is over.
+    /// Returns the figures at the end of a run.
     fn figures(&self, plan: &Plan) -> Figures {
         let number = |id: &str| id[1..].parse::<u64>().unwrap_or(0);
         let runs = lock(&self.world.runs);
@@ -611,10 +627,10 @@
     }
 }
 
-/// Plays a plan with the real program.
+/// Runs the experiment with the real program.
 ///
 /// # Errors
-/// Where the program or a stand-in cannot be started, or ends by itself.
+/// Returns an error if the program or a stand-in cannot be started, or a process does not become ready.
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let testbed = Testbed::start(plan)?;
     let mut serving = testbed.start_process(false)?;
