--- a/benches/ingest.rs
+++ b/benches/ingest.rs
@@ -8,7 +8,7 @@
 use micabeam::ingest::{Event, Policy};
 use micabeam::settings::Site;
 
-fn rules(c: &mut Criterion) {
+fn match_last_rule(c: &mut Criterion) {
     let site = Site::parse(include_bytes!("../examples/settings.json")).expect("the example reads");
     let mut text = "version = 1\n[[partition]]\nname = \"p\"\n".to_string();
     for number in 0..199 {
@@ -24,5 +24,5 @@
     c.bench_function("the last of 200 rules", |b| b.iter(|| policy.rule(black_box(&event))));
 }
 
-criterion_group!(benches, rules);
+criterion_group!(benches, match_last_rule);
 criterion_main!(benches);
--- a/rig/src/process.rs
+++ b/rig/src/process.rs
@@ -116,7 +116,7 @@
     /// Whether the process has exited.
     ///
     /// # Errors
-    /// Returns an error if the operating system cannot tell.
+    /// Returns an error if the exit status cannot be queried.
     pub fn has_exited(&mut self) -> Result<bool, RigError> {
         Ok(io_context("exit status of the program", self.child.try_wait())?.is_some())
     }
--- a/rig/src/rollout.rs
+++ b/rig/src/rollout.rs
@@ -199,7 +199,7 @@
 }
 
 impl World {
-    /// Whether a process was unavailable at `from` or later, or had been back for less than a second then.
+    /// Whether an outage of the process lasted beyond `from`, or ended less than a second before it.
     fn was_unavailable(&self, process: usize, from: Instant) -> bool {
         let slack = Duration::from_secs(1);
         let covers = |(who, _, until): &(usize, Instant, Option<Instant>)| {
@@ -298,9 +298,10 @@
             return;
         }
         let field = |name: &str| line.split_once(&format!(" {name}="))?.1.split(' ').next();
-        let number_of = |name: &str| field(name).and_then(|text| text.trim_matches('"').parse::<u64>().ok());
-        let given_up = line.contains("outcome=\"given up\"").then(|| number_of("version")).flatten();
-        let in_force = number_of("in_force").unwrap_or(0);
+        let number_field =
+            |name: &str| field(name).and_then(|text| text.trim_matches('"').parse::<u64>().ok());
+        let given_up = line.contains("outcome=\"given up\"").then(|| number_field("version")).flatten();
+        let in_force = number_field("in_force").unwrap_or(0);
         lock(&world.decisions).push(LoggedDecision { process: number, at, in_force, given_up });
     });
 }
@@ -308,7 +309,7 @@
 /// The processes of a run, and the proxy between them.
 struct Cluster {
     world: Arc<World>,
-    layer: DatagramProxy,
+    proxy: DatagramProxy,
     processes: Vec<Option<Process>>,
     binary: PathBuf,
     dir: PathBuf,
@@ -332,8 +333,8 @@
 
     fn mark_available(&self, number: usize) {
         let now = Instant::now();
-        let mut away = lock(&self.world.outages);
-        away.iter_mut().filter(|a| a.0 == number && a.2.is_none()).for_each(|a| a.2 = Some(now));
+        let mut outages = lock(&self.world.outages);
+        outages.iter_mut().filter(|a| a.0 == number && a.2.is_none()).for_each(|a| a.2 = Some(now));
     }
 
     /// Returns the process that reports that it leads, or the first if none does.
@@ -366,7 +367,7 @@
     /// Waits until all processes serve under the same version, no change is under way, and a version of at
     /// least `min_version` was decided on. Returns the version in force.
     fn await_one_version(&self, min_version: u64) -> Result<u64, RigError> {
-        let end = Instant::now() + SETTLE_TIMEOUT;
+        let deadline = Instant::now() + SETTLE_TIMEOUT;
         loop {
             let statuses: Vec<String> =
                 self.processes.iter().flatten().filter_map(|p| p.ask_console("policy")).collect();
@@ -374,15 +375,15 @@
                 text.split_once(name).and_then(|(_, rest)| rest.split(' ').next()?.parse::<u64>().ok())
             };
             let runs: BTreeSet<_> = statuses.iter().map(|text| number_after(text, "runs ")).collect();
-            let same = runs.len() == 1 && statuses.len() == self.processes.len();
-            let decided = |text: &String| number_after(text, " last ").unwrap_or(0) >= min_version;
+            let agree = runs.len() == 1 && statuses.len() == self.processes.len();
+            let is_decided = |text: &String| number_after(text, " last ").unwrap_or(0) >= min_version;
             let is_idle =
                 |text: &String| text.contains("serves yes holds no") && text.contains("staged none");
-            let ready = |text: &String| is_idle(text) && decided(text);
-            if let (true, Some(Some(version))) = (same && statuses.iter().all(ready), runs.first()) {
+            let is_settled = |text: &String| is_idle(text) && is_decided(text);
+            if let (true, Some(Some(version))) = (agree && statuses.iter().all(is_settled), runs.first()) {
                 return Ok(*version);
             }
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(RigError::CheckFailed(format!(
                     "the processes did not settle on one version: {statuses:?}"
                 )));
@@ -395,7 +396,7 @@
     fn cut_links(&self, is_cut: impl Fn(usize, usize) -> bool) {
         let count = self.world.plan.dispatchers;
         let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b)));
-        self.layer.set_faults(|w| w.cut.extend(pairs.filter(|(a, b)| a != b && is_cut(*a, *b))));
+        self.proxy.set_faults(|w| w.cut.extend(pairs.filter(|(a, b)| a != b && is_cut(*a, *b))));
     }
 
     /// Stops a process with SIGSTOP for a time.
@@ -428,10 +429,10 @@
         let count = self.world.plan.dispatchers;
         let duration = Duration::from_millis(rng.u64(50..3500));
         let delay = Duration::from_millis(rng.u64(..120));
-        let at = rng.usize(..count);
+        let requester = rng.usize(..count);
         *version += 1;
         match fault {
-            Fault::None => self.request_version(at, *version)?,
+            Fault::None => self.request_version(requester, *version)?,
             Fault::LeaderKilled | Fault::Killed(_) => {
                 let victim = if let Fault::Killed(who) = fault { who } else { self.leader() };
                 self.request_version((victim + 1 + rng.usize(..count - 1)) % count, *version)?;
@@ -446,21 +447,21 @@
             }
             Fault::Alone(who) => {
                 self.cut_links(|a, b| (a == who) != (b == who));
-                self.request_version(at, *version)?;
+                self.request_version(requester, *version)?;
                 thread::sleep(duration);
-                self.layer.set_faults(|w| w.cut.clear());
+                self.proxy.set_faults(|w| w.cut.clear());
             }
             Fault::Split => self.run_split(version, duration)?,
             Fault::Lossy => {
-                self.layer
+                self.proxy
                     .set_faults(|w| (w.lost_per_1000, w.duplicated_per_1000, w.max_delay_ms) = (300, 50, 60));
-                self.request_version(at, *version)?;
+                self.request_version(requester, *version)?;
                 thread::sleep(duration);
-                self.layer
+                self.proxy
                     .set_faults(|w| (w.lost_per_1000, w.duplicated_per_1000, w.max_delay_ms) = (0, 0, 1));
             }
             Fault::AllKilled => {
-                self.request_version(at, *version)?;
+                self.request_version(requester, *version)?;
                 thread::sleep(delay);
                 self.restart_all()?;
             }
@@ -476,7 +477,7 @@
         *version += 1;
         self.request_version(count - 1, *version)?;
         thread::sleep(duration);
-        self.layer.set_faults(|w| w.cut.clear());
+        self.proxy.set_faults(|w| w.cut.clear());
         Ok(())
     }
 
@@ -499,7 +500,7 @@
     dir: &Path,
     hosts: &[(u64, String)],
     addresses: &[SocketAddr],
-    layer: &DatagramProxy,
+    proxy: &DatagramProxy,
     number: usize,
 ) -> Result<(), RigError> {
     let class = |name: &str, semantics: &str| {
@@ -535,7 +536,7 @@
         file += "agreed = false\n";
     }
     for member in 0..world.plan.dispatchers {
-        let address = if member == number { addresses[number] } else { layer.proxy_address(number, member) };
+        let address = if member == number { addresses[number] } else { proxy.proxy_address(number, member) };
         file += &format!(
             "[[fleet.member]]\nname = \"n{member}\"\naddress = \"{address}\"\nzone = \"z\"\nvoter = {}\n",
             member < voters
@@ -595,8 +596,8 @@
 /// Runs the experiment with files in `dir`.
 fn run(plan: &Plan, binary: PathBuf, dir: &Path) -> Result<Figures, RigError> {
     let Addresses { clients, datagrams: addresses } = Addresses::find_free(plan.dispatchers, plan.seed)?;
-    let layer = DatagramProxy::start(&addresses, plan.seed)?;
-    layer.set_faults(|w| w.max_delay_ms = 1);
+    let proxy = DatagramProxy::start(&addresses, plan.seed)?;
+    proxy.set_faults(|w| w.max_delay_ms = 1);
     let world = Arc::new(World {
         plan: *plan,
         clients,
@@ -610,10 +611,10 @@
     });
     let hosts = start_workers(&world)?;
     for number in 0..plan.dispatchers {
-        write_files(&world, dir, &hosts, &addresses, &layer, number)?;
+        write_files(&world, dir, &hosts, &addresses, &proxy, number)?;
     }
     let processes = (0..plan.dispatchers).map(|_| None).collect();
-    let mut cluster = Cluster { world: Arc::clone(&world), layer, processes, binary, dir: dir.to_path_buf() };
+    let mut cluster = Cluster { world: Arc::clone(&world), proxy, processes, binary, dir: dir.to_path_buf() };
     for number in 0..plan.dispatchers {
         cluster.start(number)?;
     }
--- a/rig/src/upgrade.rs
+++ b/rig/src/upgrade.rs
@@ -227,15 +227,17 @@
 fn discovery(world: &Arc<World>, _: usize, mut http: Http) {
     while let Ok((head, _)) = http.read() {
         let target = head.split(' ').nth(1).unwrap_or("").to_string();
-        let of =
+        let query_number =
             |name: &str| target.split(['?', '&']).find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok());
-        let end = Instant::now() + Duration::from_millis(of("timeout_ms=").unwrap_or(0).min(20_000));
-        while of("since=").is_some_and(|since| since >= lock(&world.list).0) && Instant::now() < end {
+        let end =
+            Instant::now() + Duration::from_millis(query_number("timeout_ms=").unwrap_or(0).min(20_000));
+        while query_number("since=").is_some_and(|since| since >= lock(&world.list).0) && Instant::now() < end
+        {
             thread::sleep(Duration::from_millis(2));
         }
-        let (version, drains) = *lock(&world.list);
+        let (version, draining) = *lock(&world.list);
         let line = |(n, dial): (usize, &SocketAddr)| {
-            let health = if drains.is_some_and(|d| d.0 == n) { "draining" } else { "up" };
+            let health = if draining.is_some_and(|d| d.0 == n) { "draining" } else { "up" };
             format!(r#"{{"host":"s-{n}","dial":"{dial}","health":"{health}","share":1.0,"born_ms":0}}"#)
         };
         let hosts: Vec<String> = world.worker_addresses.iter().enumerate().map(line).collect();
@@ -290,7 +292,7 @@
         Submission { response: None, connection_lost: false, sent: began, saw_all_terminated: false };
     for _ in 0..3 {
         submission.sent = Instant::now();
-        let kept = conn.is_some();
+        let reused = conn.is_some();
         let all_terminated = world.all_terminated.load(Ordering::Relaxed);
         submission.saw_all_terminated |= all_terminated;
         let Some(mut http) = conn.take().or_else(|| Http::connect(world.address, JOB_DEADLINE * 2).ok())
@@ -303,7 +305,7 @@
             thread::sleep(Duration::from_millis(50));
             continue;
         };
-        if kept && !http.0.buffer().is_empty() {
+        if reused && !http.0.buffer().is_empty() {
             lock(&world.figures).answered_twice += 1;
         }
         match http.write(text).and_then(|()| http.read()) {
@@ -320,7 +322,7 @@
                     && !lock(&world.runs).contains_key(id)
                     && !was_killed_since(world, began) =>
             {
-                let count = u64::from(!kept);
+                let count = u64::from(!reused);
                 let mut figures = lock(&world.figures);
                 *(if all_terminated { &mut figures.nobody_there } else { &mut figures.refused_at_seam }) +=
                     count;
@@ -576,8 +578,8 @@
     /// Publishes a new version of the list, in which one random worker drains, or none.
     fn change_list(&self, rng: &mut fastrand::Rng) {
         let mut list = lock(&self.world.list);
-        let drains = rng.u64(..WORKERS as u64 + 1) as usize;
-        *list = (list.0 + 1, (drains < WORKERS).then(|| (drains, Instant::now())));
+        let worker = rng.u64(..WORKERS as u64 + 1) as usize;
+        *list = (list.0 + 1, (worker < WORKERS).then(|| (worker, Instant::now())));
     }
 
     /// Runs one upgrade with a fault. Returns the process that serves afterwards.
