--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -1,5 +1,6 @@
-//! What the program is measured against: bare loops that copy bytes between two sockets, in one thread, with no
-//! framing, no limits and no decisions. One copies through a buffer, one moves pages by `splice`.
+//! Baseline relays that the program's throughput is compared with. They move bytes between two sockets in one
+//! thread, without framing, limits or routing; one copies through a buffer, the other moves pages with
+//! `splice`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{ErrorKind, Read, Write};
@@ -10,53 +11,62 @@
 use rustix::pipe::{PipeFlags, SpliceFlags, pipe_with, splice};
 
 use crate::peers::spawn;
-use crate::{RigError, tried};
+use crate::{RigError, io_context};
 
-/// Bytes of the buffer, and moved by one splice.
-const BUFFER: usize = 64 * 1024;
-const LISTENER: u64 = u64::MAX;
+/// Size of the copy buffer, and the most bytes that one splice moves.
+const BUFFER_BYTES: usize = 64 * 1024;
+/// Epoll token of the listener; pairs are numbered from 1.
+const LISTENER_TOKEN: u64 = u64::MAX;
 
-/// How bytes are moved.
+/// How a relay moves bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Through a buffer of the process.
+    /// Through a buffer in user space.
     Copy,
-    /// Through a pipe of the system, without a copy into the process.
+    /// With `splice` through a kernel pipe, without a copy into user space.
     Splice,
 }
 
-/// One direction of a pair.
-struct Lane {
+/// State of one direction of a pair.
+struct OneDirection {
     buffer: Vec<u8>,
-    at: usize,
+    written: usize,
     pipe: Option<(OwnedFd, OwnedFd)>,
-    piped: usize,
-    ended: bool,
-    shut: bool,
+    pipe_bytes: usize,
+    at_eof: bool,
+    shut_down: bool,
 }
 
-impl Lane {
-    fn new(mode: Mode) -> Result<Lane, RigError> {
+impl OneDirection {
+    fn new(mode: Mode) -> Result<OneDirection, RigError> {
         let pipe = match mode {
             Mode::Copy => None,
             Mode::Splice => {
                 let pipe = pipe_with(PipeFlags::NONBLOCK | PipeFlags::CLOEXEC).map_err(Into::into);
-                let (read, write) = tried("a pipe", pipe)?;
+                let (read, write) = io_context("pipe", pipe)?;
                 Some((read, write))
             }
         };
-        Ok(Lane { buffer: Vec::new(), at: 0, pipe, piped: 0, ended: false, shut: false })
+        Ok(OneDirection {
+            buffer: Vec::new(),
+            written: 0,
+            pipe,
+            pipe_bytes: 0,
+            at_eof: false,
+            shut_down: false,
+        })
     }
 
-    /// Moves bytes until one side would wait, or others should have their turn. True where it has more to do.
+    /// Moves at most two buffers, so that other pairs get their turn. Returns true if it stopped at that
+    /// limit, and false if a socket would block or the direction has ended.
     fn turn(&mut self, from: &TcpStream, to: &TcpStream) -> std::io::Result<bool> {
         for _ in 0..2 {
-            let moved = if self.pipe.is_some() { self.splice(from, to)? } else { self.copy(from, to)? };
-            if !moved {
+            let progressed = if self.pipe.is_some() { self.splice(from, to)? } else { self.copy(from, to)? };
+            if !progressed {
                 return Ok(false);
             }
-            if self.ended {
-                if !std::mem::replace(&mut self.shut, true) {
+            if self.at_eof {
+                if !std::mem::replace(&mut self.shut_down, true) {
                     let _ = to.shutdown(Shutdown::Write);
                 }
                 return Ok(false);
@@ -65,21 +75,21 @@
         Ok(true)
     }
 
-    /// Moves bytes through the pipe. False where one side would wait.
+    /// Moves bytes through the pipe. Returns false if a socket would block.
     fn splice(&mut self, from: &TcpStream, to: &TcpStream) -> std::io::Result<bool> {
         let Some((read, write)) = &self.pipe else { return Ok(true) };
         let flags = SpliceFlags::NONBLOCK | SpliceFlags::MOVE;
-        if self.piped == 0 && !self.ended {
-            match splice(from, None, write, None, BUFFER, flags) {
-                Ok(0) => self.ended = true,
-                Ok(n) => self.piped = n,
+        if self.pipe_bytes == 0 && !self.at_eof {
+            match splice(from, None, write, None, BUFFER_BYTES, flags) {
+                Ok(0) => self.at_eof = true,
+                Ok(n) => self.pipe_bytes = n,
                 Err(rustix::io::Errno::AGAIN) => return Ok(false),
                 Err(e) => return Err(e.into()),
             }
         }
-        while self.piped > 0 {
-            match splice(read, None, to, None, self.piped, flags) {
-                Ok(n) => self.piped -= n,
+        while self.pipe_bytes > 0 {
+            match splice(read, None, to, None, self.pipe_bytes, flags) {
+                Ok(n) => self.pipe_bytes -= n,
                 Err(rustix::io::Errno::AGAIN) => return Ok(false),
                 Err(e) => return Err(e.into()),
             }
@@ -87,13 +97,13 @@
         Ok(true)
     }
 
-    /// Moves bytes through a buffer. False where one side would wait.
+    /// Moves bytes through the buffer. Returns false if a socket would block.
     fn copy(&mut self, mut from: &TcpStream, mut to: &TcpStream) -> std::io::Result<bool> {
-        if self.at == self.buffer.len() && !self.ended {
-            self.buffer.resize(BUFFER, 0);
-            self.at = 0;
+        if self.written == self.buffer.len() && !self.at_eof {
+            self.buffer.resize(BUFFER_BYTES, 0);
+            self.written = 0;
             match from.read(&mut self.buffer) {
-                Ok(0) => self.ended = true,
+                Ok(0) => self.at_eof = true,
                 Ok(n) => self.buffer.truncate(n),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.buffer.clear();
@@ -101,13 +111,13 @@
                 }
                 Err(e) => return Err(e),
             }
-            if self.ended {
+            if self.at_eof {
                 self.buffer.clear();
             }
         }
-        while self.at < self.buffer.len() {
-            match to.write(&self.buffer[self.at..]) {
-                Ok(n) => self.at += n,
+        while self.written < self.buffer.len() {
+            match to.write(&self.buffer[self.written..]) {
+                Ok(n) => self.written += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
                 Err(e) => return Err(e),
             }
@@ -116,30 +126,32 @@
     }
 }
 
+/// A client connection, its server connection, and the state of both directions.
 struct Pair {
     client: TcpStream,
     server: TcpStream,
-    up: Lane,
-    down: Lane,
+    up: OneDirection,
+    down: OneDirection,
 }
 
-/// Starts a bare relay to a server; it runs until the process ends.
+/// Starts a bare relay to a server, which runs until this process exits. Returns the address that it listens
+/// at.
 ///
 /// # Errors
-/// Where a socket, a thread or a process cannot be had.
+/// Returns an error if the relay cannot listen.
 pub fn start(to: SocketAddr, mode: Mode) -> Result<SocketAddr, RigError> {
-    let listener = tried("the bare relay", TcpListener::bind("127.0.0.1:0"))?;
-    tried("the bare relay", listener.set_nonblocking(true))?;
-    let address = tried("the bare relay", listener.local_addr())?;
+    let listener = io_context("bare relay", TcpListener::bind("127.0.0.1:0"))?;
+    io_context("bare relay", listener.set_nonblocking(true))?;
+    let address = io_context("bare relay", listener.local_addr())?;
     spawn(move || {
         if let Err(e) = run(&listener, to, mode) {
-            eprintln!("the bare relay ended: {e}");
+            eprintln!("the bare relay failed: {e}");
         }
     });
     Ok(address)
 }
 
-fn watch(poll: &OwnedFd, stream: &TcpStream, number: u64) -> std::io::Result<()> {
+fn register(poll: &OwnedFd, stream: &TcpStream, number: u64) -> std::io::Result<()> {
     stream.set_nonblocking(true)?;
     stream.set_nodelay(true)?;
     let flags = EventFlags::IN | EventFlags::OUT | EventFlags::ET;
@@ -147,9 +159,9 @@
 }
 
 fn run(listener: &TcpListener, to: SocketAddr, mode: Mode) -> Result<(), RigError> {
-    let poll = tried("epoll", epoll::create(CreateFlags::CLOEXEC).map_err(Into::into))?;
-    let added = epoll::add(&poll, listener, EventData::new_u64(LISTENER), EventFlags::IN);
-    tried("epoll", added.map_err(Into::into))?;
+    let poll = io_context("epoll", epoll::create(CreateFlags::CLOEXEC).map_err(Into::into))?;
+    let added = epoll::add(&poll, listener, EventData::new_u64(LISTENER_TOKEN), EventFlags::IN);
+    io_context("epoll", added.map_err(Into::into))?;
     let (mut pairs, mut last) = (BTreeMap::<u64, Pair>::new(), 0);
     let mut ready: VecDeque<u64> = VecDeque::new();
     let mut events = Vec::with_capacity(256);
@@ -159,19 +171,19 @@
         let wait = if ready.is_empty() { None } else { Some(&wait) };
         match epoll::wait(&poll, rustix::buffer::spare_capacity(&mut events), wait) {
             Ok(_) | Err(rustix::io::Errno::INTR) => {}
-            Err(e) => return tried("epoll", Err(e.into())),
+            Err(e) => return io_context("epoll", Err(e.into())),
         }
         for event in &events {
             match event.data.u64() {
-                LISTENER => {
+                LISTENER_TOKEN => {
                     while let Ok((client, _)) = listener.accept() {
-                        let server = tried("its server", TcpStream::connect(to))?;
+                        let server = io_context("connect to the server", TcpStream::connect(to))?;
                         last += 1;
-                        tried(
+                        io_context(
                             "epoll",
-                            watch(&poll, &client, last).and_then(|()| watch(&poll, &server, last)),
+                            register(&poll, &client, last).and_then(|()| register(&poll, &server, last)),
                         )?;
-                        let (up, down) = (Lane::new(mode)?, Lane::new(mode)?);
+                        let (up, down) = (OneDirection::new(mode)?, OneDirection::new(mode)?);
                         pairs.insert(last, Pair { client, server, up, down });
                         ready.push_back(last);
                     }
@@ -180,14 +192,14 @@
                 _ => {}
             }
         }
-        // One turn each, then the events again.
+        // Gives each ready pair one turn, then polls again.
         for _ in 0..ready.len() {
             let Some(number) = ready.pop_front() else { break };
             let Some(pair) = pairs.get_mut(&number) else { continue };
             let up = pair.up.turn(&pair.client, &pair.server);
             let down = pair.down.turn(&pair.server, &pair.client);
             match (up, down) {
-                (Ok(up), Ok(down)) if !(pair.up.shut && pair.down.shut) => {
+                (Ok(up), Ok(down)) if !(pair.up.shut_down && pair.down.shut_down) => {
                     if up || down {
                         ready.push_back(number);
                     }
