--- a/rig/src/soak/mod.rs
+++ b/rig/src/soak/mod.rs
@@ -1,11 +1,11 @@
-//! A soak: real dispatchers among stand-ins while things go wrong by seed, and a checker that holds what stood on the wire to
-//! every rule (`record`).
+//! Soak test: runs real dispatchers against stand-in clients, servers and discovery while seeded faults are injected.
+//! A checker then verifies the recorded traffic against every rule (`record`).
 //!
-//! What goes wrong, one after the other: a zone of dispatchers and servers is lost and returns, the dispatchers with the lists
-//! that they had; servers drain and are removed, and others start cold; discovery is down for some seconds; dispatchers are
-//! told to end and killed as early as the rules allow, are stopped for a moment, and read their configuration anew; system
-//! calls fail, and the wall clock steps (the shim, `rig/shim`). Discovery has a capacity, and some of its answers are cut off,
-//! reset or never come.
+//! The faults, injected one after the other: a zone of dispatchers and servers fails and comes back, with the
+//! dispatchers restarting from the lists that they last had; servers drain and are removed, and later start cold;
+//! discovery is down for some seconds; dispatchers get SIGTERM and are killed as early as the rules allow, are suspended
+//! for a moment, and reload their configuration. System calls fail and the wall clock steps (the shim, `rig/shim`).
+//! Discovery has a limited capacity, and some of its responses are truncated, reset or never sent.
 
 mod record;
 mod world;
@@ -19,70 +19,71 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 pub use record::Figures;
-use record::{Life, Millis, SlowStart};
+use record::{Millis, ProcessRun, SlowStart};
 use world::World;
 
 use crate::http::{Http, held, status};
 use crate::process::Process;
 use crate::{RigError, program, tried};
 
-/// Dispatchers that the settings of a large fleet name.
+/// The number of dispatchers that the settings of a large fleet name.
 const LARGE_FLEET: usize = 30;
-/// Servers of each zone.
+/// Servers in each zone.
 const SERVERS_PER_ZONE: usize = 4;
-/// Zones.
+/// The number of zones.
 const ZONES: usize = 3;
-/// Clients of each dispatcher.
+/// Clients per dispatcher.
 const CLIENTS: usize = 3;
-/// Time between a client's requests, in milliseconds.
+/// Range of the pause between a client's requests, in milliseconds.
 const CLIENT_PAUSE_MS: std::ops::Range<u64> = 20..200;
-/// SIGKILL may come so long after SIGTERM: the longest deadline, 2 s here, and 0.7 s.
+/// Shortest time from SIGTERM to SIGKILL: the longest request deadline (2 s here) plus 0.7 s.
 const KILL_AFTER_MS: u64 = 2_700;
-/// Longest time for which a process is stopped, in milliseconds.
+/// Longest time for which a process is suspended by SIGSTOP, in milliseconds.
 const MAX_STOP_MS: u64 = 150;
-/// A dispatcher that starts is ready within this time: the page's for short days.
+/// Time within which a starting dispatcher of a small fleet must be ready.
 const READY_WITHIN_MS: Millis = 6_000.0;
-/// The same for a large fleet.
+/// Time within which a starting dispatcher of a large fleet must be ready.
 const LARGE_FLEET_READY_WITHIN_MS: Millis = 10_000.0;
-/// Processor time in a second that a dispatcher with this little to do does not need.
+/// Processor seconds per second above which a dispatcher under this light load counts as spinning.
 const SPIN_CPU_S: f64 = 0.8;
-/// How servers start: each does up to 40 jobs at a time, of 35 ms in the mean.
-const SLOW_START: SlowStart = SlowStart { warm_per_second: 60.0, from: 0.2, warm_ms: 8_000.0, multiple: 2.5 };
+/// Warm-up of a server: each runs up to 40 jobs at a time, of 35 ms on average.
+const SLOW_START: SlowStart =
+    SlowStart { warm_jobs_per_second: 60.0, initial_fraction: 0.2, warm_ms: 8_000.0, tip_multiple: 2.5 };
 
-/// What is to be played.
+/// Parameters of a soak run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Processes of the program.
+    /// The number of dispatcher processes.
     pub dispatchers: usize,
-    /// How long faults go on.
+    /// How long faults are injected, in seconds.
     pub seconds: u64,
-    /// Decides faults and requests.
+    /// Seed of the faults and requests.
     pub seed: u64,
-    /// Another build of the program, to see what the checker finds in it.
+    /// Path of another build of the program to test; the current build if `None`.
     pub binary: Option<PathBuf>,
 }
 
-/// What goes wrong in a round.
+/// The fault injected in one round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// A zone of dispatchers and servers ends, its servers are removed, and all return, the servers cold.
+    /// The dispatchers of a zone are killed and its servers removed from the list; all return, the servers cold.
     ZoneLost,
-    /// Servers drain, are removed, and return cold.
+    /// Servers drain and later return cold; a dispatcher may be restarted meanwhile.
     Drains,
-    /// Discovery is down, and dispatchers are killed meanwhile.
+    /// Discovery is down, and dispatchers are killed and restarted meanwhile.
     Outage,
-    /// Dispatchers are told to end one after the other, and start again.
+    /// Dispatchers are terminated and restarted one after the other, as in a release.
     Release,
-    /// Dispatchers stand still for a moment.
+    /// Dispatchers are suspended for a moment (SIGSTOP, SIGCONT).
     Stops,
-    /// Dispatchers read their configuration again.
+    /// Dispatchers reload their configuration (SIGHUP).
     Reload,
 }
 
 const FAULTS: [Fault; 6] =
     [Fault::ZoneLost, Fault::Drains, Fault::Outage, Fault::Release, Fault::Stops, Fault::Reload];
 
-/// Faults of system calls that a process is started with, one of them drawn.
+/// System call faults, in the shim's syntax; each process starts with one of them, chosen by seed.
 const CALL_FAULTS: [&str; 7] = [
     "",
     "fail=recv,EINTR,0.3,0,1e9",
@@ -93,49 +94,51 @@
     "fail=send,EINTR,0.3,0,1e9;fail=connect,ENETUNREACH,0.02,0,1e9",
 ];
 
-/// A run: the stand-ins and the processes.
+/// State of a run: the stand-ins and the dispatcher processes.
 struct Soak {
     plan: Plan,
     world: Arc<World>,
     binary: PathBuf,
     shim: PathBuf,
     dir: PathBuf,
-    draws: fastrand::Rng,
+    rng: fastrand::Rng,
     processes: Vec<Option<Process>>,
-    /// The list that each dispatcher had when it last ended.
-    known: Vec<String>,
-    /// How many dispatchers the settings name: large fleets behave otherwise than small ones.
-    fleet: usize,
+    /// The server list at the time when each dispatcher last ended; it restarts with this list.
+    last_lists: Vec<String>,
+    /// The number of dispatchers that the settings name. Dispatchers behave differently in large and small fleets.
+    fleet_size: usize,
 }
 
-/// What a dispatcher with faults of system calls alone has come to.
+/// Result of a run with one dispatcher and system call faults only.
 #[derive(Clone, Copy, Debug)]
-pub struct SteadyRun {
-    /// What was seen.
+pub struct CallFaultRun {
+    /// Figures of the run.
     pub figures: Figures,
     /// Processor time of the dispatcher, in seconds.
     pub cpu_s: f64,
 }
 
-/// Has one dispatcher serve for so many seconds while system calls fail as the shim's plan says, and nothing else goes wrong.
+/// Runs one dispatcher for `seconds` while system calls fail as `call_faults` says (in the shim's syntax), with no other
+/// fault.
 ///
 /// # Errors
-/// Where the program or a stand-in cannot be started.
-pub fn steady(call_faults: &str, seconds: u64, seed: u64) -> Result<SteadyRun, RigError> {
+/// If the program or a stand-in cannot be started.
+pub fn run_with_call_faults(call_faults: &str, seconds: u64, seed: u64) -> Result<CallFaultRun, RigError> {
     let mut soak = Soak::start(Plan { dispatchers: 1, seconds, seed, binary: None })?;
     soak.start_process_with(0, call_faults)?;
     let clients = soak.start_clients();
     thread::sleep(Duration::from_secs(seconds));
-    let process = soak.processes[0].as_ref().ok_or_else(|| RigError::Program("it has ended".into()))?;
+    let process =
+        soak.processes[0].as_ref().ok_or_else(|| RigError::Program("the dispatcher has exited".into()))?;
     let cpu_s = program::usage(process.id())?.cpu_s;
     let figures = soak.finish(clients)?;
-    Ok(SteadyRun { figures, cpu_s })
+    Ok(CallFaultRun { figures, cpu_s })
 }
 
-/// Plays a plan with the real program.
+/// Runs the soak test with the real program.
 ///
 /// # Errors
-/// Where the program or a stand-in cannot be started.
+/// If the program or a stand-in cannot be started.
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let mut soak = Soak::start(plan.clone())?;
     for number in 0..plan.dispatchers {
@@ -145,29 +148,29 @@
     let end_ms = soak.world.now_ms() + plan.seconds as Millis * 1e3;
     let mut faults = Vec::new();
     while soak.world.now_ms() < end_ms {
-        // Each of them once, in an order drawn anew, before any comes again.
+        // Injects every fault once, in a newly shuffled order, before any of them repeats.
         if faults.is_empty() {
             faults.extend(FAULTS);
-            soak.draws.shuffle(&mut faults);
+            soak.rng.shuffle(&mut faults);
         }
         let Some(fault) = faults.pop() else { break };
         println!("{:.1} s: {fault:?}", soak.world.now_ms() / 1e3);
-        soak.play(fault)?;
-        soak.settle(1_000..2_500)?;
+        soak.run_fault(fault)?;
+        soak.sleep_and_check(1_000..2_500)?;
     }
     soak.finish(clients)
 }
 
 impl Soak {
-    /// Ends the run, and holds its record to the rules.
+    /// Ends the run and checks its record against the rules.
     fn finish(&mut self, clients: Vec<thread::JoinHandle<()>>) -> Result<Figures, RigError> {
-        self.world.over.store(true, Ordering::Relaxed);
+        self.world.stopping.store(true, Ordering::Relaxed);
         for client in clients {
             client.join().map_err(|_| RigError::Disproved("a client panicked".into()))?;
         }
         self.processes.clear();
         let _ = std::fs::remove_dir_all(&self.dir);
-        let is_large = self.fleet > self.plan.dispatchers;
+        let is_large = self.fleet_size > self.plan.dispatchers;
         let ready_within_ms = if is_large { LARGE_FLEET_READY_WITHIN_MS } else { READY_WITHIN_MS };
         let record = held(&self.world.record);
         Ok(record.check(self.plan.seed, self.plan.dispatchers, SLOW_START, ready_within_ms))
@@ -180,18 +183,18 @@
         let dir = std::env::temp_dir().join(format!("micabeam-soak-{}-{}", std::process::id(), plan.seed));
         tried("a directory", std::fs::create_dir_all(&dir))?;
         let pid = std::process::id();
-        // Addresses that nothing else of this machine's tests listens at.
+        // Addresses at which no other test on this machine listens.
         let address = |number: usize| {
             let ip = [127, 101 + (pid >> 8) as u8 % 90, pid as u8, 1 + number as u8];
             SocketAddr::from((ip, 8_100 + (plan.seed % 400) as u16))
         };
         let dispatchers: Vec<SocketAddr> = (0..plan.dispatchers).map(address).collect();
         let world = World::start(dispatchers, ZONES * SERVERS_PER_ZONE, plan.seed)?;
-        let known = vec![world.known_list(); plan.dispatchers];
+        let last_lists = vec![world.current_list(); plan.dispatchers];
         let processes = (0..plan.dispatchers).map(|_| None).collect();
-        let mut draws = fastrand::Rng::with_seed(plan.seed);
-        let fleet = if draws.bool() { LARGE_FLEET.max(plan.dispatchers) } else { plan.dispatchers };
-        Ok(Soak { fleet, plan, world, binary, shim, dir, draws, processes, known })
+        let mut rng = fastrand::Rng::with_seed(plan.seed);
+        let fleet_size = if rng.bool() { LARGE_FLEET.max(plan.dispatchers) } else { plan.dispatchers };
+        Ok(Soak { fleet_size, plan, world, binary, shim, dir, rng, processes, last_lists })
     }
 
     fn start_clients(&self) -> Vec<thread::JoinHandle<()>> {
@@ -217,19 +220,19 @@
             self.world.dispatchers[number],
             self.world.discovery[number],
             self.plan.seed,
-            self.known[number],
-            self.fleet,
+            self.last_lists[number],
+            self.fleet_size,
             class("search", "retryable", 1_000),
             class("confirm", "fragile", 2_000),
-            SLOW_START.from,
+            SLOW_START.initial_fraction,
             SLOW_START.warm_ms,
-            SLOW_START.multiple,
+            SLOW_START.tip_multiple,
         )
     }
 
-    /// Starts a dispatcher with the list that it last had, and has the front take it in once it says so.
+    /// Starts a dispatcher with the list that it last had. Clients are sent to it once it reports that it is ready.
     fn start_process(&mut self, number: usize) -> Result<(), RigError> {
-        let faults = CALL_FAULTS[self.draws.usize(..CALL_FAULTS.len())];
+        let faults = CALL_FAULTS[self.rng.usize(..CALL_FAULTS.len())];
         self.start_process_with(number, faults)
     }
 
@@ -239,32 +242,39 @@
         let mut command = Command::new(&self.binary);
         command.env("LB_CONFIG", &file).env("TMPDIR", &self.dir);
         command.env("LD_PRELOAD", &self.shim);
-        command.env("MICABEAM_FAULTS", format!("seed={};{call_faults}", self.draws.u64(..1 << 40)));
+        command.env("MICABEAM_FAULTS", format!("seed={};{call_faults}", self.rng.u64(..1 << 40)));
         let started_ms = self.world.now_ms();
         let mut process = Process::start(command)?;
         let log_path = self.dir.join(format!("{number}.log"));
-        process.read_log(move |line| append(&log_path, &line));
+        process.read_log(move |line| append_line(&log_path, &line));
         self.processes[number] = Some(process);
-        let life =
-            Life { dispatcher: number, started_ms, ready_ms: None, terminated_ms: None, ended_ms: None };
-        let at = {
+        let process_run = ProcessRun {
+            dispatcher: number,
+            started_ms,
+            ready_ms: None,
+            terminated_ms: None,
+            ended_ms: None,
+        };
+        let index = {
             let mut record = held(&self.world.record);
-            record.lives.push(life);
-            record.lives.len() - 1
+            record.process_runs.push(process_run);
+            record.process_runs.len() - 1
         };
         let world = Arc::clone(&self.world);
-        thread::spawn(move || await_up(&world, number, at));
+        thread::spawn(move || admit_when_ready(&world, number, index));
         Ok(())
     }
 
-    /// Notes the end of a dispatcher's process, and what it knew.
+    /// Records the end of a dispatcher's process, and the server list at that time.
     fn note_end(&mut self, number: usize) {
-        self.world.takes_clients[number].store(false, Ordering::Relaxed);
-        self.known[number] = self.world.known_list();
+        self.world.in_rotation[number].store(false, Ordering::Relaxed);
+        self.last_lists[number] = self.world.current_list();
         let now_ms = self.world.now_ms();
         let mut record = held(&self.world.record);
-        if let Some(life) = record.lives.iter_mut().rfind(|life| life.dispatcher == number) {
-            life.ended_ms.get_or_insert(now_ms);
+        if let Some(process_run) =
+            record.process_runs.iter_mut().rfind(|process_run| process_run.dispatcher == number)
+        {
+            process_run.ended_ms.get_or_insert(now_ms);
         }
     }
 
@@ -275,17 +285,20 @@
         }
     }
 
-    /// Tells a dispatcher to end; it is killed as early as may be.
+    /// Sends a dispatcher SIGTERM, and kills it as early as the rules allow.
     fn terminate(&mut self, number: usize) -> Result<(), RigError> {
         let Some(mut process) = self.processes[number].take() else { return Ok(()) };
         process.signal("TERM")?;
         let now_ms = self.world.now_ms();
-        if let Some(life) = held(&self.world.record).lives.iter_mut().rfind(|life| life.dispatcher == number)
+        if let Some(process_run) = held(&self.world.record)
+            .process_runs
+            .iter_mut()
+            .rfind(|process_run| process_run.dispatcher == number)
         {
-            life.terminated_ms = Some(now_ms);
+            process_run.terminated_ms = Some(now_ms);
         }
-        thread::sleep(Duration::from_millis(self.draws.u64(200..400)));
-        self.world.takes_clients[number].store(false, Ordering::Relaxed);
+        thread::sleep(Duration::from_millis(self.rng.u64(200..400)));
+        self.world.in_rotation[number].store(false, Ordering::Relaxed);
         while self.world.now_ms() < now_ms + KILL_AFTER_MS as Millis && !process.ended()? {
             thread::sleep(Duration::from_millis(2));
         }
@@ -294,35 +307,35 @@
         Ok(())
     }
 
-    fn play(&mut self, fault: Fault) -> Result<(), RigError> {
+    fn run_fault(&mut self, fault: Fault) -> Result<(), RigError> {
         match fault {
             Fault::ZoneLost => self.lose_zone(),
             Fault::Drains => self.drain_servers(),
-            Fault::Outage => self.outage(),
-            Fault::Release => self.release(),
+            Fault::Outage => self.take_discovery_down(),
+            Fault::Release => self.restart_in_turn(),
             Fault::Stops => self.stop_for_a_moment(),
             Fault::Reload => self.signal_all("HUP"),
         }
     }
 
-    /// Lets some time pass, and sees that nothing has crashed or spins.
-    fn settle(&mut self, ms: std::ops::Range<u64>) -> Result<(), RigError> {
+    /// Waits for a random time in `ms`, then counts dispatchers that have crashed or that spin.
+    fn sleep_and_check(&mut self, ms: std::ops::Range<u64>) -> Result<(), RigError> {
         let usage = |process: &Process| program::usage(process.id()).map(|usage| usage.cpu_s);
         let before: Vec<Option<f64>> =
             self.processes.iter().map(|process| process.as_ref().and_then(|p| usage(p).ok())).collect();
         let began_ms = self.world.now_ms();
-        thread::sleep(Duration::from_millis(self.draws.u64(ms)));
+        thread::sleep(Duration::from_millis(self.rng.u64(ms)));
         let lasted_s = (self.world.now_ms() - began_ms) / 1e3;
         for (number, before) in before.into_iter().enumerate() {
             let Some(process) = &mut self.processes[number] else { continue };
             if process.ended()? {
-                println!("dispatcher {number} has ended by itself");
+                println!("dispatcher {number} exited unexpectedly");
                 held(&self.world.record).crashed += 1;
                 continue;
             }
             let used_s = usage(process).ok().zip(before).map_or(0.0, |(after, before)| after - before);
             if used_s > SPIN_CPU_S * lasted_s {
-                println!("dispatcher {number} used {used_s:.2} s in {lasted_s:.2} s");
+                println!("dispatcher {number} spins: {used_s:.2} s of processor time in {lasted_s:.2} s");
                 held(&self.world.record).spins += 1;
             }
         }
@@ -341,67 +354,67 @@
     }
 
     fn lose_zone(&mut self) -> Result<(), RigError> {
-        let zone = self.draws.usize(..ZONES);
+        let zone = self.rng.usize(..ZONES);
         let dispatchers: Vec<usize> =
             (0..self.plan.dispatchers).filter(|number| number % ZONES == zone).collect();
         dispatchers.iter().for_each(|&number| self.kill(number));
         let servers = Soak::zone_servers(zone);
-        // Removals of before the return count as told by then.
+        // By the time the dispatchers return, these removals count as known to them.
         self.world.change_list(&servers, |server| server.is_up = false);
-        self.settle(8_000..10_000)?;
+        self.sleep_and_check(8_000..10_000)?;
         for number in dispatchers {
             self.start_process(number)?;
         }
-        self.settle(4_000..6_000)?;
+        self.sleep_and_check(4_000..6_000)?;
         self.start_servers(&servers);
         Ok(())
     }
 
     fn drain_servers(&mut self) -> Result<(), RigError> {
-        let servers: Vec<usize> = (0..3).map(|_| self.draws.usize(..ZONES * SERVERS_PER_ZONE)).collect();
+        let servers: Vec<usize> = (0..3).map(|_| self.rng.usize(..ZONES * SERVERS_PER_ZONE)).collect();
         self.world.change_list(&servers, |server| server.is_up = false);
-        let number = self.draws.usize(..self.plan.dispatchers);
-        if self.draws.bool() {
+        let number = self.rng.usize(..self.plan.dispatchers);
+        if self.rng.bool() {
             self.kill(number);
-            self.settle(500..2_000)?;
+            self.sleep_and_check(500..2_000)?;
             self.start_process(number)?;
         }
-        self.settle(4_000..9_000)?;
+        self.sleep_and_check(4_000..9_000)?;
         self.start_servers(&servers);
         Ok(())
     }
 
-    fn outage(&mut self) -> Result<(), RigError> {
+    fn take_discovery_down(&mut self) -> Result<(), RigError> {
         self.world.set_outage(true);
-        self.settle(500..3_000)?;
-        let killed: Vec<usize> = (0..self.plan.dispatchers).filter(|_| self.draws.bool()).collect();
+        self.sleep_and_check(500..3_000)?;
+        let killed: Vec<usize> = (0..self.plan.dispatchers).filter(|_| self.rng.bool()).collect();
         killed.iter().for_each(|&number| self.kill(number));
-        self.settle(500..2_000)?;
+        self.sleep_and_check(500..2_000)?;
         for number in killed {
             self.start_process(number)?;
         }
-        let server = self.draws.usize(..ZONES * SERVERS_PER_ZONE);
+        let server = self.rng.usize(..ZONES * SERVERS_PER_ZONE);
         self.world.change_list(&[server], |server| server.is_up = false);
-        self.settle(1_000..5_000)?;
+        self.sleep_and_check(1_000..5_000)?;
         self.world.set_outage(false);
-        self.settle(8_000..11_000)?;
+        self.sleep_and_check(8_000..11_000)?;
         self.start_servers(&[server]);
         Ok(())
     }
 
-    fn release(&mut self) -> Result<(), RigError> {
+    fn restart_in_turn(&mut self) -> Result<(), RigError> {
         for number in 0..self.plan.dispatchers.min(3) {
             self.terminate(number)?;
             self.start_process(number)?;
-            self.settle(300..1_000)?;
+            self.sleep_and_check(300..1_000)?;
         }
         Ok(())
     }
 
     fn stop_for_a_moment(&mut self) -> Result<(), RigError> {
         for _ in 0..6 {
-            let number = self.draws.usize(..self.plan.dispatchers);
-            let stop_ms = self.draws.u64(20..MAX_STOP_MS);
+            let number = self.rng.usize(..self.plan.dispatchers);
+            let stop_ms = self.rng.u64(20..MAX_STOP_MS);
             if let Some(process) = &self.processes[number] {
                 process.signal("STOP")?;
                 thread::sleep(Duration::from_millis(stop_ms));
@@ -416,20 +429,22 @@
     }
 }
 
-/// Has the front take a dispatcher in once `/up` says yes, as it asks again and again.
-fn await_up(world: &World, number: usize, life: usize) {
-    while !world.over.load(Ordering::Relaxed) && held(&world.record).lives[life].ended_ms.is_none() {
-        if says_yes(world.dispatchers[number]) {
+/// Polls `/up` of a dispatcher and puts it into rotation once it answers 200.
+fn admit_when_ready(world: &World, number: usize, index: usize) {
+    while !world.stopping.load(Ordering::Relaxed)
+        && held(&world.record).process_runs[index].ended_ms.is_none()
+    {
+        if is_ready(world.dispatchers[number]) {
             let now_ms = world.now_ms();
-            held(&world.record).lives[life].ready_ms = Some(now_ms);
-            world.takes_clients[number].store(true, Ordering::Relaxed);
+            held(&world.record).process_runs[index].ready_ms = Some(now_ms);
+            world.in_rotation[number].store(true, Ordering::Relaxed);
             return;
         }
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-fn says_yes(dispatcher: SocketAddr) -> bool {
+fn is_ready(dispatcher: SocketAddr) -> bool {
     let answer = Http::connect(dispatcher, Duration::from_secs(2)).and_then(|mut http| {
         http.write("GET /up HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n")?;
         http.read()
@@ -437,7 +452,7 @@
     answer.is_ok_and(|(head, _)| status(&head) == 200)
 }
 
-fn append(path: &Path, line: &str) {
+fn append_line(path: &Path, line: &str) {
     use std::io::Write;
     let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
     if let Ok(mut file) = file {
--- a/rig/src/soak/world.rs
+++ b/rig/src/soak/world.rs
@@ -1,4 +1,5 @@
-//! The stand-ins of a soak: discovery of limited capacity, servers, and clients. Each writes what it sees into the record.
+//! Stand-ins of the soak test: discovery with limited capacity, servers and clients. Each writes what it sees into the
+//! record.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -6,123 +7,123 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::record::{Attempt, End, ListChange, Millis, Record, Request, SilentCall, Span};
+use super::record::{Attempt, ListChange, Millis, Outcome, Record, Request, SilentCall, Span};
 use crate::http::{Http, header, held, serve, status, told};
 use crate::{RigError, tried};
 
-/// How long discovery has for one call.
+/// Time that discovery spends on one call.
 const CALL_MS: Millis = 25.0;
-/// A call that has waited so long fails, and takes its time all the same.
-const CALL_PATIENCE_MS: Millis = 2_000.0;
-/// One in so many calls has its answer cut off, is reset, or is left without an answer.
+/// A call that would wait longer than this fails, and still uses its share of discovery's capacity.
+const CALL_TIMEOUT_MS: Millis = 2_000.0;
+/// One in this many calls fails: its response is truncated, its connection closed, or it gets no response.
 const CALLS_PER_FAULT: u64 = 25;
-/// How long a server works on a job.
+/// Range of a job's run time at a server, in milliseconds.
 const JOB_MS: std::ops::Range<u64> = 10..60;
-/// How long a peer may be silent before its stand-in gives it up.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long a peer may be silent before its stand-in closes the connection.
+const PEER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A server as the list has it.
+/// A server's entry in the list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedServer {
-    /// Whether it takes work.
+    /// Whether the server accepts work.
     pub is_up: bool,
-    /// When it was started last, in Unix milliseconds; 0: long ago.
+    /// When it was last started, in Unix milliseconds; 0 means long ago.
     pub born_ms: u64,
 }
 
-/// What discovery has.
+/// State of the discovery service.
 #[derive(Debug, Default)]
 struct Service {
     version: u64,
     servers: Vec<ListedServer>,
     is_down: bool,
-    /// Until when it works on the calls that have come.
+    /// When it will have worked through the calls that have arrived.
     busy_until_ms: Millis,
 }
 
-/// All that stands around the dispatchers.
+/// The stand-ins around the dispatchers, and their shared state.
 pub struct World {
     began: Instant,
-    /// Where dispatchers listen.
+    /// Addresses of the dispatchers.
     pub dispatchers: Vec<SocketAddr>,
-    /// Where servers listen.
+    /// Addresses of the servers.
     pub servers: Vec<SocketAddr>,
-    /// Where each dispatcher finds discovery.
+    /// Address of discovery for each dispatcher.
     pub discovery: Vec<SocketAddr>,
-    /// Whether the front sends clients to a dispatcher.
-    pub takes_clients: Vec<AtomicBool>,
-    /// The run is over.
-    pub over: AtomicBool,
+    /// Whether clients may open connections to each dispatcher, as behind an external load balancer.
+    pub in_rotation: Vec<AtomicBool>,
+    /// Whether the run is ending.
+    pub stopping: AtomicBool,
     service: Mutex<Service>,
-    /// What was seen.
+    /// What the stand-ins have seen.
     pub record: Mutex<Record>,
-    draws: Mutex<fastrand::Rng>,
+    rng: Mutex<fastrand::Rng>,
     next_request: AtomicU64,
 }
 
 impl World {
-    /// Opens the stand-ins of so many servers, for dispatchers at these addresses.
+    /// Starts discovery and `servers` stand-in servers for the dispatchers at the given addresses.
     ///
     /// # Errors
-    /// Where a socket cannot be had.
+    /// If a listener cannot be opened.
     pub fn start(dispatchers: Vec<SocketAddr>, servers: usize, seed: u64) -> Result<Arc<World>, RigError> {
         let listen = || tried("a stand-in", TcpListener::bind("127.0.0.1:0"));
         let server_listeners = (0..servers).map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
         let list_listeners = dispatchers.iter().map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
         let address = |listener: &TcpListener| tried("a stand-in", listener.local_addr());
-        let long_ago = ListedServer { is_up: true, born_ms: 0 };
+        let initial_server = ListedServer { is_up: true, born_ms: 0 };
         let world = Arc::new(World {
             began: Instant::now(),
             servers: server_listeners.iter().map(address).collect::<Result<_, _>>()?,
             discovery: list_listeners.iter().map(address).collect::<Result<_, _>>()?,
-            takes_clients: dispatchers.iter().map(|_| AtomicBool::new(false)).collect(),
+            in_rotation: dispatchers.iter().map(|_| AtomicBool::new(false)).collect(),
             dispatchers,
-            over: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
             service: Mutex::new(Service {
                 version: 1,
-                servers: vec![long_ago; servers],
+                servers: vec![initial_server; servers],
                 ..Service::default()
             }),
             record: Mutex::default(),
-            draws: Mutex::new(fastrand::Rng::with_seed(seed ^ 0x5eed)),
+            rng: Mutex::new(fastrand::Rng::with_seed(seed ^ 0x5eed)),
             next_request: AtomicU64::new(0),
         });
         for (number, listener) in server_listeners.into_iter().enumerate() {
-            world.stand_in(listener, move |world, http| serve_jobs(world, number, http));
+            world.serve_stand_in(listener, move |world, http| serve_jobs(world, number, http));
         }
         for (number, listener) in list_listeners.into_iter().enumerate() {
-            world.stand_in(listener, move |world, http| world.serve_list(number, http));
+            world.serve_stand_in(listener, move |world, http| world.serve_list(number, http));
         }
         Ok(world)
     }
 
-    fn stand_in(
+    fn serve_stand_in(
         self: &Arc<World>,
         listener: TcpListener,
-        each: impl Fn(&Arc<World>, Http) + Send + Sync + 'static,
+        handle: impl Fn(&Arc<World>, Http) + Send + Sync + 'static,
     ) {
-        let (world, over) = (Arc::clone(self), Arc::clone(self));
+        let (world, run) = (Arc::clone(self), Arc::clone(self));
         serve(
             listener,
-            move || over.over.load(Ordering::Relaxed),
+            move || run.stopping.load(Ordering::Relaxed),
             move |stream| {
-                if let Ok(http) = Http::over(stream, PATIENCE) {
-                    each(&world, http);
+                if let Ok(http) = Http::over(stream, PEER_TIMEOUT) {
+                    handle(&world, http);
                 }
             },
         );
     }
 
-    /// The time of the run.
+    /// Returns the time since the start of the run.
     pub fn now_ms(&self) -> Millis {
         self.began.elapsed().as_secs_f64() * 1e3
     }
 
-    fn draw(&self, range: std::ops::Range<u64>) -> u64 {
-        held(&self.draws).u64(range)
+    fn random(&self, range: std::ops::Range<u64>) -> u64 {
+        held(&self.rng).u64(range)
     }
 
-    /// Changes servers of the list, in one version.
+    /// Changes entries of the list as one new version.
     pub fn change_list(&self, servers: &[usize], change: impl Fn(&mut ListedServer)) {
         let mut service = held(&self.service);
         service.version += 1;
@@ -134,24 +135,24 @@
         }
     }
 
-    /// The list as it is now, in the form of a configuration, and its version.
-    pub fn known_list(&self) -> String {
-        self.list(&held(&self.service))
+    /// Returns the current list with its version, in the JSON form of the configuration.
+    pub fn current_list(&self) -> String {
+        self.render_list(&held(&self.service))
     }
 
-    fn list(&self, service: &Service) -> String {
-        let listed = |(server, line): (usize, &ListedServer)| {
+    fn render_list(&self, service: &Service) -> String {
+        let render_host = |(server, line): (usize, &ListedServer)| {
             let (dial, health) = (self.servers[server], if line.is_up { "up" } else { "draining" });
             let born = line.born_ms;
             format!(
                 r#"{{"host":"s-{server}","dial":"{dial}","health":"{health}","share":1.0,"born_ms":{born}}}"#
             )
         };
-        let hosts: Vec<String> = service.servers.iter().enumerate().map(listed).collect();
+        let hosts: Vec<String> = service.servers.iter().enumerate().map(render_host).collect();
         format!(r#"{{"seq":{},"whole":true,"hosts":[{}]}}"#, service.version, hosts.join(","))
     }
 
-    /// Takes discovery down, or brings it back.
+    /// Takes discovery down or brings it back, and records the outage.
     pub fn set_outage(&self, is_down: bool) {
         held(&self.service).is_down = is_down;
         let (mut record, now_ms) = (held(&self.record), self.now_ms());
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Serves the calls of one dispatcher's connection.
+    /// Answers the discovery calls on one connection of a dispatcher.
     fn serve_list(&self, dispatcher: usize, mut http: Http) {
         while let Ok((head, _)) = http.read() {
             if self.answer_call(dispatcher, &head, &mut http).is_none() {
@@ -171,123 +172,124 @@
         }
     }
 
-    /// Answers a call; none where its connection ends.
+    /// Answers a call; returns `None` if the connection is to be closed.
     fn answer_call(&self, dispatcher: usize, head: &str, http: &mut Http) -> Option<()> {
         let target = head.split(' ').nth(1).unwrap_or("").to_string();
         let parameter =
             |name: &str| target.split(['?', '&']).find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok());
         let (since, wait_ms) = (parameter("since="), parameter("timeout_ms=").unwrap_or(0) as Millis);
-        self.take_turn(http)?;
-        let came_ms = self.now_ms();
-        match self.draw(0..CALLS_PER_FAULT * 3) {
+        self.wait_for_turn(http)?;
+        let arrived_ms = self.now_ms();
+        match self.random(0..CALLS_PER_FAULT * 3) {
             0 => return None,
             1 => {
-                let silence = SilentCall { dispatcher, from_ms: came_ms, wait_ends_ms: came_ms + wait_ms };
-                held(&self.record).silences.push(silence);
+                let silent_call =
+                    SilentCall { dispatcher, from_ms: arrived_ms, wait_ends_ms: arrived_ms + wait_ms };
+                held(&self.record).silent_calls.push(silent_call);
                 let _ = http.read();
                 return None;
             }
             _ => {}
         }
         while since.is_some_and(|since| since >= held(&self.service).version)
-            && self.now_ms() < came_ms + wait_ms
+            && self.now_ms() < arrived_ms + wait_ms
         {
-            if held(&self.service).is_down || self.over.load(Ordering::Relaxed) {
+            if held(&self.service).is_down || self.stopping.load(Ordering::Relaxed) {
                 return None;
             }
             thread::sleep(Duration::from_millis(2));
         }
         let (version, body) = {
             let service = held(&self.service);
-            (service.version, self.list(&service))
+            (service.version, self.render_list(&service))
         };
         held(&self.record).answers.push((dispatcher, self.now_ms(), version));
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        if self.draw(0..CALLS_PER_FAULT * 3) == 0 {
-            let _ = http.write(&answer[..answer.len() / 2]);
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        if self.random(0..CALLS_PER_FAULT * 3) == 0 {
+            let _ = http.write(&response[..response.len() / 2]);
             return None;
         }
-        http.write(&answer).ok()
+        http.write(&response).ok()
     }
 
-    /// Waits for a call's turn: calls are worked through one after the other.
-    fn take_turn(&self, http: &mut Http) -> Option<()> {
-        let came_ms = self.now_ms();
+    /// Waits until discovery has worked through the calls before this one; `None` if the call fails.
+    fn wait_for_turn(&self, http: &mut Http) -> Option<()> {
+        let arrived_ms = self.now_ms();
         let (done_ms, is_down) = {
             let mut service = held(&self.service);
-            service.busy_until_ms = service.busy_until_ms.max(came_ms) + CALL_MS;
+            service.busy_until_ms = service.busy_until_ms.max(arrived_ms) + CALL_MS;
             (service.busy_until_ms, service.is_down)
         };
-        if is_down || done_ms > came_ms + CALL_PATIENCE_MS {
-            thread::sleep(Duration::from_secs_f64(CALL_PATIENCE_MS / 1e3));
+        if is_down || done_ms > arrived_ms + CALL_TIMEOUT_MS {
+            thread::sleep(Duration::from_secs_f64(CALL_TIMEOUT_MS / 1e3));
             let _ = http.write("HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
             return None;
         }
-        thread::sleep(Duration::from_secs_f64(((done_ms - came_ms) / 1e3).max(0.0)));
+        thread::sleep(Duration::from_secs_f64(((done_ms - arrived_ms) / 1e3).max(0.0)));
         Some(())
     }
 
-    /// Runs one client of a dispatcher until the run is over: it keeps its connection, and uses it for as long as it is open.
+    /// Runs one client of a dispatcher until the run ends. The client reuses its connection while it stays open.
     pub fn run_client(&self, dispatcher: usize, pause_ms: std::ops::Range<u64>) {
         let mut connection: Option<Http> = None;
-        while !self.over.load(Ordering::Relaxed) {
-            thread::sleep(Duration::from_millis(self.draw(pause_ms.clone())));
-            let may_connect = self.takes_clients[dispatcher].load(Ordering::Relaxed);
+        while !self.stopping.load(Ordering::Relaxed) {
+            thread::sleep(Duration::from_millis(self.random(pause_ms.clone())));
+            let may_connect = self.in_rotation[dispatcher].load(Ordering::Relaxed);
             if connection.is_none() && !may_connect {
                 continue;
             }
-            self.hand_in(dispatcher, &mut connection);
+            self.send_request(dispatcher, &mut connection);
         }
     }
 
-    /// Hands in one request, and waits for its end.
-    fn hand_in(&self, dispatcher: usize, connection: &mut Option<Http>) {
+    /// Sends one request, waits for its outcome and records it.
+    fn send_request(&self, dispatcher: usize, connection: &mut Option<Http>) {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
-        let (is_unsafe, leaves) = (self.draw(0..3) == 0, self.draw(0..20) == 0);
+        let (is_unsafe, will_leave) = (self.random(0..3) == 0, self.random(0..20) == 0);
         let (class, wait_ms) = if is_unsafe { ("confirm", 2_000.0) } else { ("search", 1_000.0) };
         let is_first = connection.is_none();
         let opened =
-            connection.take().map_or_else(|| Http::connect(self.dispatchers[dispatcher], PATIENCE), Ok);
+            connection.take().map_or_else(|| Http::connect(self.dispatchers[dispatcher], PEER_TIMEOUT), Ok);
         let Ok(mut http) = opened else { return };
         let id = format!("d{dispatcher}-{number}");
         let text = format!(
             "POST /{class}/x HTTP/1.1\r\nHost: d\r\nReq-Id: {id}\r\nReq-Deadline: {wait_ms}m\r\nContent-Length: 3\r\n\r\njob"
         );
-        let patience = Duration::from_secs_f64(if leaves { 0.02 } else { (wait_ms + 1_000.0) / 1e3 });
-        if http.0.get_ref().set_read_timeout(Some(patience)).is_err() || http.write(&text).is_err() {
+        let read_timeout = Duration::from_secs_f64(if will_leave { 0.02 } else { (wait_ms + 1_000.0) / 1e3 });
+        if http.0.get_ref().set_read_timeout(Some(read_timeout)).is_err() || http.write(&text).is_err() {
             return;
         }
         let written_ms = self.now_ms();
-        let answer = http.read();
+        let response = http.read();
         let is_timeout = |e: &std::io::Error| {
             matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut)
         };
-        let end = match &answer {
+        let outcome = match &response {
             Ok((head, body)) => match status(head) {
-                200 if *body == id => End::Served,
-                429 | 503 => End::Rejected,
-                _ => End::Failed,
+                200 if *body == id => Outcome::Served,
+                429 | 503 => Outcome::Rejected,
+                _ => Outcome::Failed,
             },
-            Err(e) if is_timeout(e) && leaves => End::Left,
-            Err(e) if is_timeout(e) => End::Silence,
-            Err(_) => End::Closed,
+            Err(e) if is_timeout(e) && will_leave => Outcome::ClientLeft,
+            Err(e) if is_timeout(e) => Outcome::TimedOut,
+            Err(_) => Outcome::Closed,
         };
         let closes = |head: &str| header(head, "connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-        if answer.is_ok_and(|(head, _)| !closes(&head)) {
+        if response.is_ok_and(|(head, _)| !closes(&head)) {
             *connection = Some(http);
         } else {
             drop(http);
         }
         let ended_ms = self.now_ms();
-        let request = Request { dispatcher, written_ms, wait_ms, is_unsafe, is_first, ended_ms, end };
+        let request = Request { dispatcher, written_ms, wait_ms, is_unsafe, is_first, ended_ms, outcome };
         held(&self.record).requests.insert(id, request);
     }
 }
 
-/// Serves the jobs that come over a connection to a server.
+/// Serves the jobs that arrive on one connection to a server.
 fn serve_jobs(world: &Arc<World>, server: usize, mut http: Http) {
     loop {
-        // The time of the first byte.
+        // Waits for the first byte: its time is the attempt's begin.
         if !std::io::BufRead::fill_buf(&mut http.0).is_ok_and(|bytes| !bytes.is_empty()) {
             return;
         }
@@ -306,13 +308,13 @@
             return;
         }
         let world = Arc::clone(world);
-        thread::spawn(move || work(&world, server, &id));
+        thread::spawn(move || run_job(&world, server, &id));
     }
 }
 
-/// Works on a job, and calls back until that is heard.
-fn work(world: &World, server: usize, id: &str) {
-    thread::sleep(Duration::from_millis(world.draw(JOB_MS)));
+/// Runs a job, then sends its call-back until the dispatcher accepts it, at most ten times.
+fn run_job(world: &World, server: usize, id: &str) {
+    thread::sleep(Duration::from_millis(world.random(JOB_MS)));
     let dispatcher = id[1..].split('-').next().and_then(|number| number.parse::<usize>().ok());
     let Some(&address) = dispatcher.and_then(|number| world.dispatchers.get(number)) else { return };
     for _ in 0..10 {
@@ -323,7 +325,7 @@
     }
 }
 
-/// A deadline of a header, in milliseconds.
+/// Parses the value of a `Req-Deadline` header into milliseconds.
 fn deadline_ms(text: &str) -> Millis {
     let (figure, unit) = text.split_at(text.len().saturating_sub(1));
     let figure: f64 = figure.parse().unwrap_or(f64::INFINITY);
--- a/rig/tests/soak.rs
+++ b/rig/tests/soak.rs
@@ -1,12 +1,13 @@
-//! The small form of the experiment `soak`, and single faults of system calls against one dispatcher.
+//! A short run of the `soak` experiment, and single system call faults against one dispatcher.
 
 use std::thread;
 
-use micabeam_rig::soak::{Plan, SteadyRun, experiment, steady};
+use micabeam_rig::soak::{CallFaultRun, Plan, experiment, run_with_call_faults};
 
-/// Dispatchers lose their zone and return with old lists, servers drain, discovery is down, processes are told to end, stopped
-/// and killed, while system calls fail. Both seeds broke the drain rule before the freshness of the list had an owner (19 and
-/// 8 times), and one had a process that used a whole core while the system refused to accept.
+/// Guards against broken request, drain and slow-start rules while zones fail and return with old lists, servers drain,
+/// discovery is down, processes are terminated, suspended and killed, and system calls fail. Before list freshness had a
+/// module of its own, both seeds violated the drain rule (19 and 8 times), and one had a process that used a whole core
+/// while `accept` failed.
 #[test]
 fn dispatchers_keep_every_rule_while_lists_processes_and_system_calls_go_wrong() {
     let runs = [3, 4].map(|seed| {
@@ -19,9 +20,10 @@
     }
 }
 
-/// Serves for some seconds under a fault: every request is answered, nearly all are served, and no core is used for nothing.
-fn serves_under(call_faults: &str, seed: u64) {
-    let SteadyRun { figures, cpu_s } = steady(call_faults, 5, seed).unwrap();
+/// Runs one dispatcher for 5 s under `call_faults` and asserts that every request is answered, that nearly all are
+/// served, and that the dispatcher does not spin.
+fn assert_serves_under(call_faults: &str, seed: u64) {
+    let CallFaultRun { figures, cpu_s } = run_with_call_faults(call_faults, 5, seed).unwrap();
     println!("{call_faults}: {figures} cpu_s={cpu_s:.2}");
     figures.proves().unwrap();
     let unserved = figures.requests - figures.served - figures.left;
@@ -29,8 +31,9 @@
     assert!(cpu_s < 0.5, "{call_faults}: {cpu_s:.2} s of processor time in 5 s");
 }
 
-/// Guards against a listener that is told at each turn while the system refuses to accept, and against a loop inside one call.
-/// The faults last for moments, so that what waits can still be answered in its time.
+/// Guards against a busy loop when `accept` fails: a listener stays readable and would wake the event loop on every turn,
+/// or a retry could loop inside one call. Each fault lasts 400 ms, so that waiting connections can still be served before
+/// their deadlines.
 #[test]
 fn a_listener_that_cannot_accept_uses_no_core() {
     for (seed, errno) in
@@ -38,28 +41,28 @@
     {
         let moments = [1000, 1800, 2600, 3400];
         let faults = moments.map(|from| format!("fail=accept,{errno},1,{from},{}", from + 400));
-        serves_under(&faults.join(";"), 100 + seed as u64);
+        assert_serves_under(&faults.join(";"), 100 + seed as u64);
     }
 }
 
-/// Guards against an interrupted look at a connection that is taken for a broken one.
+/// Guards against treating an interrupted or short `recv` or `send` as a broken connection.
 #[test]
 fn interrupted_and_short_calls_break_no_connection() {
-    serves_under("fail=recv,EINTR,0.5,0,1e9", 110);
-    serves_under("fail=send,EINTR,0.5,0,1e9", 111);
-    serves_under("short=recv,3,0,1e9;short=send,3,0,1e9", 112);
+    assert_serves_under("fail=recv,EINTR,0.5,0,1e9", 110);
+    assert_serves_under("fail=send,EINTR,0.5,0,1e9", 111);
+    assert_serves_under("short=recv,3,0,1e9;short=send,3,0,1e9", 112);
 }
 
-/// Deadlines, windows and waits are spans of real time.
+/// Guards against deadlines, windows and waits that depend on the wall clock.
 #[test]
 fn a_wall_clock_that_steps_changes_nothing() {
-    serves_under("step=3600000,1500", 120);
-    serves_under("step=-3600000,1500", 121);
+    assert_serves_under("step=3600000,1500", 120);
+    assert_serves_under("step=-3600000,1500", 121);
 }
 
-/// Guards against an endpoint that is given up for what this machine could not do for a moment.
+/// Guards against ejecting an endpoint because of a temporary local failure to open or connect a socket.
 #[test]
 fn sockets_that_cannot_be_had_for_a_moment_lose_no_request() {
-    serves_under("fail=socket,ENOBUFS,0.3,1000,2000;fail=connect,EADDRNOTAVAIL,0.3,1000,2000", 130);
-    serves_under("fail=connect,ENETUNREACH,0.1,1000,3000", 131);
+    assert_serves_under("fail=socket,ENOBUFS,0.3,1000,2000;fail=connect,EADDRNOTAVAIL,0.3,1000,2000", 130);
+    assert_serves_under("fail=connect,ENETUNREACH,0.1,1000,3000", 131);
 }
