--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -283,7 +283,7 @@
             let figures = scale::experiment(&arguments.plan())?;
             report(figures.line(), figures.proves())
         }
-        Experiment::Lists { workers, out } => Ok(scale::play_list(workers, out)?.line()),
+        Experiment::Lists { workers, out } => Ok(scale::measure_list(workers, out)?.line()),
         Experiment::Ladder { mb, pipes } => ladder(mb, pipes),
         Experiment::Stores { jobs } => stores::experiment(jobs),
         Experiment::Dispatch { count, kb_s, least_kb_s } => {
--- a/rig/src/scale/checker.rs
+++ b/rig/src/scale/checker.rs
@@ -1,73 +1,79 @@
-//! What the fronts of hollow dispatchers may serve: the promise that a change of policy holds everywhere or nowhere.
+//! Checks which policy versions the frontends of simulated dispatchers may serve: a policy change must take effect on all
+//! dispatchers or on none.
 
 use std::collections::BTreeSet;
 
-/// A front, as the part that shares the policy sees it.
+/// State of a dispatcher's frontend, as far as the policy rollout controls it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Front {
-    /// The version that it runs.
+pub(super) struct FrontState {
+    /// The policy version in force at this frontend.
     pub(super) version: u64,
-    /// Since when it holds what comes in.
-    pub(super) held_since: Option<f64>,
-    /// Until when it may serve.
+    /// When it began to hold new requests; `None` while it serves.
+    pub(super) paused_since: Option<f64>,
+    /// End of the lease until which it may serve.
     pub(super) until: f64,
-    /// Whether it has ever served.
+    /// Whether it has ever had a lease.
     pub(super) served: bool,
-    /// Whether it stops at the end of its lease; every real one does.
+    /// Whether it stops at the end of its lease, as every real frontend does.
     pub(super) keeps_lease: bool,
 }
 
-impl Front {
-    /// A front of a process that has just started.
-    pub(super) fn new(keeps_lease: bool) -> Front {
-        Front { keeps_lease, ..Front::default() }
+impl FrontState {
+    /// Creates the frontend of a process that has just started.
+    pub(super) fn new(keeps_lease: bool) -> FrontState {
+        FrontState { keeps_lease, ..FrontState::default() }
     }
 
-    /// Whether a request that comes now is started now.
+    /// Whether a request that arrives now is served at once.
     pub(super) fn may_serve(&self, now: f64) -> bool {
         let leased = now < self.until || self.served && !self.keeps_lease;
-        leased && self.held_since.is_none()
+        leased && self.paused_since.is_none()
     }
 }
 
-/// Sets what fronts serve beside what was decided.
+/// Compares what frontends serve with what was decided.
 #[derive(Default)]
 pub(super) struct Checker {
-    newest: u64,
+    newest_version: u64,
     in_force: BTreeSet<u64>,
     given_up: BTreeSet<u64>,
-    /// Fronts that could serve a version that was not in force.
+    /// How often a frontend could serve a version that was not in force.
     pub(super) half_applied: u64,
-    /// Fronts that could serve an older version than one that was served before.
+    /// How often a frontend could serve an older version than one that was already served.
     pub(super) old_after_new: u64,
 }
 
 impl Checker {
-    /// A decision was read: what is in force, and what was given up.
-    pub(super) fn decided(&mut self, in_force: u64, given_up: Option<u64>) {
+    /// Records a decision: the version in force, and the version that was abandoned, if any.
+    pub(super) fn on_decision(&mut self, in_force: u64, given_up: Option<u64>) {
         self.in_force.insert(in_force);
         self.given_up.extend(given_up);
     }
 
-    /// A front may serve now, beside all others that are not frozen.
-    pub(super) fn serves<'a>(&mut self, now: f64, front: &Front, all: impl Iterator<Item = &'a Front>) {
+    /// Checks a frontend that may serve now against the decisions and against `all` running frontends.
+    pub(super) fn on_serving<'a>(
+        &mut self,
+        now: f64,
+        front: &FrontState,
+        all: impl Iterator<Item = &'a FrontState>,
+    ) {
         let undecided = front.version > 0 && !self.in_force.contains(&front.version);
         self.half_applied += u64::from(undecided || self.given_up.contains(&front.version));
-        self.old_after_new += u64::from(front.version < self.newest);
-        if front.version > self.newest {
-            self.newest = front.version;
-            // Each that goes on under an older one may serve a request after this one.
-            let old = |other: &&Front| other.version < front.version && other.may_serve(now);
-            self.old_after_new += all.filter(old).count() as u64;
+        self.old_after_new += u64::from(front.version < self.newest_version);
+        if front.version > self.newest_version {
+            self.newest_version = front.version;
+            // Every frontend that still serves an older version may serve a request after this one does.
+            let may_serve_older = |other: &&FrontState| other.version < front.version && other.may_serve(now);
+            self.old_after_new += all.filter(may_serve_older).count() as u64;
         }
     }
 
-    /// Versions that were given up.
+    /// Returns the number of abandoned versions.
     pub(super) fn given_up(&self) -> usize {
         self.given_up.len()
     }
 
-    /// Whether a version was given up.
+    /// Whether a version was abandoned.
     pub(super) fn was_given_up(&self, version: u64) -> bool {
         self.given_up.contains(&version)
     }
--- a/rig/src/scale/dispatcher.rs
+++ b/rig/src/scale/dispatcher.rs
@@ -1,4 +1,4 @@
-//! A hollow dispatcher: the state machines of one member, its front, its disk, and what it has used.
+//! A simulated dispatcher: the control plane of one member, its frontend state, its disk, and the resources that it used.
 
 use std::time::{Duration, Instant};
 
@@ -8,154 +8,165 @@
 use micabeam::rollout;
 use micabeam::zones::{self, AttemptResult, ZoneLoad};
 
-use super::checker::Front;
+use super::checker::FrontState;
 use super::plan::Plan;
 
-/// The cluster's name.
-const CLUSTER: &str = "scale";
-/// Datagrams that the system keeps for a process that stands still.
+/// Name of the cluster.
+const CLUSTER_NAME: &str = "scale";
+/// Datagrams that the kernel queues for a suspended process.
 const SOCKET_BUFFER: usize = 256;
-/// Slots of a zone's workers, as its dispatchers see them.
-const SLOTS: u16 = 1000;
-/// Requests that are open with a dispatcher.
-const OPEN: usize = 20;
+/// Total worker slots of a zone, as its dispatchers see them.
+const ZONE_SLOTS: u16 = 1000;
+/// Open requests at each dispatcher.
+const OPEN_REQUESTS: usize = 20;
 
-/// What a dispatcher has used.
+/// Resources that a dispatcher has used.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Usage {
-    /// Datagrams, both ways.
+    /// Datagrams sent and received.
     pub(super) frames: u64,
-    /// Their bytes, headers among them.
+    /// Bytes of these datagrams, including IP and UDP headers.
     pub(super) bytes: u64,
-    /// Processor time.
-    pub(super) busy: Duration,
+    /// Processor time spent in its state machine.
+    pub(super) cpu_time: Duration,
 }
 
-/// One member.
+/// A simulated dispatcher (one member of the fleet).
 pub(super) struct Dispatcher {
-    /// Its process; none while it is down.
-    pub(super) shared: Option<ControlPlane>,
-    /// Number of its process.
+    /// State machine of its process; `None` while it is down.
+    pub(super) control_plane: Option<ControlPlane>,
+    /// Number of its current process; events of earlier processes are ignored.
     pub(super) process: u64,
-    /// Its front.
-    pub(super) front: Front,
-    /// It stands still.
+    /// State of its frontend.
+    pub(super) front: FrontState,
+    /// Whether it is suspended.
     pub(super) frozen: bool,
-    /// Datagrams that came since.
-    pub(super) waiting: Vec<(MemberId, Vec<u8>)>,
-    /// The voter's file.
+    /// Datagrams that arrived while it was suspended.
+    pub(super) queued: Vec<(MemberId, Vec<u8>)>,
+    /// Content of the voter's file.
     disk: Vec<u8>,
-    /// Policies on its disk.
+    /// Policy documents on its disk.
     documents: Vec<(DocumentHash, Vec<u8>)>,
-    /// What it has used.
+    /// Resources that it has used.
     pub(super) usage: Usage,
-    /// Since when it has been there without a break.
+    /// Start time of its current process; infinite while it is down.
     pub(super) up_since: f64,
-    /// It has let its lease run out since it first served.
+    /// Whether its lease has lapsed in this process.
     pub(super) lapsed: bool,
-    /// It was frozen or cut off since it last got a lease.
-    pub(super) excused: bool,
+    /// Whether it was suspended or cut off since it last got a lease, which excuses a lapse.
+    pub(super) lapse_excused: bool,
 }
 
 impl Dispatcher {
-    /// One that was never started.
+    /// Creates a dispatcher that has not been started.
     pub(super) fn new(plan: &Plan) -> Dispatcher {
         Dispatcher {
-            shared: None,
+            control_plane: None,
             process: 0,
-            front: Front::new(plan.keeps_leases),
+            front: FrontState::new(plan.keeps_leases),
             frozen: false,
-            waiting: Vec::new(),
+            queued: Vec::new(),
             disk: Vec::new(),
             documents: Vec::new(),
             usage: Usage::default(),
             up_since: f64::INFINITY,
             lapsed: false,
-            excused: false,
+            lapse_excused: false,
         }
     }
 
-    /// Starts its process, with what its disk has.
-    pub(super) fn start(&mut self, plan: &Plan, places: &[MemberConfig], own: MemberId, now: f64, seed: u64) {
+    /// Starts its process with the state on its disk.
+    pub(super) fn start(
+        &mut self,
+        plan: &Plan,
+        member_configs: &[MemberConfig],
+        own: MemberId,
+        now: f64,
+        seed: u64,
+    ) {
         let fleet = fleet::NodeConfig {
-            cluster: CLUSTER.into(),
+            cluster: CLUSTER_NAME.into(),
             generation: 1,
-            members: places.to_vec(),
+            members: member_configs.to_vec(),
             member_id: own,
             incarnation: now as u64,
             seed,
         };
         let rollout =
             Some(rollout::RolloutSettings { lease_ms: plan.lease_ms, ..rollout::RolloutSettings::default() });
-        let setup = ControlPlaneConfig {
+        let config = ControlPlaneConfig {
             fleet,
             zones: plan.zones,
             failover: zones::FailoverSettings::default(),
             rollout,
         };
-        let kept = vote_file::read(&self.disk, 1).ok().and_then(|read| read.persisted);
-        let mut shared = ControlPlane::new(setup, kept, now).expect("the plan was checked");
+        let persisted_votes = vote_file::read(&self.disk, 1).ok().and_then(|read| read.persisted);
+        let mut control_plane =
+            ControlPlane::new(config, persisted_votes, now).expect("the plan was checked");
         for (_, document) in &self.documents {
-            shared.with_participant(now, |_, node| node.store_document(document));
+            control_plane.with_participant(now, |_, node| node.store_document(document));
         }
-        self.shared = Some(shared);
+        self.control_plane = Some(control_plane);
         self.process += 1;
-        self.front = Front::new(plan.keeps_leases);
+        self.front = FrontState::new(plan.keeps_leases);
         self.up_since = now;
-        (self.frozen, self.lapsed, self.excused) = (false, false, false);
-        self.waiting.clear();
+        (self.frozen, self.lapsed, self.lapse_excused) = (false, false, false);
+        self.queued.clear();
     }
 
-    /// Ends its process at once.
+    /// Ends its process at once, as SIGKILL does.
     pub(super) fn kill(&mut self) {
-        self.shared = None;
+        self.control_plane = None;
         self.process += 1;
-        self.front = Front::new(self.front.keeps_lease);
+        self.front = FrontState::new(self.front.keeps_lease);
         self.up_since = f64::INFINITY;
         self.frozen = false;
-        self.waiting.clear();
+        self.queued.clear();
     }
 
-    /// Whether it knows of all other members that they are there.
-    pub(super) fn knows_all(&self) -> bool {
-        self.shared.as_ref().is_some_and(|shared| shared.node().alive().iter().all(|up| *up))
+    /// Whether it sees all other members as alive.
+    pub(super) fn sees_all_members(&self) -> bool {
+        self.control_plane.as_ref().is_some_and(|plane| plane.node().alive().iter().all(|up| *up))
     }
 
-    /// Whether it does anything.
-    pub(super) fn runs(&self) -> bool {
-        self.shared.is_some() && !self.frozen
+    /// Whether its process is up and not suspended.
+    pub(super) fn is_running(&self) -> bool {
+        self.control_plane.is_some() && !self.frozen
     }
 
-    /// A datagram for one that stands still waits in its socket, if there is room.
-    pub(super) fn keep_waiting(&mut self, from: MemberId, bytes: Vec<u8>) {
-        if self.shared.is_some() && self.waiting.len() < SOCKET_BUFFER {
-            self.waiting.push((from, bytes));
+    /// Queues a datagram for a suspended process, as its socket buffer does; drops it if the buffer is full.
+    pub(super) fn queue_datagram(&mut self, from: MemberId, bytes: Vec<u8>) {
+        if self.control_plane.is_some() && self.queued.len() < SOCKET_BUFFER {
+            self.queued.push((from, bytes));
         }
     }
 
-    /// Has the process do something, and counts the time that it takes.
-    pub(super) fn work<T>(&mut self, with: impl FnOnce(&mut ControlPlane) -> T) -> Option<T> {
-        let shared = self.shared.as_mut()?;
+    /// Calls into the state machine, if the process is up, and adds the elapsed time to its processor time.
+    pub(super) fn timed<T>(&mut self, with: impl FnOnce(&mut ControlPlane) -> T) -> Option<T> {
+        let control_plane = self.control_plane.as_mut()?;
         let began = Instant::now();
-        let result = with(shared);
-        self.usage.busy += began.elapsed();
+        let result = with(control_plane);
+        self.usage.cpu_time += began.elapsed();
         Some(result)
     }
 
-    /// Does what is due, with some work at the dispatcher; `lost` is a zone whose workers refuse.
+    /// Handles a timer tick with a synthetic load of attempts; `lost` is a zone whose workers refuse connections.
     pub(super) fn tick(&mut self, now: f64, zones: usize, home: usize, lost: Option<usize>) {
-        self.work(|shared| {
+        self.timed(|plane| {
             let zone = now as usize / 50 % 8 % zones;
             let zone = if zone == 0 { home } else { (home + zone) % zones };
             let end = if lost == Some(zone) { AttemptResult::Refused } else { AttemptResult::Answered };
-            shared.zones_mut().outcome_counter().record_arrival(false);
-            shared.zones_mut().outcome_counter().record_attempt(zone, end, 20.0);
-            shared.tick(now, OPEN, |_| ZoneLoad { in_flight: OPEN as u16, slots: SLOTS });
+            plane.zones_mut().outcome_counter().record_arrival(false);
+            plane.zones_mut().outcome_counter().record_attempt(zone, end, 20.0);
+            plane.tick(now, OPEN_REQUESTS, |_| ZoneLoad {
+                in_flight: OPEN_REQUESTS as u16,
+                slots: ZONE_SLOTS,
+            });
         });
     }
 
-    /// Writes to its disk.
-    pub(super) fn write(&mut self, write: Write) {
+    /// Applies a write to the voter's file.
+    pub(super) fn write_votes(&mut self, write: Write) {
         match write {
             Write::Nothing => {}
             Write::Append(bytes) => self.disk.extend(bytes),
@@ -163,11 +174,11 @@
         }
     }
 
-    /// Keeps a policy on its disk.
-    pub(super) fn save(&mut self, hash: DocumentHash, bytes: Vec<u8>) {
+    /// Stores a policy document on its disk.
+    pub(super) fn store_policy(&mut self, hash: DocumentHash, bytes: Vec<u8>) {
         self.documents.retain(|(known, _)| *known != hash);
         self.documents.push((hash, bytes));
-        // As many as a real one keeps.
+        // A real dispatcher keeps the same number.
         if self.documents.len() > 8 {
             self.documents.remove(0);
         }
--- a/rig/src/scale/figures.rs
+++ b/rig/src/scale/figures.rs
@@ -1,57 +1,57 @@
-//! The last line of a scale test.
+//! Result figures of a scale test, and its last line of output.
 
 use crate::RigError;
 
-/// What a run came to. Rates are a second of the set clock; those of bytes and frames add both directions, with 28 bytes
-/// of headers a datagram.
+/// Result figures of a scale test. Rates are per second of the simulated clock. Rates of bytes and frames include both
+/// directions, and bytes include 28 bytes of headers per datagram.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// Dispatchers.
+    /// The number of dispatchers.
     pub members: usize,
-    /// Lines of the list.
+    /// The number of workers in the list.
     pub workers: usize,
-    /// Mean bytes of a member that does not vote.
+    /// Mean bytes per second of a member that is not a voter.
     pub member_bytes_s: f64,
-    /// Bytes of the busiest dispatcher.
+    /// Bytes per second of the dispatcher with the most.
     pub busiest_bytes_s: f64,
-    /// Its datagrams.
+    /// Datagrams per second of the dispatcher with the most.
     pub busiest_frames_s: f64,
-    /// Processor time of the dispatcher that used most.
+    /// Processor time of the dispatcher that used most, in milliseconds per second.
     pub busiest_cpu_ms_s: f64,
-    /// Mean processor time of a member that does not vote.
+    /// Mean processor time of a member that is not a voter, in milliseconds per second.
     pub member_cpu_ms_s: f64,
-    /// Resident memory that a dispatcher adds, in KiB, without list and module.
+    /// Resident memory per dispatcher, in KiB, without the list and the routing core.
     pub state_kb: u64,
-    /// Changes that came in force.
+    /// Policy changes that came into force.
     pub changes: usize,
-    /// From the wish to the last that serves under it: median.
+    /// Time from the proposal of a change until every serving dispatcher runs it: median.
     pub change_ms_p50: f64,
-    /// The worst.
+    /// Time from the proposal of a change until every serving dispatcher runs it: maximum.
     pub change_ms_worst: f64,
-    /// Lines of the list that a table did not take.
+    /// Workers of the list that the endpoint table dropped.
     pub dropped_workers: u64,
-    /// Fronts that could serve what was not in force.
+    /// How often a frontend could serve a version that was not in force.
     pub half_applied: u64,
-    /// Fronts that could serve an older version after a newer was served.
+    /// How often a frontend could serve an older version after a newer one was served.
     pub old_after_new: u64,
-    /// Mean bytes of a voter that does not lead.
+    /// Mean bytes per second of a voter that is not the leader.
     pub voter_bytes_s: f64,
-    /// Times that another voter began to lead.
+    /// How often another voter became the leader.
     pub leader_changes: u64,
-    /// Dispatchers that had to stop serving, though they ran and were not cut off.
+    /// Dispatchers whose lease lapsed although they were running and not cut off.
     pub lapsed: usize,
-    /// The longest hold of what comes in.
+    /// Longest time for which a frontend held new requests.
     pub pause_ms_worst: f64,
-    /// Versions that were given up.
+    /// Policy versions that were abandoned.
     pub given_up: usize,
-    /// Changes that did not come in force.
+    /// Policy changes that did not come into force.
     pub unfinished: usize,
-    /// Frames that came late and were dropped for it.
+    /// Frames that arrived late and were dropped as stale.
     pub stale: u64,
 }
 
 impl Figures {
-    /// The last line of the experiment.
+    /// Returns the last line of the experiment's output.
     pub fn line(&self) -> String {
         format!(
             "members={} workers={} member_bytes_s={:.0} busiest_bytes_s={:.0} busiest_frames_s={:.0} \
@@ -82,10 +82,10 @@
         )
     }
 
-    /// Whether the proof holds.
+    /// Checks that no worker was dropped and that every policy change took effect everywhere or nowhere.
     ///
     /// # Errors
-    /// Where a figure disproves what the experiment is to show.
+    /// If one of these figures is not 0.
     pub fn proves(&self) -> Result<(), RigError> {
         let zeros = [
             ("dropped_workers", self.dropped_workers),
--- a/rig/src/scale/lists.rs
+++ b/rig/src/scale/lists.rs
@@ -1,4 +1,5 @@
-//! The list of workers at one dispatcher: read, taken into the server table and the module, changed, and used.
+//! Measures the cost of a worker list at one dispatcher: parsing it, applying it to the routing core, changing it, and
+//! running jobs with it.
 
 use std::time::Instant;
 
@@ -11,46 +12,46 @@
 use super::memory::resident_kb;
 use crate::RigError;
 
-/// Settings of an example deployment.
+/// Settings of the example deployment.
 const SETTINGS: &[u8] = include_bytes!("../../../examples/settings.json");
-/// Jobs that are timed.
+/// The number of jobs that are timed.
 const JOBS: usize = 2000;
-/// Changes of one line that are timed.
+/// The number of single-entry list changes that are timed.
 const CHANGES: usize = 50;
-/// How long a job's client waits, in milliseconds.
-const PATIENCE: f64 = 4000.0;
-/// The same for a job that stays out.
-const LONG: f64 = 600_000.0;
+/// Deadline of a timed job, in milliseconds.
+const JOB_DEADLINE_MS: f64 = 4000.0;
+/// Deadline of a job whose attempts are left open, in milliseconds.
+const OPEN_JOB_DEADLINE_MS: f64 = 600_000.0;
 
-/// What the list costs one dispatcher.
+/// Cost of a list at one dispatcher.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ListFigures {
-    /// Lines.
+    /// The number of workers in the list.
     pub lines: usize,
-    /// Bytes of the list as the service writes it.
+    /// Size of the list as discovery encodes it, in bytes.
     pub list_bytes: usize,
-    /// Lines that the table did not take.
+    /// Workers that the endpoint table dropped.
     pub dropped: u64,
-    /// Time to read the list.
+    /// Time to parse the list.
     pub parse_ms: f64,
-    /// Time to take it into the table and the module.
+    /// Time to apply it to the routing core.
     pub apply_ms: f64,
-    /// Time to read and take in a change of one line.
+    /// Mean time to parse and apply a change of one entry.
     pub change_ms: f64,
-    /// Time of one job: taken in, sent, ended and answered.
+    /// Mean time of one job: submitted, sent, ended and answered.
     pub job_us: f64,
-    /// Resident memory that all of it adds, in KiB.
+    /// Resident memory that the core and the list add, in KiB.
     pub memory_kb: u64,
-    /// Attempts that were out then, at workers that had started them.
+    /// The number of open attempts, started at their workers, during the second measurement of jobs.
     pub out: usize,
-    /// Time of one job beside them.
+    /// Mean time of one job beside the open attempts.
     pub job_beside_us: f64,
-    /// Resident memory that they add, in KiB.
+    /// Resident memory that the open attempts add, in KiB.
     pub out_kb: u64,
 }
 
 impl ListFigures {
-    /// The last line of the experiment.
+    /// Returns the last line of the experiment's output.
     pub fn line(&self) -> String {
         format!(
             "workers={} list_bytes={} dropped_workers={} parse_ms={:.2} apply_ms={:.2} change_ms={:.3} job_us={:.1} \
@@ -70,7 +71,7 @@
     }
 }
 
-fn line(number: usize, health: &str) -> String {
+fn host_entry(number: usize, health: &str) -> String {
     let (zone, kind) = (["east", "west", "north"][number % 3], ["large", "small"][number % 2]);
     format!(
         r#"{{"host":"worker-{number:06}","dial":"127.{}.{}.{}:8081","site":"{zone}","class":"{kind}","health":"{health}","share":1.0,"born_ms":0}}"#,
@@ -80,27 +81,28 @@
     )
 }
 
-fn list(version: usize, whole: bool, lines: &[String]) -> String {
+fn render_list(version: usize, whole: bool, lines: &[String]) -> String {
     format!(r#"{{"seq":{version},"whole":{whole},"hosts":[{}]}}"#, lines.join(","))
 }
 
-fn failed(what: impl std::fmt::Display) -> RigError {
+fn list_error(what: impl std::fmt::Display) -> RigError {
     RigError::Disproved(format!("the list: {what}"))
 }
 
-/// Plays a list of so many workers, and so many attempts that stay out.
+/// Measures a list of `workers` entries, also beside the open attempts of `out` jobs.
 ///
 /// # Errors
-/// Where the process, its files or its sockets fail.
-pub fn play(workers: usize, out: usize) -> Result<ListFigures, RigError> {
-    let site = Site::parse(SETTINGS).map_err(failed)?;
+/// If the settings or a list cannot be parsed.
+pub fn measure(workers: usize, out: usize) -> Result<ListFigures, RigError> {
+    let site = Site::parse(SETTINGS).map_err(list_error)?;
     let clock = Clock::manual(1e9);
-    let lines: Vec<String> = (0..workers).map(|number| line(number, "up")).collect();
-    let text = list(1, true, &lines);
+    let lines: Vec<String> = (0..workers).map(|number| host_entry(number, "up")).collect();
+    let text = render_list(1, true, &lines);
     let before = resident_kb();
     let mut core = Core::new(site, 1, clock.clone(), JOBS + out);
     let began = Instant::now();
-    let read = read_list(&json::parse(text.as_bytes()).map_err(failed)?, core.site()).map_err(failed)?;
+    let read =
+        read_list(&json::parse(text.as_bytes()).map_err(list_error)?, core.site()).map_err(list_error)?;
     let parse_ms = began.elapsed().as_secs_f64() * 1e3;
     let began = Instant::now();
     core.on_list(read.lines, read.scope);
@@ -110,17 +112,17 @@
     let began = Instant::now();
     for version in 0..CHANGES {
         let health = if version % 2 == 0 { "draining" } else { "up" };
-        let text = list(version + 2, false, &[line(version / 2 % workers, health)]);
-        let change = json::parse(text.as_bytes()).map_err(failed)?;
-        let read = read_list(&change, core.site()).map_err(failed)?;
+        let text = render_list(version + 2, false, &[host_entry(version / 2 % workers, health)]);
+        let change = json::parse(text.as_bytes()).map_err(list_error)?;
+        let read = read_list(&change, core.site()).map_err(list_error)?;
         core.on_list(read.lines, read.scope);
     }
     let change_ms = began.elapsed().as_secs_f64() * 1e3 / CHANGES as f64;
-    let job_us = jobs(&mut core, &clock);
+    let job_us = time_jobs(&mut core, &clock);
     let before = resident_kb();
-    let out = stay_out(&mut core, &clock, out);
+    let out = hold_attempts_open(&mut core, &clock, out);
     let out_kb = resident_kb().saturating_sub(before);
-    let job_beside_us = jobs(&mut core, &clock);
+    let job_beside_us = time_jobs(&mut core, &clock);
     Ok(ListFigures {
         lines: workers,
         list_bytes: text.len(),
@@ -136,11 +138,11 @@
     })
 }
 
-/// Has so many jobs started at their workers and not ended; how many attempts are out then.
-fn stay_out(core: &mut Core, clock: &Clock, jobs: usize) -> usize {
+/// Submits jobs whose attempts are started at workers and never end. Returns the number of these attempts.
+fn hold_attempts_open(core: &mut Core, clock: &Clock, jobs: usize) -> usize {
     let mut out = 0;
     for _ in 0..jobs {
-        let due = clock.now() + LONG;
+        let due = clock.now() + OPEN_JOB_DEADLINE_MS;
         let _ =
             core.submit(JobRequest { class: 2, deadline_ms: due, slots: 1.0, work_ms: None, partition: 0 });
         while let Some(command) = core.next_command() {
@@ -159,12 +161,12 @@
     out
 }
 
-/// Mean time of a job, in microseconds.
-fn jobs(core: &mut Core, clock: &Clock) -> f64 {
+/// Returns the mean time of a job, in microseconds.
+fn time_jobs(core: &mut Core, clock: &Clock) -> f64 {
     let began = Instant::now();
     for number in 0..JOBS {
         clock.set(clock.now() + 1.0);
-        let due = clock.now() + PATIENCE;
+        let due = clock.now() + JOB_DEADLINE_MS;
         let _ = core.submit(JobRequest {
             class: number % 3,
             deadline_ms: due,
--- a/rig/src/scale/mod.rs
+++ b/rig/src/scale/mod.rs
@@ -1,9 +1,10 @@
-//! Scale tests: many hollow dispatchers in one process. A hollow dispatcher is the program's own state machines
-//! (`micabeam::control_plane::Shared`, and for a sample of them the server table and the decision module) on a set clock; its
-//! datagrams are really encoded and decoded, and travel over links that delay, lose, reorder and cut by seed.
+//! Scale tests: simulate many dispatchers in one process. A simulated ("hollow") dispatcher runs the program's own state
+//! machine [`micabeam::control_plane::ControlPlane`] on a simulated clock. Its datagrams are really encoded and decoded, and
+//! travel over links that delay, lose, reorder and drop them by seed. The endpoint table and the routing core are measured
+//! separately, with the list of one dispatcher (`lists`).
 //!
-//! Counts of messages and bytes are exact and the same for a seed. Processor time is measured around each call of a state
-//! machine. Sockets, the kernel and disks are not played: a write is done after a fixed time.
+//! Counts of messages and bytes are exact, and the same for the same seed. Processor time is measured around each call into
+//! a state machine. Sockets, the kernel and disks are not simulated: a write completes after a fixed time.
 
 mod checker;
 mod dispatcher;
@@ -15,20 +16,20 @@
 mod world;
 
 pub use figures::Figures;
-pub use lists::{ListFigures, play as play_list};
+pub use lists::{ListFigures, measure as measure_list};
 pub use plan::Plan;
 
 use crate::RigError;
 
-/// Plays a plan.
+/// Runs the scale test of a plan.
 ///
 /// # Errors
-/// Where the program or a stand-in cannot be started, or the experiment disproves what it is to show.
+/// If the plan is out of bounds, the list cannot be read, or the fleet does not come up.
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     plan.check()?;
-    let lists = lists::play(plan.workers, 0)?;
+    let lists = lists::measure(plan.workers, 0)?;
     let mut world = world::World::new(plan);
-    world.join()?;
-    world.play()?;
+    world.start_fleet()?;
+    world.run_plan()?;
     Ok(world.figures(&lists))
 }
--- a/rig/src/scale/network.rs
+++ b/rig/src/scale/network.rs
@@ -1,78 +1,78 @@
-//! Links between hollow dispatchers, and what is due by the set clock.
+//! Simulated links between dispatchers, and the event queue of the simulated clock.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use micabeam::fleet::MemberId;
 
-/// Shortest time that a datagram takes, in milliseconds.
-const SHORTEST: f64 = 1.0;
-/// Headers of a datagram over IPv4, in bytes.
-pub(super) const HEADERS: u64 = 28;
+/// Minimum delay of a datagram, in milliseconds.
+const MIN_DELAY_MS: f64 = 1.0;
+/// IPv4 and UDP headers of a datagram, in bytes.
+pub(super) const HEADER_BYTES: u64 = 28;
 
-/// What happens at a time.
+/// An event of the simulation.
 pub(super) enum Event {
     /// A datagram arrives.
     Datagram {
         /// Its sender.
         from: MemberId,
-        /// Whom it is for.
+        /// Its receiver.
         to: MemberId,
         /// Its bytes.
         bytes: Vec<u8>,
     },
-    /// A dispatcher does what is due; of a process that has ended it is void.
+    /// A dispatcher's timer fires; ignored if that process has ended.
     Tick {
         /// The dispatcher.
         member: MemberId,
-        /// Which of its processes.
+        /// Number of its process.
         process: u64,
     },
-    /// A dispatcher's write is done.
+    /// A dispatcher's write has completed; ignored if that process has ended.
     Written {
         /// The dispatcher.
         member: MemberId,
-        /// Which of its processes.
+        /// Number of its process.
         process: u64,
     },
-    /// An operator wants the next version of the policy.
-    Want,
-    /// Something goes wrong, or is mended.
+    /// An operator proposes the next version of the policy.
+    ProposeChange,
+    /// A fault begins or ends.
     Fault(Fault),
 }
 
-/// What goes wrong.
+/// A fault, or the end of one.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Fault {
     /// A dispatcher is killed.
     Kill(MemberId),
-    /// A dispatcher is killed, and started again soon.
+    /// A dispatcher is killed and restarted soon after.
     Restart(MemberId),
     /// A dispatcher is started.
     Start(MemberId),
-    /// A dispatcher stands still.
+    /// A dispatcher is suspended.
     Freeze(MemberId),
-    /// It goes on.
+    /// A suspended dispatcher resumes.
     Thaw(MemberId),
-    /// The leader is killed, and started again after a while.
+    /// The leader is killed and restarted later.
     KillLeader,
-    /// All of a zone is killed, and its workers with it.
+    /// All dispatchers and workers of a zone are killed.
     KillZone(usize),
     /// A region is cut off from the others.
     Cut(usize),
-    /// It is not any more.
+    /// The region is connected again.
     Heal,
 }
 
 struct Scheduled {
     at: f64,
-    number: u64,
+    sequence: u64,
     event: Event,
 }
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Scheduled) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -86,25 +86,25 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Scheduled) -> std::cmp::Ordering {
-        self.at.total_cmp(&other.at).then(self.number.cmp(&other.number))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
-/// What is due, in order.
+/// The scheduled events, in order of time.
 #[derive(Default)]
 pub(super) struct Queue {
     heap: BinaryHeap<Reverse<Scheduled>>,
-    number: u64,
+    sequence: u64,
 }
 
 impl Queue {
-    /// Has something happen at a time; of two at one time the first that was scheduled goes first.
+    /// Schedules an event. Events of the same time are handled in the order in which they were scheduled.
     pub(super) fn schedule(&mut self, at: f64, event: Event) {
-        self.number += 1;
-        self.heap.push(Reverse(Scheduled { at, number: self.number, event }));
+        self.sequence += 1;
+        self.heap.push(Reverse(Scheduled { at, sequence: self.sequence, event }));
     }
 
-    /// The next, if it is due by then.
+    /// Removes and returns the next event and its time, if it is due by `end`.
     pub(super) fn next(&mut self, end: f64) -> Option<(f64, Event)> {
         if self.heap.peek()?.0.at > end {
             return None;
@@ -113,28 +113,28 @@
     }
 }
 
-/// The links.
+/// The simulated links between all members.
 pub(super) struct Links {
-    /// Longest time that a datagram takes, in milliseconds; each has its own, so that some overtake others.
-    pub(super) longest: f64,
-    /// Datagrams of a thousand that are lost.
+    /// Maximum delay of a datagram, in milliseconds. Each datagram gets a random delay, so that they can be reordered.
+    pub(super) max_delay_ms: f64,
+    /// Datagrams lost per thousand.
     pub(super) lost: u32,
     /// The region of each member.
     pub(super) regions: Vec<usize>,
-    /// The region that is cut off.
-    pub(super) apart: Option<usize>,
+    /// The region that is cut off, if any.
+    pub(super) cut_region: Option<usize>,
 }
 
 impl Links {
-    /// How long a datagram takes; none where it is lost.
-    pub(super) fn delay(&self, from: MemberId, to: MemberId, draws: &mut fastrand::Rng) -> Option<f64> {
+    /// Returns the random delay of a datagram, or `None` if it is lost.
+    pub(super) fn delay(&self, from: MemberId, to: MemberId, rng: &mut fastrand::Rng) -> Option<f64> {
         let region = |member: MemberId| self.regions[usize::from(member)];
-        if self.apart.is_some_and(|apart| (region(from) == apart) != (region(to) == apart)) {
+        if self.cut_region.is_some_and(|cut| (region(from) == cut) != (region(to) == cut)) {
             return None;
         }
-        if draws.u32(..1000) < self.lost {
+        if rng.u32(..1000) < self.lost {
             return None;
         }
-        Some(SHORTEST + draws.f64() * (self.longest - SHORTEST).max(0.0))
+        Some(MIN_DELAY_MS + rng.f64() * (self.max_delay_ms - MIN_DELAY_MS).max(0.0))
     }
 }
--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -1,4 +1,4 @@
-//! The hollow dispatchers among each other: what is due, faults, changes of policy, and what is measured.
+//! The simulation: runs the events, faults and policy changes of all dispatchers, and measures them.
 
 use std::collections::BTreeSet;
 
@@ -12,59 +12,59 @@
 use super::figures::Figures;
 use super::lists::ListFigures;
 use super::memory::resident_kb;
-use super::network::{Event, Fault, HEADERS, Links, Queue};
+use super::network::{Event, Fault, HEADER_BYTES, Links, Queue};
 use super::plan::{Plan, REGIONS};
 use crate::RigError;
 
-/// When the set clock begins, in milliseconds.
-const START: f64 = 1e6;
-/// All processes are started within this time.
-const STARTS: f64 = 500.0;
-/// How long the fleet has to come up, and a change to come in force.
-const PATIENCE: f64 = 60_000.0;
-/// A write is synced after so long.
-const SYNC: f64 = 2.0;
-/// Time between two wishes: 18,000 changes a day.
-const CHANGE_EVERY: f64 = 4800.0;
-/// The first wish, and the least time from the end of a change to the next wish.
-const REST: f64 = 500.0;
-/// Faults around a change come from so long before its wish to so long after.
-const AROUND: (f64, f64) = (300.0, 150.0);
-/// A process that was killed, and is to come back, is started after this time.
-const RESTART: f64 = 300.0;
-/// A leader that was killed is started after this time.
-const LEADER_BACK: f64 = 5000.0;
-/// After a cut is mended, so long passes before a lease that ran out counts against the fleet.
-const MENDED: f64 = 3000.0;
-/// Time between two looks at whether a change is in force.
-const LOOK: f64 = 5.0;
+/// Start of the simulated clock, in milliseconds.
+const START_MS: f64 = 1e6;
+/// Time within which all processes are started.
+const START_SPREAD_MS: f64 = 500.0;
+/// Time limit for the fleet to come up, and for the last changes to come into force.
+const TIMEOUT_MS: f64 = 60_000.0;
+/// Time until a write is synced to disk.
+const SYNC_MS: f64 = 2.0;
+/// Time between two proposals: 18,000 policy changes a day.
+const CHANGE_INTERVAL_MS: f64 = 4800.0;
+/// Time of the first proposal, and minimum time from the end of a change to the next proposal.
+const MIN_REST_MS: f64 = 500.0;
+/// Times before and after a proposal between which faults around it happen.
+const FAULT_WINDOW_MS: (f64, f64) = (300.0, 150.0);
+/// Time after which a killed process is restarted.
+const RESTART_DELAY_MS: f64 = 300.0;
+/// Time after which a killed leader is restarted.
+const LEADER_RESTART_DELAY_MS: f64 = 5000.0;
+/// Time after the end of a network cut during which a lapsed lease is excused.
+const LAPSE_GRACE_MS: f64 = 3000.0;
+/// Minimum time between two checks of whether a change is in force.
+const CHECK_INTERVAL_MS: f64 = 5.0;
 
-/// A wish of an operator.
+/// A policy change proposed by an operator.
 struct Change {
     version: u64,
-    at: MemberId,
-    wanted: f64,
+    proposer: MemberId,
+    proposed_at: f64,
     in_force: Option<f64>,
 }
 
-/// The world of a run.
+/// State of a simulation.
 pub(super) struct World<'a> {
     plan: &'a Plan,
-    places: Vec<MemberConfig>,
+    configs: Vec<MemberConfig>,
     now: f64,
     queue: Queue,
     links: Links,
     members: Vec<Dispatcher>,
     checker: Checker,
-    draws: fastrand::Rng,
-    /// Members that a fault is going to end or stop.
-    doomed: BTreeSet<MemberId>,
+    rng: fastrand::Rng,
+    /// Members that a scheduled fault will kill, suspend or cut off.
+    fault_targets: BTreeSet<MemberId>,
     lost_zone: Option<usize>,
-    healed: f64,
+    healed_at: f64,
     changes: Vec<Change>,
     version: u64,
-    last_wish: f64,
-    next_look: f64,
+    last_proposal: f64,
+    next_check: f64,
     term: LeaderTerm,
     leader_changes: u64,
     pause_worst: f64,
@@ -75,110 +75,112 @@
 
 fn policy(version: u64, bytes: usize) -> Vec<u8> {
     let mut text = format!("version = {version}\n").into_bytes();
-    let mut draws = fastrand::Rng::with_seed(version);
-    text.resize_with(bytes.max(text.len()), || draws.alphanumeric() as u8);
+    let mut rng = fastrand::Rng::with_seed(version);
+    text.resize_with(bytes.max(text.len()), || rng.alphanumeric() as u8);
     text
 }
 
 impl<'a> World<'a> {
-    /// A world in which nothing has been started.
+    /// Creates a simulation in which nothing has been started.
     pub(super) fn new(plan: &'a Plan) -> World<'a> {
-        let places = plan.places();
-        let regions = places.iter().map(|place| plan.region(place.zone)).collect();
+        let configs = plan.member_configs();
+        let regions = configs.iter().map(|config| plan.region(config.zone)).collect();
         World {
-            places,
-            now: START,
+            configs,
+            now: START_MS,
             queue: Queue::default(),
-            links: Links { longest: plan.delay_ms, lost: plan.lost, regions, apart: None },
+            links: Links { max_delay_ms: plan.delay_ms, lost: plan.lost, regions, cut_region: None },
             resident_before: resident_kb(),
             members: (0..plan.members).map(|_| Dispatcher::new(plan)).collect(),
             checker: Checker::default(),
-            draws: fastrand::Rng::with_seed(plan.seed),
-            doomed: BTreeSet::new(),
+            rng: fastrand::Rng::with_seed(plan.seed),
+            fault_targets: BTreeSet::new(),
             lost_zone: None,
-            healed: f64::NEG_INFINITY,
+            healed_at: f64::NEG_INFINITY,
             changes: Vec::new(),
             version: 0,
-            last_wish: f64::INFINITY,
-            next_look: f64::NEG_INFINITY,
+            last_proposal: f64::INFINITY,
+            next_check: f64::NEG_INFINITY,
             term: LeaderTerm::default(),
             leader_changes: 0,
             pause_worst: 0.0,
             lapsed: 0,
-            began: START,
+            began: START_MS,
             plan,
         }
     }
 
-    /// Starts all dispatchers, and waits until all know of all, all serve, and the first leader has no unknown leases to
-    /// wait for.
-    pub(super) fn join(&mut self) -> Result<(), RigError> {
+    /// Starts all dispatchers and waits until each sees all others and serves, and until any leases that the first leader does
+    /// not know of have expired.
+    pub(super) fn start_fleet(&mut self) -> Result<(), RigError> {
         for member in 0..self.plan.members as MemberId {
-            let at = START + if self.plan.aligned { 0.0 } else { self.draws.f64() * STARTS };
+            let at = START_MS + if self.plan.aligned { 0.0 } else { self.rng.f64() * START_SPREAD_MS };
             self.queue.schedule(at, Event::Fault(Fault::Start(member)));
         }
-        let end = START + PATIENCE;
-        while !self.members.iter().all(|member| member.front.may_serve(self.now) && member.knows_all()) {
+        let end = START_MS + TIMEOUT_MS;
+        while !self.members.iter().all(|member| member.front.may_serve(self.now) && member.sees_all_members())
+        {
             if self.now > end {
-                return Err(RigError::Disproved("the fleet does not come up".into()));
+                return Err(RigError::Disproved("the fleet did not come up in time".into()));
             }
-            self.run(self.now + 100.0);
+            self.run_until(self.now + 100.0);
         }
-        self.run(self.now + self.plan.lease_ms * 1.01 + 2000.0);
+        self.run_until(self.now + self.plan.lease_ms * 1.01 + 2000.0);
         Ok(())
     }
 
-    /// Plays the run: wishes, faults, and what comes of them.
-    pub(super) fn play(&mut self) -> Result<(), RigError> {
+    /// Runs the plan: proposals, faults and their effects.
+    pub(super) fn run_plan(&mut self) -> Result<(), RigError> {
         self.members.iter_mut().for_each(|member| member.usage = Usage::default());
         (self.began, self.leader_changes, self.pause_worst, self.lapsed) = (self.now, 0, 0.0, 0);
         self.members.iter_mut().for_each(|member| member.lapsed = false);
         let end = self.began + self.plan.seconds as f64 * 1e3;
-        self.last_wish = end - CHANGE_EVERY;
-        self.plan_faults(end);
+        self.last_proposal = end - CHANGE_INTERVAL_MS;
+        self.schedule_faults(end);
         if self.plan.changes {
-            self.queue.schedule(self.began + REST, Event::Want);
+            self.queue.schedule(self.began + MIN_REST_MS, Event::ProposeChange);
         }
-        self.run(end);
-        let patience = end + PATIENCE;
-        while self.changes.iter().any(|change| change.in_force.is_none()) && self.now < patience {
-            self.run(self.now + 100.0);
+        self.run_until(end);
+        let timeout = end + TIMEOUT_MS;
+        while self.changes.iter().any(|change| change.in_force.is_none()) && self.now < timeout {
+            self.run_until(self.now + 100.0);
         }
         Ok(())
     }
 
-    /// Faults, around the times at which changes are wanted where each is in force before the next.
-    fn plan_faults(&mut self, end: f64) {
+    /// Schedules the faults around the expected times of the proposals; these assume that each change is in force before the
+    /// next is proposed.
+    fn schedule_faults(&mut self, end: f64) {
         let (plan, began) = (self.plan, self.began);
-        let rounds = ((end - began) / CHANGE_EVERY).floor().max(1.0) as usize;
+        let rounds = ((end - began) / CHANGE_INTERVAL_MS).floor().max(1.0) as usize;
         let around = |world: &mut World<'_>, round: usize| {
-            let (before, after) = AROUND;
-            let wish = began + REST + (round % rounds) as f64 * CHANGE_EVERY;
-            wish - before + world.draws.f64() * (before + after)
+            let (before, after) = FAULT_WINDOW_MS;
+            let proposed_at = began + MIN_REST_MS + (round % rounds) as f64 * CHANGE_INTERVAL_MS;
+            proposed_at - before + world.rng.f64() * (before + after)
         };
         let mut members: Vec<MemberId> = (0..plan.members as MemberId).collect();
-        self.draws.shuffle(&mut members);
-        // Voters are killed by `leader_lost` and `zone_lost` alone: with too many of them gone nothing is decided.
-        members.retain(|member| !self.places[usize::from(*member)].is_voter);
+        self.rng.shuffle(&mut members);
+        // Only `leader_lost` and `zone_lost` kill voters: with too many of them down nothing can be decided.
+        members.retain(|member| !self.configs[usize::from(*member)].is_voter);
         let mut victims = members.into_iter();
         for round in 0..plan.deaths {
             let Some(member) = victims.next() else { break };
             let at = around(self, round);
-            self.doomed.insert(member);
+            self.fault_targets.insert(member);
             self.queue.schedule(at, Event::Fault(Fault::Kill(member)));
         }
         for round in 0..plan.freezes {
             let Some(member) = victims.next() else { break };
             let at = around(self, round);
-            self.doomed.insert(member);
+            self.fault_targets.insert(member);
             self.queue.schedule(at, Event::Fault(Fault::Freeze(member)));
-            let thaws = at + plan.lease_ms * 1.3 + 1000.0;
-            self.queue.schedule(thaws, Event::Fault(Fault::Thaw(member)));
+            let thaw_at = at + plan.lease_ms * 1.3 + 1000.0;
+            self.queue.schedule(thaw_at, Event::Fault(Fault::Thaw(member)));
         }
         for _ in 0..plan.restarts {
             let Some(member) = victims.next() else { break };
-            let at = began + self.draws.f64() * (end - began);
-            self.doomed.insert(member);
+            let at = began + self.rng.f64() * (end - began);
+            self.fault_targets.insert(member);
             self.queue.schedule(at, Event::Fault(Fault::Restart(member)));
         }
         if plan.leader_lost {
@@ -187,23 +189,23 @@
         }
         if plan.zone_lost {
             let zone = plan.zones - 1;
-            let lost = (0..plan.members).filter(|at| self.places[*at].zone == zone);
-            self.doomed.extend(lost.map(|at| at as MemberId));
+            let lost = (0..plan.members).filter(|at| self.configs[*at].zone == zone);
+            self.fault_targets.extend(lost.map(|at| at as MemberId));
             let at = began + (end - began) / 2.0;
             self.queue.schedule(at, Event::Fault(Fault::KillZone(zone)));
         }
         if plan.regions_apart {
             let quarter = (end - began) / 4.0;
-            // What is wanted at a member that is cut off is heard of when the cut is mended.
-            let apart = (0..plan.members).filter(|at| self.links.regions[*at] == REGIONS - 1);
-            self.doomed.extend(apart.map(|at| at as MemberId));
+            // A proposal from a member that is cut off would reach the others only after the cut, so such members make none.
+            let cut_members = (0..plan.members).filter(|at| self.links.regions[*at] == REGIONS - 1);
+            self.fault_targets.extend(cut_members.map(|at| at as MemberId));
             self.queue.schedule(began + quarter, Event::Fault(Fault::Cut(REGIONS - 1)));
             self.queue.schedule(began + 3.0 * quarter, Event::Fault(Fault::Heal));
         }
     }
 
-    /// Does all that is due until then.
-    fn run(&mut self, end: f64) {
+    /// Handles all events that are due by `end`.
+    fn run_until(&mut self, end: f64) {
         while let Some((at, event)) = self.queue.next(end) {
             self.now = at;
             self.handle(event);
@@ -219,11 +221,11 @@
                 let dispatcher = &mut self.members[usize::from(member)];
                 if dispatcher.process == process {
                     let now = self.now;
-                    dispatcher.work(|shared| shared.on_written(now, true));
-                    self.carry_out(member);
+                    dispatcher.timed(|plane| plane.on_written(now, true));
+                    self.run_effects(member);
                 }
             }
-            Event::Want => self.want(),
+            Event::ProposeChange => self.propose_next_version(),
             Event::Fault(fault) => self.fault(fault),
         }
     }
@@ -231,58 +233,63 @@
     fn deliver(&mut self, from: MemberId, to: MemberId, bytes: Vec<u8>) {
         let dispatcher = &mut self.members[usize::from(to)];
         if dispatcher.frozen {
-            return dispatcher.keep_waiting(from, bytes);
+            return dispatcher.queue_datagram(from, bytes);
         }
         let now = self.now;
         dispatcher.usage.frames += 1;
-        dispatcher.usage.bytes += bytes.len() as u64 + HEADERS;
-        dispatcher.work(|shared| shared.receive(now, from, &bytes).is_ok());
-        self.carry_out(to);
+        dispatcher.usage.bytes += bytes.len() as u64 + HEADER_BYTES;
+        dispatcher.timed(|plane| plane.receive(now, from, &bytes).is_ok());
+        self.run_effects(to);
     }
 
     fn tick(&mut self, member: MemberId, process: u64) {
         let (now, lost) = (self.now, self.lost_zone);
-        let home = self.places[usize::from(member)].zone;
+        let home_zone = self.configs[usize::from(member)].zone;
         let dispatcher = &mut self.members[usize::from(member)];
-        if dispatcher.process != process || !dispatcher.runs() {
+        if dispatcher.process != process || !dispatcher.is_running() {
             return;
         }
-        self.serve(member);
-        self.note_lapse(member);
+        self.check_serving(member);
+        self.record_lapse(member);
         let dispatcher = &mut self.members[usize::from(member)];
-        dispatcher.tick(now, self.plan.zones, home, lost);
-        if let Some(shared) = &dispatcher.shared {
-            self.queue.schedule(shared.next_deadline().max(now + 1.0), Event::Tick { member, process });
-            let term = shared.node().term();
+        dispatcher.tick(now, self.plan.zones, home_zone, lost);
+        if let Some(plane) = &dispatcher.control_plane {
+            self.queue.schedule(plane.next_deadline().max(now + 1.0), Event::Tick { member, process });
+            let term = plane.node().term();
             if term > self.term {
                 self.leader_changes += u64::from(term.leader() != self.term.leader());
                 self.term = term;
             }
         }
-        self.carry_out(member);
-        if now >= self.next_look {
-            self.next_look = now + LOOK;
-            self.look();
+        self.run_effects(member);
+        if now >= self.next_check {
+            self.next_check = now + CHECK_INTERVAL_MS;
+            self.check_change();
         }
     }
 
-    /// Notes a front that runs, is not cut off, and has let its lease run out.
-    fn note_lapse(&mut self, member: MemberId) {
+    /// Counts a frontend whose lease has lapsed although its process runs and is not cut off.
+    fn record_lapse(&mut self, member: MemberId) {
         let now = self.now;
-        let cut = self.links.apart == Some(self.links.regions[usize::from(member)]);
+        let cut = self.links.cut_region == Some(self.links.regions[usize::from(member)]);
         let dispatcher = &mut self.members[usize::from(member)];
-        let lapses = dispatcher.front.served && now >= dispatcher.front.until;
-        if lapses && !dispatcher.lapsed && !dispatcher.excused && !cut && now >= self.healed + MENDED {
+        let has_lapsed = dispatcher.front.served && now >= dispatcher.front.until;
+        if has_lapsed
+            && !dispatcher.lapsed
+            && !dispatcher.lapse_excused
+            && !cut
+            && now >= self.healed_at + LAPSE_GRACE_MS
+        {
             dispatcher.lapsed = true;
             self.lapsed += 1;
         }
     }
 
-    /// Carries out what a dispatcher gave out, until nothing follows from it.
-    fn carry_out(&mut self, member: MemberId) {
+    /// Executes the effects that a dispatcher has returned, until there are no more.
+    fn run_effects(&mut self, member: MemberId) {
         loop {
             let effects = self.members[usize::from(member)]
-                .work(micabeam::control_plane::ControlPlane::take_effects)
+                .timed(micabeam::control_plane::ControlPlane::take_effects)
                 .unwrap_or_default();
             if effects.is_empty() {
                 break;
@@ -292,121 +299,124 @@
                     Effect::Node(fleet::Effect::Send { to, bytes }) => self.send(member, to, bytes),
                     Effect::Node(fleet::Effect::Write(write)) => {
                         let dispatcher = &mut self.members[usize::from(member)];
-                        dispatcher.write(write);
+                        dispatcher.write_votes(write);
                         let written = Event::Written { member, process: dispatcher.process };
-                        self.queue.schedule(self.now + SYNC, written);
+                        self.queue.schedule(self.now + SYNC_MS, written);
                     }
                     Effect::Zones(_) => {}
-                    Effect::Rollout(effect) => self.carry_out_policy(member, effect),
+                    Effect::Rollout(effect) => self.run_policy_effect(member, effect),
                 }
             }
         }
-        self.serve(member);
+        self.check_serving(member);
     }
 
     fn send(&mut self, from: MemberId, to: MemberId, bytes: Vec<u8>) {
         let usage = &mut self.members[usize::from(from)].usage;
         usage.frames += 1;
-        usage.bytes += bytes.len() as u64 + HEADERS;
-        if let Some(delay) = self.links.delay(from, to, &mut self.draws) {
+        usage.bytes += bytes.len() as u64 + HEADER_BYTES;
+        if let Some(delay) = self.links.delay(from, to, &mut self.rng) {
             self.queue.schedule(self.now + delay, Event::Datagram { from, to, bytes });
         }
     }
 
-    fn carry_out_policy(&mut self, member: MemberId, effect: rollout::Effect) {
+    fn run_policy_effect(&mut self, member: MemberId, effect: rollout::Effect) {
         let now = self.now;
         let dispatcher = &mut self.members[usize::from(member)];
         match effect {
             rollout::Effect::Save(hash, bytes) => {
-                dispatcher.save(hash, bytes);
-                dispatcher.work(|shared| shared.with_participant(now, |part, _| part.on_saved(hash, None)));
+                dispatcher.store_policy(hash, bytes);
+                dispatcher.timed(|plane| plane.with_participant(now, |part, _| part.on_saved(hash, None)));
             }
             rollout::Effect::Check(policy, _) => {
-                dispatcher.work(|shared| {
-                    shared.with_participant(now, |part, _| part.on_checked(now, policy.version, None))
+                dispatcher.timed(|plane| {
+                    plane.with_participant(now, |part, _| part.on_checked(now, policy.version, None))
                 });
             }
             rollout::Effect::Pause(hold) => {
-                dispatcher.front.held_since = Some(now);
-                dispatcher.work(|shared| shared.with_participant(now, |part, _| part.on_paused(now, hold)));
+                dispatcher.front.paused_since = Some(now);
+                dispatcher.timed(|plane| plane.with_participant(now, |part, _| part.on_paused(now, hold)));
             }
             rollout::Effect::Resume => {
-                let since = dispatcher.front.held_since.take();
+                let since = dispatcher.front.paused_since.take();
                 self.pause_worst = self.pause_worst.max(now - since.unwrap_or(now));
             }
             rollout::Effect::Apply(policy, _) => dispatcher.front.version = policy.version,
             rollout::Effect::ServeUntil(until) => {
-                self.note_lapse(member);
+                self.record_lapse(member);
                 let dispatcher = &mut self.members[usize::from(member)];
                 dispatcher.front.until = until;
-                (dispatcher.front.served, dispatcher.excused) = (true, false);
+                (dispatcher.front.served, dispatcher.lapse_excused) = (true, false);
             }
             rollout::Effect::Decided(decision) => {
                 let given_up = decision.last.filter(|last| !last.in_force).map(|last| last.version);
-                self.checker.decided(decision.policy.version, given_up);
+                self.checker.on_decision(decision.policy.version, given_up);
             }
         }
     }
 
-    /// A front serves what it may at this moment.
-    fn serve(&mut self, member: MemberId) {
+    /// Checks what a frontend may serve at this moment.
+    fn check_serving(&mut self, member: MemberId) {
         let front = self.members[usize::from(member)].front.clone();
-        if self.members[usize::from(member)].runs() && front.may_serve(self.now) {
-            let all = self.members.iter().filter(|other| other.runs()).map(|other| &other.front);
-            self.checker.serves(self.now, &front, all);
+        if self.members[usize::from(member)].is_running() && front.may_serve(self.now) {
+            let all = self.members.iter().filter(|other| other.is_running()).map(|other| &other.front);
+            self.checker.on_serving(self.now, &front, all);
         }
     }
 
-    /// An operator wants the next version, at a dispatcher that is there and goes on.
-    fn want(&mut self) {
-        let able = |member: &MemberId| {
+    /// Proposes the next version at a random dispatcher that is running and that no fault will affect.
+    fn propose_next_version(&mut self) {
+        let is_candidate = |member: &MemberId| {
             let at = usize::from(*member);
-            let cut = self.links.apart == Some(self.links.regions[at]);
-            let away = self.doomed.contains(member) || self.places[at].is_voter;
-            self.members[at].runs() && !cut && !away
+            let cut = self.links.cut_region == Some(self.links.regions[at]);
+            let excluded = self.fault_targets.contains(member) || self.configs[at].is_voter;
+            self.members[at].is_running() && !cut && !excluded
         };
-        let able: Vec<MemberId> = (0..self.plan.members as MemberId).filter(able).collect();
-        let Some(&at) = self.draws.choice(&able) else { return };
+        let candidates: Vec<MemberId> = (0..self.plan.members as MemberId).filter(is_candidate).collect();
+        let Some(&proposer) = self.rng.choice(&candidates) else { return };
         self.version += 1;
-        self.changes.push(Change { version: self.version, at, wanted: self.now, in_force: None });
-        self.wish(at, self.version);
+        self.changes.push(Change { version: self.version, proposer, proposed_at: self.now, in_force: None });
+        self.propose(proposer, self.version);
     }
 
-    fn wish(&mut self, at: MemberId, version: u64) {
+    fn propose(&mut self, proposer: MemberId, version: u64) {
         let (now, bytes) = (self.now, policy(version, self.plan.policy_bytes));
-        let dispatcher = &mut self.members[usize::from(at)];
-        let wants = |part: &mut rollout::Participant, node: &mut fleet::FleetNode| {
+        let dispatcher = &mut self.members[usize::from(proposer)];
+        let propose_version = |part: &mut rollout::Participant, node: &mut fleet::FleetNode| {
             part.propose(now, node, version, &bytes)
         };
-        dispatcher.work(|shared| shared.with_participant(now, wants));
-        self.carry_out(at);
+        dispatcher.timed(|plane| plane.with_participant(now, propose_version));
+        self.run_effects(proposer);
     }
 
-    /// Looks whether the newest change is in force at all that serve, or was given up.
-    fn look(&mut self) {
+    /// Checks whether the newest change is in force at every serving dispatcher, or was abandoned.
+    fn check_change(&mut self) {
         let now = self.now;
         let Some(change) = self.changes.last().filter(|change| change.in_force.is_none()) else { return };
-        let (version, at) = (change.version, change.at);
+        let (version, proposer) = (change.version, change.proposer);
         if self.checker.was_given_up(version) {
-            // The operator mends the file and wants it under the next version.
+            // The operator corrects the file and proposes it as the next version.
             self.version += 1;
             if let Some(change) = self.changes.last_mut() {
                 change.version = self.version;
             }
-            return self.wish(at, self.version);
+            return self.propose(proposer, self.version);
         }
-        let running = || self.members.iter().filter(|member| member.runs());
-        let runs_it = |member: &&Dispatcher| member.front.version == version && member.front.may_serve(now);
-        let silent = |member: &&Dispatcher| now >= member.front.until;
-        let runs = running().filter(runs_it).count();
-        if runs * 2 < self.plan.members || running().any(|member| !runs_it(&member) && !silent(&member)) {
+        let running = || self.members.iter().filter(|member| member.is_running());
+        let has_version =
+            |member: &&Dispatcher| member.front.version == version && member.front.may_serve(now);
+        let lease_ended = |member: &&Dispatcher| now >= member.front.until;
+        let up_to_date = running().filter(has_version).count();
+        if up_to_date * 2 < self.plan.members
+            || running().any(|member| !has_version(&member) && !lease_ended(&member))
+        {
             return;
         }
         if let Some(change) = self.changes.last_mut() {
             change.in_force = Some(now);
-            let next = (change.wanted + CHANGE_EVERY).max(now + REST);
-            if next <= self.last_wish {
-                self.queue.schedule(next, Event::Want);
+            let next = (change.proposed_at + CHANGE_INTERVAL_MS).max(now + MIN_REST_MS);
+            if next <= self.last_proposal {
+                self.queue.schedule(next, Event::ProposeChange);
             }
         }
     }
@@ -417,98 +427,99 @@
             Fault::Kill(member) => self.members[usize::from(member)].kill(),
             Fault::Restart(member) => {
                 self.members[usize::from(member)].kill();
-                self.queue.schedule(now + RESTART, Event::Fault(Fault::Start(member)));
+                self.queue.schedule(now + RESTART_DELAY_MS, Event::Fault(Fault::Start(member)));
             }
             Fault::Start(member) => {
-                let seed = self.draws.u64(..);
+                let seed = self.rng.u64(..);
                 let dispatcher = &mut self.members[usize::from(member)];
-                dispatcher.start(self.plan, &self.places, member, now, seed);
+                dispatcher.start(self.plan, &self.configs, member, now, seed);
                 let process = dispatcher.process;
                 self.queue.schedule(now, Event::Tick { member, process });
             }
             Fault::Freeze(member) => self.members[usize::from(member)].frozen = true,
             Fault::Thaw(member) => self.thaw(member),
             Fault::KillLeader => {
-                let leader = self.members.iter().filter(|member| member.runs()).find_map(|member| {
-                    let node = member.shared.as_ref()?.node();
+                let leader = self.members.iter().filter(|member| member.is_running()).find_map(|member| {
+                    let node = member.control_plane.as_ref()?.node();
                     (node.term() == self.term).then(|| node.leader())?
                 });
                 if let Some(leader) = leader {
                     self.members[usize::from(leader)].kill();
-                    self.queue.schedule(now + LEADER_BACK, Event::Fault(Fault::Start(leader)));
+                    self.queue.schedule(now + LEADER_RESTART_DELAY_MS, Event::Fault(Fault::Start(leader)));
                 }
             }
             Fault::KillZone(zone) => {
                 self.lost_zone = Some(zone);
-                for at in (0..self.plan.members).filter(|at| self.places[*at].zone == zone) {
+                for at in (0..self.plan.members).filter(|at| self.configs[*at].zone == zone) {
                     self.members[at].kill();
                 }
             }
             Fault::Cut(region) => {
-                self.links.apart = Some(region);
+                self.links.cut_region = Some(region);
                 for at in (0..self.plan.members).filter(|at| self.links.regions[*at] == region) {
-                    self.members[at].excused = true;
+                    self.members[at].lapse_excused = true;
                 }
             }
-            Fault::Heal => (self.links.apart, self.healed) = (None, now),
+            Fault::Heal => (self.links.cut_region, self.healed_at) = (None, now),
         }
     }
 
-    /// One that stood still goes on: its front first, then what waits in its socket.
+    /// Resumes a suspended dispatcher: first its frontend serves, then it receives the datagrams queued in its socket.
     fn thaw(&mut self, member: MemberId) {
         let dispatcher = &mut self.members[usize::from(member)];
-        if dispatcher.shared.is_none() || !dispatcher.frozen {
+        if dispatcher.control_plane.is_none() || !dispatcher.frozen {
             return;
         }
-        (dispatcher.frozen, dispatcher.excused) = (false, true);
-        let (waiting, process) = (std::mem::take(&mut dispatcher.waiting), dispatcher.process);
-        self.serve(member);
-        for (from, bytes) in waiting {
+        (dispatcher.frozen, dispatcher.lapse_excused) = (false, true);
+        let (queued, process) = (std::mem::take(&mut dispatcher.queued), dispatcher.process);
+        self.check_serving(member);
+        for (from, bytes) in queued {
             self.deliver(from, member, bytes);
         }
         self.queue.schedule(self.now, Event::Tick { member, process });
     }
 
-    /// What the run came to.
+    /// Returns the figures of the run.
     pub(super) fn figures(&self, lists: &ListFigures) -> Figures {
         let seconds = (self.now - self.began) / 1e3;
-        let lasting: Vec<usize> =
+        let surviving: Vec<usize> =
             (0..self.plan.members).filter(|at| self.members[*at].up_since <= self.began).collect();
         let leader = self.term.leader().map(|voter| voter as usize);
-        let voters: Vec<usize> = (0..self.plan.members).filter(|at| self.places[*at].is_voter).collect();
+        let voters: Vec<usize> = (0..self.plan.members).filter(|at| self.configs[*at].is_voter).collect();
         let leader = leader.and_then(|voter| voters.get(voter - 1).copied());
-        let mean = |list: &[usize], of: &dyn Fn(&Usage) -> f64| {
-            list.iter().map(|at| of(&self.members[*at].usage)).sum::<f64>()
+        let mean = |list: &[usize], metric: &dyn Fn(&Usage) -> f64| {
+            list.iter().map(|at| metric(&self.members[*at].usage)).sum::<f64>()
                 / list.len().max(1) as f64
                 / seconds
         };
-        let most = |of: &dyn Fn(&Usage) -> f64| {
-            let each = lasting.iter().map(|at| of(&self.members[*at].usage));
+        let highest = |metric: &dyn Fn(&Usage) -> f64| {
+            let each = surviving.iter().map(|at| metric(&self.members[*at].usage));
             each.fold(0.0, f64::max) / seconds
         };
         let bytes = |usage: &Usage| usage.bytes as f64;
         let frames = |usage: &Usage| usage.frames as f64;
-        let busy = |usage: &Usage| usage.busy.as_secs_f64() * 1e3;
-        let plain: Vec<usize> = lasting.iter().copied().filter(|at| !self.places[*at].is_voter).collect();
-        let following = |at: &usize| self.places[*at].is_voter && Some(*at) != leader;
-        let followers: Vec<usize> = lasting.iter().copied().filter(following).collect();
-        let mut spans: Vec<f64> =
-            self.changes.iter().filter_map(|change| Some(change.in_force? - change.wanted)).collect();
-        spans.sort_by(f64::total_cmp);
+        let cpu_time = |usage: &Usage| usage.cpu_time.as_secs_f64() * 1e3;
+        let non_voters: Vec<usize> =
+            surviving.iter().copied().filter(|at| !self.configs[*at].is_voter).collect();
+        let is_follower = |at: &usize| self.configs[*at].is_voter && Some(*at) != leader;
+        let followers: Vec<usize> = surviving.iter().copied().filter(is_follower).collect();
+        let mut change_times: Vec<f64> =
+            self.changes.iter().filter_map(|change| Some(change.in_force? - change.proposed_at)).collect();
+        change_times.sort_by(f64::total_cmp);
         let counts =
-            self.members.iter().filter_map(|member| Some(member.shared.as_ref()?.node().counters().stale));
+            self.members.iter().filter_map(|m| Some(m.control_plane.as_ref()?.node().counters().stale));
         Figures {
             members: self.plan.members,
             workers: self.plan.workers,
-            member_bytes_s: mean(&plain, &bytes),
-            busiest_bytes_s: most(&bytes),
-            busiest_frames_s: most(&frames),
-            busiest_cpu_ms_s: most(&busy),
-            member_cpu_ms_s: mean(&plain, &busy),
+            member_bytes_s: mean(&non_voters, &bytes),
+            busiest_bytes_s: highest(&bytes),
+            busiest_frames_s: highest(&frames),
+            busiest_cpu_ms_s: highest(&cpu_time),
+            member_cpu_ms_s: mean(&non_voters, &cpu_time),
             state_kb: resident_kb().saturating_sub(self.resident_before) / self.plan.members as u64,
-            changes: spans.len(),
-            change_ms_p50: spans.get(spans.len() / 2).copied().unwrap_or(0.0),
-            change_ms_worst: spans.last().copied().unwrap_or(0.0),
+            changes: change_times.len(),
+            change_ms_p50: change_times.get(change_times.len() / 2).copied().unwrap_or(0.0),
+            change_ms_worst: change_times.last().copied().unwrap_or(0.0),
             dropped_workers: lists.dropped,
             half_applied: self.checker.half_applied,
             old_after_new: self.checker.old_after_new,
@@ -517,7 +528,7 @@
             lapsed: self.lapsed,
             pause_ms_worst: self.pause_worst,
             given_up: self.checker.given_up(),
-            unfinished: self.changes.len() - spans.len(),
+            unfinished: self.changes.len() - change_times.len(),
             stale: counts.sum(),
         }
     }
--- a/rig/tests/scale.rs
+++ b/rig/tests/scale.rs
@@ -1,20 +1,20 @@
-//! Hollow dispatchers at small sizes: counts are exact, so that a message too many shows.
+//! Scale tests with small fleets of simulated dispatchers. Counts are exact, so that one message too many is noticed.
 
 use micabeam::core::MAX_ENDPOINTS;
 use micabeam_rig::scale::{Figures, Plan, experiment};
 
-fn play(plan: &Plan) -> Figures {
+fn run(plan: &Plan) -> Figures {
     let figures = experiment(plan).unwrap_or_else(|e| panic!("{plan:?}: {e}"));
     println!("{}", figures.line());
     figures
 }
 
-/// Guards against messages whose number grows with the fleet where it must not: a member's cost is flat, and a leader's
-/// grows evenly.
+/// Guards against message counts that grow too fast with the fleet: a member's cost must be constant, and the leader's
+/// must grow linearly.
 #[test]
 fn a_member_costs_the_same_in_a_larger_fleet_and_a_leader_a_slope() {
     let sizes = [15, 30, 60, 120];
-    let figures = sizes.map(|members| play(&Plan { members, ..Plan::default() }));
+    let figures = sizes.map(|members| run(&Plan { members, ..Plan::default() }));
     for each in &figures {
         each.proves().unwrap();
         assert!(
@@ -28,45 +28,53 @@
         let more = figures[b].busiest_bytes_s - figures[a].busiest_bytes_s;
         more / (sizes[b] - sizes[a]) as f64
     };
-    assert!(slope(0, 3) <= 2500.0, "bytes a second that a member costs the leader: {}", slope(0, 3));
-    assert!(slope(2, 3) <= slope(0, 1) * 1.2, "it does not bend: {} after {}", slope(2, 3), slope(0, 1));
+    assert!(slope(0, 3) <= 2500.0, "bytes per second per member at the leader: {}", slope(0, 3));
+    assert!(
+        slope(2, 3) <= slope(0, 1) * 1.2,
+        "the cost grows faster than linearly: slope {} after {}",
+        slope(2, 3),
+        slope(0, 1)
+    );
 }
 
-/// The same seed gives the same counts.
+/// Guards against nondeterminism: the same seed must give the same counts.
 #[test]
 fn a_run_can_be_repeated() {
     let plan = Plan { members: 20, deaths: 2, leader_lost: true, lost: 10, ..Plan::default() };
     let counts = |figures: Figures| {
         (figures.member_bytes_s, figures.busiest_frames_s, figures.change_ms_worst, figures.stale)
     };
-    assert_eq!(counts(play(&plan)), counts(play(&plan)));
+    assert_eq!(counts(run(&plan)), counts(run(&plan)));
 }
 
-/// A change is in force within 3 s though some die, the leader among them, and nobody else stops serving.
+/// Guards against slow policy changes: a change must be in force within 3 s although some members and the leader are killed,
+/// and no other member may stop serving.
 #[test]
 fn a_change_is_in_force_in_three_seconds_whatever_dies() {
     for seed in 1..5 {
         let plan = Plan { members: 60, deaths: 4, leader_lost: true, seed, ..Plan::default() };
-        let figures = play(&plan);
+        let figures = run(&plan);
         figures.proves().unwrap();
         assert!(figures.change_ms_worst <= 3000.0, "seed {seed}: {}", figures.line());
         assert!(figures.lapsed == 0 && figures.unfinished == 0, "seed {seed}: {}", figures.line());
     }
 }
 
-/// Processes that are started again at once prove those before them gone: changes wait for none of their leases.
+/// Guards against a policy change that waits for the lease of a process which has been restarted: the new process proves
+/// that the old one has ended.
 #[test]
 fn restarts_hold_up_no_change_for_a_lease() {
-    let figures = play(&Plan { members: 60, restarts: 20, ..Plan::default() });
+    let figures = run(&Plan { members: 60, restarts: 20, ..Plan::default() });
     figures.proves().unwrap();
     assert!(figures.change_ms_worst <= 1500.0 && figures.unfinished == 0, "{}", figures.line());
 }
 
-/// Deaths, freezes beyond the lease, restarts, a lost leader and zone, a region cut off, losses: everywhere or nowhere.
+/// Guards against partial policy changes under kills, suspensions beyond the lease, restarts, a lost leader and zone, a region
+/// that is cut off, and packet loss: a change must take effect everywhere or nowhere.
 #[test]
 fn whatever_fails_a_change_holds_everywhere_or_nowhere() {
     for seed in 1..21 {
-        let figures = play(&Plan {
+        let figures = run(&Plan {
             members: 40,
             deaths: 3,
             freezes: 3,
@@ -83,30 +91,31 @@
     }
 }
 
-/// The checker finds what it looks for: fronts that do not stop at the end of their lease go on under the old version.
+/// Tests the checker itself: it must detect frontends that serve the old version beyond the end of their lease.
 #[test]
 fn without_leases_the_checker_finds_what_is_old_after_what_is_new() {
-    let figures = play(&Plan { members: 20, freezes: 5, keeps_leases: false, ..Plan::default() });
+    let figures = run(&Plan { members: 20, freezes: 5, keeps_leases: false, ..Plan::default() });
     assert!(figures.old_after_new > 0 && figures.proves().is_err(), "{}", figures.line());
 }
 
-/// Guards against a table that drops lines without a word: the size that is planned for fits, and beyond the bound it shows.
+/// Guards against an endpoint table that drops workers silently: the planned size must fit, and a larger list must fail the
+/// checks.
 #[test]
 fn a_list_of_the_planned_size_fits_and_one_beyond_the_bound_fails_the_proof() {
     let small = Plan { members: 15, seconds: 5, changes: false, ..Plan::default() };
-    assert_eq!(play(&Plan { workers: 16_000, ..small.clone() }).dropped_workers, 0);
-    let beyond = play(&Plan { workers: MAX_ENDPOINTS + 10, ..small });
+    assert_eq!(run(&Plan { workers: 16_000, ..small.clone() }).dropped_workers, 0);
+    let beyond = run(&Plan { workers: MAX_ENDPOINTS + 10, ..small });
     assert_eq!(beyond.dropped_workers, 10);
     assert!(beyond.proves().is_err());
 }
 
-/// What cannot be played is told in a line.
+/// Plans that are out of bounds must be rejected with an error message of one line.
 #[test]
 fn bad_arguments_are_refused_in_a_line() {
     for (plan, says) in [
-        (Plan { members: 2, ..Plan::default() }, "members: 2, and it must be 5 to 4096"),
-        (Plan { voters: 4, ..Plan::default() }, "voters: 4, and it must be 3, 5 or 7"),
-        (Plan { zones: 65, members: 100, ..Plan::default() }, "zones: 65, and it must be 1 to 64"),
+        (Plan { members: 2, ..Plan::default() }, "members: 2 is not in the range 5 to 4096"),
+        (Plan { voters: 4, ..Plan::default() }, "voters: 4 is not 3, 5 or 7"),
+        (Plan { zones: 65, members: 100, ..Plan::default() }, "zones: 65 is not in the range 1 to 64"),
         (Plan { deaths: 14, ..Plan::default() }, "members that are not killed: 1"),
         (Plan { delay_ms: f64::NAN, ..Plan::default() }, "delay_ms must be 1 to 1000"),
     ] {
