--- a/rig/shim/src/plan.rs
+++ b/rig/shim/src/plan.rs
@@ -1,18 +1,18 @@
-//! The plan of faults, read from `MICABEAM_FAULTS`: entries with semicolons between them.
+//! The fault plan, parsed from `MICABEAM_FAULTS`: a list of entries separated by semicolons.
 //!
-//! | entry | what it does |
+//! | entry | effect |
 //! | --- | --- |
-//! | `seed=N` | which calls of a share fail |
-//! | `fail=CALL,ERRNO,SHARE,FROM_MS,UNTIL_MS` | so large a share of the calls fails, between two times since the start |
-//! | `short=CALL,BYTES,FROM_MS,UNTIL_MS` | reads or writes move so many bytes at most |
-//! | `step=MS,FROM_MS` | the wall clock differs by so much from a time on |
-//! | `dir=PATH` | `write`, `fsync`, `fdatasync` and `rename` fail for files below it alone |
+//! | `seed=N` | seeds the random choice of the calls that fail |
+//! | `fail=CALL,ERRNO,SHARE,FROM_MS,UNTIL_MS` | a fraction `SHARE` of the calls fails, between two times since the start |
+//! | `short=CALL,BYTES,FROM_MS,UNTIL_MS` | the call transfers at most `BYTES` bytes, between two times since the start |
+//! | `step=MS,FROM_MS` | the wall clock is off by `MS` milliseconds from the given time on |
+//! | `dir=PATH` | directory of the files for which `write`, `fsync`, `fdatasync` and `rename` can fail |
 
 use std::ffi::CString;
 use std::os::raw::c_int;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Calls that can fail.
+/// System calls that can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `accept4`.
@@ -21,19 +21,19 @@
     Connect,
     /// `socket`.
     Socket,
-    /// `recv`, also where it only looks.
+    /// `recv`, also with `MSG_PEEK`.
     Recv,
     /// `send`.
     Send,
-    /// `write`, to a file.
+    /// `write` to a file in the plan's directory.
     Write,
-    /// `fsync` and `fdatasync`.
+    /// `fsync` and `fdatasync` of a file in the plan's directory.
     Sync,
-    /// `rename`.
+    /// `rename` to a path in the plan's directory.
     Rename,
 }
 
-/// A fault of calls between two times.
+/// A fraction of calls that fails between two times.
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     call: Call,
@@ -43,9 +43,9 @@
     until_ms: f64,
 }
 
-/// A bound on the bytes of a call between two times.
+/// A limit on the bytes that a call transfers between two times.
 #[derive(Clone, Copy, Debug)]
-struct Short {
+struct ShortTransfer {
     call: Call,
     bytes: usize,
     from_ms: f64,
@@ -59,21 +59,21 @@
     from_ms: f64,
 }
 
-/// All that is to go wrong.
+/// The faults to inject.
 #[derive(Debug, Default)]
 pub struct Plan {
     failures: Vec<Failure>,
-    shorts: Vec<Short>,
+    short_transfers: Vec<ShortTransfer>,
     steps: Vec<Step>,
-    /// The folder whose files fail.
+    /// Directory of the files for which file operations can fail; if `None`, none of them fails.
     pub dir: Option<CString>,
-    draws: AtomicU64,
+    rng_state: AtomicU64,
 }
 
 impl Plan {
-    /// Reads a plan; none where an entry does not read.
+    /// Parses a plan; returns `None` if an entry is malformed.
     pub fn parse(text: &str) -> Option<Plan> {
-        let mut plan = Plan { draws: AtomicU64::new(1), ..Plan::default() };
+        let mut plan = Plan { rng_state: AtomicU64::new(1), ..Plan::default() };
         for entry in text.split(';').map(str::trim).filter(|entry| !entry.is_empty()) {
             plan.add(entry)?;
         }
@@ -83,58 +83,58 @@
     fn add(&mut self, entry: &str) -> Option<()> {
         let (kind, values) = entry.split_once('=')?;
         let fields: Vec<&str> = values.split(',').collect();
-        let figure = |at: usize| fields.get(at)?.parse::<f64>().ok();
+        let number = |at: usize| fields.get(at)?.parse::<f64>().ok();
         match kind {
-            "seed" => self.draws = AtomicU64::new(values.parse::<u64>().ok()?.wrapping_mul(2) | 1),
+            "seed" => self.rng_state = AtomicU64::new(values.parse::<u64>().ok()?.wrapping_mul(2) | 1),
             "dir" => self.dir = Some(CString::new(values).ok()?),
-            "step" => self.steps.push(Step { by_ms: figure(0)?, from_ms: figure(1)? }),
-            "short" => self.shorts.push(Short {
-                call: call(fields.first()?)?,
-                bytes: figure(1)? as usize,
-                from_ms: figure(2)?,
-                until_ms: figure(3)?,
+            "step" => self.steps.push(Step { by_ms: number(0)?, from_ms: number(1)? }),
+            "short" => self.short_transfers.push(ShortTransfer {
+                call: parse_call(fields.first()?)?,
+                bytes: number(1)? as usize,
+                from_ms: number(2)?,
+                until_ms: number(3)?,
             }),
             "fail" => self.failures.push(Failure {
-                call: call(fields.first()?)?,
-                errno: errno(fields.get(1)?)?,
-                share: figure(2)?,
-                from_ms: figure(3)?,
-                until_ms: figure(4)?,
+                call: parse_call(fields.first()?)?,
+                errno: parse_errno(fields.get(1)?)?,
+                share: number(2)?,
+                from_ms: number(3)?,
+                until_ms: number(4)?,
             }),
             _ => return None,
         }
         Some(())
     }
 
-    /// The error with which a call is to fail now, if it is to.
+    /// Returns the error with which a call must fail now, if any.
     pub fn failure(&self, call: Call, now_ms: f64) -> Option<c_int> {
-        let is_due = |f: &&Failure| f.call == call && (f.from_ms..f.until_ms).contains(&now_ms);
-        let failure = self.failures.iter().find(is_due)?;
-        (self.draw() < failure.share).then_some(failure.errno)
+        let is_active = |f: &&Failure| f.call == call && (f.from_ms..f.until_ms).contains(&now_ms);
+        let failure = self.failures.iter().find(is_active)?;
+        (self.random_fraction() < failure.share).then_some(failure.errno)
     }
 
-    /// Most bytes that a call may move now.
-    pub fn most_bytes(&self, call: Call, now_ms: f64) -> usize {
-        let is_due = |s: &&Short| s.call == call && (s.from_ms..s.until_ms).contains(&now_ms);
-        self.shorts.iter().find(is_due).map_or(usize::MAX, |short| short.bytes.max(1))
+    /// Returns the maximum number of bytes that a call may transfer now.
+    pub fn max_bytes(&self, call: Call, now_ms: f64) -> usize {
+        let is_active = |s: &&ShortTransfer| s.call == call && (s.from_ms..s.until_ms).contains(&now_ms);
+        self.short_transfers.iter().find(is_active).map_or(usize::MAX, |short| short.bytes.max(1))
     }
 
-    /// By how much the wall clock differs now, in milliseconds.
+    /// Returns the current offset of the wall clock, in milliseconds.
     pub fn clock_step_ms(&self, now_ms: f64) -> f64 {
         self.steps.iter().filter(|step| now_ms >= step.from_ms).map(|step| step.by_ms).sum()
     }
 
-    /// A number from 0 to 1, by the seed (splitmix64).
-    fn draw(&self) -> f64 {
+    /// Returns a pseudo-random number between 0 and 1 from the seed (splitmix64).
+    fn random_fraction(&self) -> f64 {
         const GOLDEN_GAMMA: u64 = 0x9E37_79B9_7F4A_7C15;
-        let mut bits = self.draws.fetch_add(GOLDEN_GAMMA, Ordering::Relaxed);
+        let mut bits = self.rng_state.fetch_add(GOLDEN_GAMMA, Ordering::Relaxed);
         bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         bits = (bits ^ (bits >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
         ((bits ^ (bits >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-fn call(name: &str) -> Option<Call> {
+fn parse_call(name: &str) -> Option<Call> {
     Some(match name {
         "accept" => Call::Accept,
         "connect" => Call::Connect,
@@ -148,7 +148,7 @@
     })
 }
 
-fn errno(name: &str) -> Option<c_int> {
+fn parse_errno(name: &str) -> Option<c_int> {
     Some(match name {
         "EINTR" => libc::EINTR,
         "EMFILE" => libc::EMFILE,
--- a/rig/tests/rollout.rs
+++ b/rig/tests/rollout.rs
@@ -1,10 +1,10 @@
-//! The small form of the experiment `rollout`: real processes, with faults between them by seed.
+//! A short run of the `rollout` experiment: real processes with seeded faults between them.
 
 use micabeam_rig::rollout::{Plan, experiment};
 
-/// A change of policy is everywhere or nowhere, whatever fails while it is made.
+/// Guards against partial policy changes: a change must take effect everywhere or nowhere, whatever fails meanwhile.
 #[test]
-fn changes_are_everywhere_or_nowhere_whatever_fails() {
+fn policy_changes_are_atomic_under_faults() {
     for seed in 1..4 {
         let figures = experiment(&Plan { dispatchers: 5, seconds: 15, seed, agreed: true })
             .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
@@ -15,9 +15,10 @@
     }
 }
 
-/// The checker finds what it looks for: where each process takes its file over by itself, clients see old after new.
+/// Tests the checker itself: if each process reloads its file independently, it must detect clients that are served under
+/// an old version after a new one.
 #[test]
-fn without_agreement_the_checker_finds_what_is_old_after_what_is_new() {
+fn checker_detects_old_version_after_new_without_agreement() {
     let figures = experiment(&Plan { dispatchers: 5, seconds: 0, seed: 9, agreed: false }).unwrap();
     println!("{}", figures.line());
     assert!(figures.old_after_new > 0 && figures.proves().is_err(), "{}", figures.line());
--- a/rig/tests/scale.rs
+++ b/rig/tests/scale.rs
@@ -12,7 +12,7 @@
 /// Guards against message counts that grow too fast with the fleet: a member's cost must be constant, and the leader's
 /// must grow linearly.
 #[test]
-fn a_member_costs_the_same_in_a_larger_fleet_and_a_leader_a_slope() {
+fn member_cost_is_constant_and_leader_cost_linear_in_fleet_size() {
     let sizes = [15, 30, 60, 120];
     let figures = sizes.map(|members| run(&Plan { members, ..Plan::default() }));
     for each in &figures {
@@ -39,7 +39,7 @@
 
 /// Guards against nondeterminism: the same seed must give the same counts.
 #[test]
-fn a_run_can_be_repeated() {
+fn the_same_seed_gives_the_same_counts() {
     let plan = Plan { members: 20, deaths: 2, leader_lost: true, lost: 10, ..Plan::default() };
     let counts = |figures: Figures| {
         (figures.member_bytes_s, figures.busiest_frames_s, figures.change_ms_worst, figures.stale)
@@ -50,7 +50,7 @@
 /// Guards against slow policy changes: a change must be in force within 3 s although some members and the leader are killed,
 /// and no other member may stop serving.
 #[test]
-fn a_change_is_in_force_in_three_seconds_whatever_dies() {
+fn a_change_is_in_force_within_three_seconds_despite_kills() {
     for seed in 1..5 {
         let plan = Plan { members: 60, deaths: 4, leader_lost: true, seed, ..Plan::default() };
         let figures = run(&plan);
@@ -63,7 +63,7 @@
 /// Guards against a policy change that waits for the lease of a process which has been restarted: the new process proves
 /// that the old one has ended.
 #[test]
-fn restarts_hold_up_no_change_for_a_lease() {
+fn restarts_do_not_delay_a_change_by_a_lease() {
     let figures = run(&Plan { members: 60, restarts: 20, ..Plan::default() });
     figures.proves().unwrap();
     assert!(figures.change_ms_worst <= 1500.0 && figures.unfinished == 0, "{}", figures.line());
@@ -72,7 +72,7 @@
 /// Guards against partial policy changes under kills, suspensions beyond the lease, restarts, a lost leader and zone, a region
 /// that is cut off, and packet loss: a change must take effect everywhere or nowhere.
 #[test]
-fn whatever_fails_a_change_holds_everywhere_or_nowhere() {
+fn policy_changes_are_atomic_whatever_fails() {
     for seed in 1..21 {
         let figures = run(&Plan {
             members: 40,
@@ -93,7 +93,7 @@
 
 /// Tests the checker itself: it must detect frontends that serve the old version beyond the end of their lease.
 #[test]
-fn without_leases_the_checker_finds_what_is_old_after_what_is_new() {
+fn checker_detects_frontends_that_ignore_their_lease() {
     let figures = run(&Plan { members: 20, freezes: 5, keeps_leases: false, ..Plan::default() });
     assert!(figures.old_after_new > 0 && figures.proves().is_err(), "{}", figures.line());
 }
@@ -101,7 +101,7 @@
 /// Guards against an endpoint table that drops workers silently: the planned size must fit, and a larger list must fail the
 /// checks.
 #[test]
-fn a_list_of_the_planned_size_fits_and_one_beyond_the_bound_fails_the_proof() {
+fn a_list_of_the_planned_size_fits_and_a_larger_one_fails_the_check() {
     let small = Plan { members: 15, seconds: 5, changes: false, ..Plan::default() };
     assert_eq!(run(&Plan { workers: 16_000, ..small.clone() }).dropped_workers, 0);
     let beyond = run(&Plan { workers: MAX_ENDPOINTS + 10, ..small });
@@ -111,7 +111,7 @@
 
 /// Plans that are out of bounds must be rejected with an error message of one line.
 #[test]
-fn bad_arguments_are_refused_in_a_line() {
+fn bad_arguments_are_rejected_with_one_line() {
     for (plan, says) in [
         (Plan { members: 2, ..Plan::default() }, "members: 2 is not in the range 5 to 4096"),
         (Plan { voters: 4, ..Plan::default() }, "voters: 4 is not 3, 5 or 7"),
--- a/rig/tests/soak.rs
+++ b/rig/tests/soak.rs
@@ -9,7 +9,7 @@
 /// module of its own, both seeds violated the drain rule (19 and 8 times), and one had a process that used a whole core
 /// while `accept` failed.
 #[test]
-fn dispatchers_keep_every_rule_while_lists_processes_and_system_calls_go_wrong() {
+fn dispatchers_keep_every_rule_under_faults() {
     let runs = [3, 4].map(|seed| {
         thread::spawn(move || experiment(&Plan { dispatchers: 6, seconds: 60, seed, binary: None }).unwrap())
     });
@@ -35,7 +35,7 @@
 /// or a retry could loop inside one call. Each fault lasts 400 ms, so that waiting connections can still be served before
 /// their deadlines.
 #[test]
-fn a_listener_that_cannot_accept_uses_no_core() {
+fn a_listener_that_cannot_accept_does_not_spin() {
     for (seed, errno) in
         ["ENFILE", "EMFILE", "EPROTO", "ECONNABORTED", "EINTR", "ENOBUFS"].into_iter().enumerate()
     {
@@ -55,14 +55,14 @@
 
 /// Guards against deadlines, windows and waits that depend on the wall clock.
 #[test]
-fn a_wall_clock_that_steps_changes_nothing() {
+fn steps_of_the_wall_clock_change_nothing() {
     assert_serves_under("step=3600000,1500", 120);
     assert_serves_under("step=-3600000,1500", 121);
 }
 
 /// Guards against ejecting an endpoint because of a temporary local failure to open or connect a socket.
 #[test]
-fn sockets_that_cannot_be_had_for_a_moment_lose_no_request() {
+fn temporary_socket_failures_lose_no_request() {
     assert_serves_under("fail=socket,ENOBUFS,0.3,1000,2000;fail=connect,EADDRNOTAVAIL,0.3,1000,2000", 130);
     assert_serves_under("fail=connect,ENETUNREACH,0.1,1000,3000", 131);
 }
--- a/rig/tests/streams.rs
+++ b/rig/tests/streams.rs
@@ -1,8 +1,8 @@
-//! The small form of the experiment `streams`, with slow peers of both sorts and both ways.
+//! A short run of the `streams` experiment, with slow clients and slow servers, in uploads and downloads.
 
 use micabeam_rig::streams::{Plan, experiment};
 
-/// 50 KB/s peers beside fast ones, every body checked by its hash at both ends.
+/// Guards against damaged or truncated bodies when 50 KB/s peers run beside fast ones; both ends check each body's hash.
 #[test]
 fn fast_and_slow_peers_get_every_body_whole() {
     let plan = Plan {
@@ -12,7 +12,7 @@
         slow_rate: 50_000,
         slow_bytes: 250_000,
         least_kb_s: 8,
-        // Half of them have a pipe, half the ring.
+        // Half of the streams use a pipe, half the ring.
         pipes: 20,
         ceiling_mb: 64.0,
         bare_bytes: 0,
@@ -22,14 +22,15 @@
     assert_eq!(figures.completed, plan.count, "{}", figures.line());
 }
 
-/// Peers below the least pace are given up, and their clients see it.
+/// Guards against silent truncation when a peer is below the minimum rate: its stream is aborted and its client sees the
+/// failure.
 #[test]
-fn peers_below_the_least_pace_fail_cleanly() {
+fn peers_below_the_minimum_rate_fail_cleanly() {
     let plan = Plan {
         count: 16,
         bytes: 5_000_000,
         slow: 8,
-        // What sockets hold is still read at this pace after a cut: fast enough for a test.
+        // After an abort, the peer still reads what the sockets have buffered at this rate: fast enough for a test.
         slow_rate: 500_000,
         slow_bytes: 20_000_000,
         least_kb_s: 2_000,
--- a/rig/tests/upgrade.rs
+++ b/rig/tests/upgrade.rs
@@ -1,11 +1,12 @@
-//! The small form of the experiment `upgrade`.
+//! A short run of the `upgrade` experiment.
 
 use micabeam_rig::upgrade::{Plan, experiment};
 
-/// Upgrades under load with faults at the seam: every job gets one answer, and what may not run twice does not.
+/// Guards against lost and duplicate responses, and repeated unsafe jobs, during upgrades under load with faults on the
+/// upgrade link.
 #[test]
 fn upgrades_under_load_lose_and_repeat_nothing() {
     let figures = experiment(&Plan { rounds: 10, rate: 60, seed: 3 }).unwrap();
     figures.proves().unwrap();
-    assert!(figures.callbacks_other > 0, "the seam was used: {}", figures.line());
+    assert!(figures.callbacks_other > 0, "the upgrade link was used: {}", figures.line());
 }
--- a/rig/tests/zones.rs
+++ b/rig/tests/zones.rs
@@ -7,19 +7,23 @@
 
 /// Guards against lost or duplicate responses, epochs that go back, and wrongly closed zones under seeded faults.
 #[test]
-fn faults_drawn_by_seed_break_no_rule() {
+fn seeded_faults_break_no_rule() {
     for seed in 1..4 {
         let figures = experiment(&Plan { seed, ..PLAN }).unwrap();
         println!("seed {seed}: {}", figures.line());
         figures.proves().unwrap();
-        assert!(figures.served_share() > 0.9, "served of the ideal: {}", figures.line());
-        assert!(figures.baseline_near * 100 > figures.baseline * 99, "near: {}", figures.line());
+        assert!(figures.served_share() > 0.9, "served share of the ideal: {}", figures.line());
+        assert!(
+            figures.baseline_near * 100 > figures.baseline * 99,
+            "share served in the own zone: {}",
+            figures.line()
+        );
     }
 }
 
 /// Guards against overloading the neighbours of a failed zone: a dispatcher rejects the jobs for which they lack capacity.
 #[test]
-fn what_the_neighbours_have_no_room_for_is_refused_at_home() {
+fn jobs_beyond_the_neighbours_capacity_are_rejected() {
     let only = Some(Fault::Crowded(0));
     let figures = experiment(&Plan { seconds: 16, seed: 6, rate: 35, only, ..PLAN }).unwrap();
     figures.proves().unwrap();
@@ -28,7 +32,7 @@
 
 /// Runs each hard fault by itself, since the seeded runs may leave some of them out.
 #[test]
-fn each_hard_case_by_itself_breaks_no_rule() {
+fn each_hard_fault_alone_breaks_no_rule() {
     let cases = [
         Fault::ZoneCut(2),
         Fault::OneWay(0, 4),
@@ -50,7 +54,7 @@
 
 /// Guards against slow failover: all processes must close a dead zone within three seconds, and it must be reopened.
 #[test]
-fn a_dead_zone_is_closed_by_all() {
+fn a_dead_zone_is_closed_by_all_processes() {
     let figures = experiment(&Plan { seconds: 14, seed: 5, only: Some(Fault::ZoneDead(1)), ..PLAN }).unwrap();
     figures.proves().unwrap();
     assert!(figures.closed_in_ms > 0 && figures.closed_in_ms <= 3000, "{}", figures.line());
