--- a/rig/src/soak/mod.rs
+++ b/rig/src/soak/mod.rs
@@ -2,7 +2,7 @@
 //! A checker then verifies the recorded traffic against every rule (`record`).
 //!
 //! The faults, injected one after the other: a zone of dispatchers and servers fails and comes back, with the
-//! dispatchers restarting from the lists that they last had; servers drain and are removed, and later start cold;
+//! dispatchers restarting from the lists that they last had; servers drain and later start cold;
 //! discovery is down for some seconds; dispatchers get SIGTERM and are killed as early as the rules allow, are suspended
 //! for a moment, and reload their configuration. System calls fail and the wall clock steps (the shim, `rig/shim`).
 //! Discovery has a limited capacity, and some of its responses are truncated, reset or never sent.
@@ -66,7 +66,7 @@
 /// The fault injected in one round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// The dispatchers of a zone are killed and its servers removed from the list; all return, the servers cold.
+    /// The dispatchers of a zone are killed and its servers marked as draining; all return, the servers cold.
     ZoneLost,
     /// Servers drain and later return cold; a dispatcher may be restarted meanwhile.
     Drains,
@@ -181,7 +181,7 @@
         let shim = built.with_file_name("libmicabeam_shim.so");
         let binary = plan.binary.clone().unwrap_or(built);
         let dir = std::env::temp_dir().join(format!("micabeam-soak-{}-{}", std::process::id(), plan.seed));
-        tried("a directory", std::fs::create_dir_all(&dir))?;
+        tried("directory of the run", std::fs::create_dir_all(&dir))?;
         let pid = std::process::id();
         // Addresses at which no other test on this machine listens.
         let address = |number: usize| {
@@ -238,7 +238,7 @@
 
     fn start_process_with(&mut self, number: usize, call_faults: &str) -> Result<(), RigError> {
         let file = self.dir.join(format!("{number}.json"));
-        tried("the configuration", std::fs::write(&file, self.config(number)))?;
+        tried("write the configuration", std::fs::write(&file, self.config(number)))?;
         let mut command = Command::new(&self.binary);
         command.env("LB_CONFIG", &file).env("TMPDIR", &self.dir);
         command.env("LD_PRELOAD", &self.shim);
@@ -346,6 +346,7 @@
         (0..SERVERS_PER_ZONE).map(|at| zone * SERVERS_PER_ZONE + at).collect()
     }
 
+    /// Lists servers as up with the current start time, and records their cold starts.
     fn start_servers(&self, servers: &[usize]) {
         let born_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
         self.world.change_list(servers, |server| (server.is_up, server.born_ms) = (true, born_ms));
@@ -353,13 +354,14 @@
         held(&self.world.record).cold_starts.extend(servers.iter().map(|&server| (server, now_ms)));
     }
 
+    /// Kills the dispatchers of a zone and marks its servers as draining, then brings both back.
     fn lose_zone(&mut self) -> Result<(), RigError> {
         let zone = self.rng.usize(..ZONES);
         let dispatchers: Vec<usize> =
             (0..self.plan.dispatchers).filter(|number| number % ZONES == zone).collect();
         dispatchers.iter().for_each(|&number| self.kill(number));
         let servers = Soak::zone_servers(zone);
-        // By the time the dispatchers return, these removals count as known to them.
+        // By the time the dispatchers return, this change counts as known to them.
         self.world.change_list(&servers, |server| server.is_up = false);
         self.sleep_and_check(8_000..10_000)?;
         for number in dispatchers {
@@ -370,6 +372,7 @@
         Ok(())
     }
 
+    /// Drains some servers, restarting a dispatcher meanwhile in half of the cases, and later starts the servers cold.
     fn drain_servers(&mut self) -> Result<(), RigError> {
         let servers: Vec<usize> = (0..3).map(|_| self.rng.usize(..ZONES * SERVERS_PER_ZONE)).collect();
         self.world.change_list(&servers, |server| server.is_up = false);
@@ -384,6 +387,7 @@
         Ok(())
     }
 
+    /// Takes discovery down while dispatchers are killed and restarted and a server drains, and brings it back.
     fn take_discovery_down(&mut self) -> Result<(), RigError> {
         self.world.set_outage(true);
         self.sleep_and_check(500..3_000)?;
--- a/rig/src/soak/world.rs
+++ b/rig/src/soak/world.rs
@@ -67,10 +67,10 @@
     /// # Errors
     /// If a listener cannot be opened.
     pub fn start(dispatchers: Vec<SocketAddr>, servers: usize, seed: u64) -> Result<Arc<World>, RigError> {
-        let listen = || tried("a stand-in", TcpListener::bind("127.0.0.1:0"));
+        let listen = || tried("stand-in", TcpListener::bind("127.0.0.1:0"));
         let server_listeners = (0..servers).map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
         let list_listeners = dispatchers.iter().map(|_| listen()).collect::<Result<Vec<_>, _>>()?;
-        let address = |listener: &TcpListener| tried("a stand-in", listener.local_addr());
+        let address = |listener: &TcpListener| tried("stand-in", listener.local_addr());
         let initial_server = ListedServer { is_up: true, born_ms: 0 };
         let world = Arc::new(World {
             began: Instant::now(),
--- a/rig/src/zones/mod.rs
+++ b/rig/src/zones/mod.rs
@@ -223,18 +223,18 @@
 pub fn experiment(plan: &Plan) -> Result<Figures, RigError> {
     let binary = crate::program::build()?;
     let dir = std::env::temp_dir().join(format!("micabeam-zones-{}-{}", std::process::id(), plan.seed));
-    tried("the files", std::fs::create_dir_all(&dir))?;
+    tried("directory of the run", std::fs::create_dir_all(&dir))?;
     let result = run(plan, binary, &dir);
     let _ = std::fs::remove_dir_all(&dir);
     result
 }
 
 fn local_address(listener: &TcpListener) -> Result<std::net::SocketAddr, RigError> {
-    tried("a stand-in", listener.local_addr())
+    tried("stand-in", listener.local_addr())
 }
 
 fn listen() -> Result<TcpListener, RigError> {
-    tried("a stand-in", TcpListener::bind("127.0.0.1:0"))
+    tried("stand-in", TcpListener::bind("127.0.0.1:0"))
 }
 
 /// Starts workers and discovery. The dispatchers of each zone reach them through separate ports, so that a stand-in knows
--- a/rig/src/zones/stage.rs
+++ b/rig/src/zones/stage.rs
@@ -76,7 +76,7 @@
         class("search", "retryable"),
         class("confirm", "fragile"),
     );
-    tried("the configuration", std::fs::write(dir.join(format!("{number}.json")), config))?;
+    tried("write the configuration", std::fs::write(dir.join(format!("{number}.json")), config))?;
     let voters = if plan.dispatchers >= 5 { 5 } else { 3 };
     let mut file = format!(
         "[fleet]\ncluster = \"rig\"\nname = \"n{number}\"\nstate = \"{}\"\nzones = [{}]\nslots = {SLOTS_PER_WORKER}\n",
@@ -92,7 +92,7 @@
             world.home_zone(member)
         );
     }
-    tried("the operator's file", std::fs::write(dir.join(format!("{number}.toml")), file))
+    tried("write the operator file", std::fs::write(dir.join(format!("{number}.toml")), file))
 }
 
 /// An injected fault and its time span.
@@ -114,6 +114,7 @@
 }
 
 impl Cluster {
+    /// Starts a process and records the end of its absence.
     pub(super) fn start(&mut self, number: usize) -> Result<(), RigError> {
         self.incarnations[number] += 1;
         let mut command = Command::new(&self.binary);
@@ -130,6 +131,7 @@
         Ok(())
     }
 
+    /// Records that a process is unavailable from now on, because of a fault.
     pub(super) fn record_absence(&self, number: usize) {
         held(&self.world.absences).push(Absence { process: number, from: Instant::now(), until: None });
     }
@@ -140,6 +142,7 @@
         each.map(|used| used.map(|used| used.cpu_s)).sum()
     }
 
+    /// Returns the first process that reports itself as leader, or 0 if none does.
     pub(super) fn leader(&self) -> usize {
         let leads = |p: &Option<Process>| p.as_ref().is_some_and(|p| p.figure("lb_fleet_leads") == Some(1.0));
         self.processes.iter().position(leads).unwrap_or(0)
