--- a/rig/src/scale/lists.rs
+++ b/rig/src/scale/lists.rs
@@ -101,7 +101,8 @@
     let before = resident_kb();
     let mut core = Core::new(site, 1, clock.clone(), JOBS + out);
     let began = Instant::now();
-    let read = read_list(&json::parse(text.as_bytes()).map_err(list_error)?, core.site()).map_err(list_error)?;
+    let read =
+        read_list(&json::parse(text.as_bytes()).map_err(list_error)?, core.site()).map_err(list_error)?;
     let parse_ms = began.elapsed().as_secs_f64() * 1e3;
     let began = Instant::now();
     core.on_list(read.lines, read.scope);
--- a/rig/src/scale/world.rs
+++ b/rig/src/scale/world.rs
@@ -118,7 +118,8 @@
             self.queue.schedule(at, Event::Fault(Fault::Start(member)));
         }
         let end = START_MS + TIMEOUT_MS;
-        while !self.members.iter().all(|member| member.front.may_serve(self.now) && member.sees_all_members()) {
+        while !self.members.iter().all(|member| member.front.may_serve(self.now) && member.sees_all_members())
+        {
             if self.now > end {
                 return Err(RigError::CheckFailed("the fleet did not come up in time".into()));
             }
@@ -273,7 +274,12 @@
         let cut = self.links.cut_region == Some(self.links.regions[usize::from(member)]);
         let dispatcher = &mut self.members[usize::from(member)];
         let has_lapsed = dispatcher.front.served && now >= dispatcher.front.until;
-        if has_lapsed && !dispatcher.lapsed && !dispatcher.lapse_excused && !cut && now >= self.healed_at + LAPSE_GRACE_MS {
+        if has_lapsed
+            && !dispatcher.lapsed
+            && !dispatcher.lapse_excused
+            && !cut
+            && now >= self.healed_at + LAPSE_GRACE_MS
+        {
             dispatcher.lapsed = true;
             self.lapsed += 1;
         }
@@ -397,10 +403,13 @@
             return self.propose(proposer, self.version);
         }
         let running = || self.members.iter().filter(|member| member.is_running());
-        let has_version = |member: &&Dispatcher| member.front.version == version && member.front.may_serve(now);
+        let has_version =
+            |member: &&Dispatcher| member.front.version == version && member.front.may_serve(now);
         let lease_ended = |member: &&Dispatcher| now >= member.front.until;
         let up_to_date = running().filter(has_version).count();
-        if up_to_date * 2 < self.plan.members || running().any(|member| !has_version(&member) && !lease_ended(&member)) {
+        if up_to_date * 2 < self.plan.members
+            || running().any(|member| !has_version(&member) && !lease_ended(&member))
+        {
             return;
         }
         if let Some(change) = self.changes.last_mut() {
--- a/rig/src/soak/mod.rs
+++ b/rig/src/soak/mod.rs
@@ -47,7 +47,8 @@
 /// Processor seconds per second above which a dispatcher under this light load counts as spinning.
 const SPIN_CPU_S: f64 = 0.8;
 /// Warm-up of a server: each runs up to 40 jobs at a time, of 35 ms on average.
-const SLOW_START: SlowStart = SlowStart { warm_jobs_per_second: 60.0, initial_fraction: 0.2, warm_ms: 8_000.0, tip_multiple: 2.5 };
+const SLOW_START: SlowStart =
+    SlowStart { warm_jobs_per_second: 60.0, initial_fraction: 0.2, warm_ms: 8_000.0, tip_multiple: 2.5 };
 
 /// Parameters of a soak run.
 #[derive(Clone, Debug)]
@@ -127,7 +128,8 @@
     soak.start_process_with(0, call_faults)?;
     let clients = soak.start_clients();
     thread::sleep(Duration::from_secs(seconds));
-    let process = soak.processes[0].as_ref().ok_or_else(|| RigError::Program("the dispatcher has exited".into()))?;
+    let process =
+        soak.processes[0].as_ref().ok_or_else(|| RigError::Program("the dispatcher has exited".into()))?;
     let cpu_s = program::usage(process.id())?.cpu_s;
     let figures = soak.finish(clients)?;
     Ok(CallFaultRun { figures, cpu_s })
@@ -246,7 +248,13 @@
         let log_path = self.dir.join(format!("{number}.log"));
         process.read_log(move |line| append_line(&log_path, &line));
         self.processes[number] = Some(process);
-        let process_run = ProcessRun { dispatcher: number, started_ms, ready_ms: None, terminated_ms: None, ended_ms: None };
+        let process_run = ProcessRun {
+            dispatcher: number,
+            started_ms,
+            ready_ms: None,
+            terminated_ms: None,
+            ended_ms: None,
+        };
         let index = {
             let mut record = lock(&self.world.record);
             record.process_runs.push(process_run);
@@ -263,7 +271,9 @@
         self.last_lists[number] = self.world.current_list();
         let now_ms = self.world.now_ms();
         let mut record = lock(&self.world.record);
-        if let Some(process_run) = record.process_runs.iter_mut().rfind(|process_run| process_run.dispatcher == number) {
+        if let Some(process_run) =
+            record.process_runs.iter_mut().rfind(|process_run| process_run.dispatcher == number)
+        {
             process_run.ended_ms.get_or_insert(now_ms);
         }
     }
@@ -280,7 +290,10 @@
         let Some(mut process) = self.processes[number].take() else { return Ok(()) };
         process.signal("TERM")?;
         let now_ms = self.world.now_ms();
-        if let Some(process_run) = lock(&self.world.record).process_runs.iter_mut().rfind(|process_run| process_run.dispatcher == number)
+        if let Some(process_run) = lock(&self.world.record)
+            .process_runs
+            .iter_mut()
+            .rfind(|process_run| process_run.dispatcher == number)
         {
             process_run.terminated_ms = Some(now_ms);
         }
@@ -422,7 +435,9 @@
 
 /// Polls `/up` of a dispatcher and puts it into rotation once it answers 200.
 fn admit_when_ready(world: &World, number: usize, index: usize) {
-    while !world.stopping.load(Ordering::Relaxed) && lock(&world.record).process_runs[index].ended_ms.is_none() {
+    while !world.stopping.load(Ordering::Relaxed)
+        && lock(&world.record).process_runs[index].ended_ms.is_none()
+    {
         if is_ready(world.dispatchers[number]) {
             let now_ms = world.now_ms();
             lock(&world.record).process_runs[index].ready_ms = Some(now_ms);
--- a/rig/src/soak/record.rs
+++ b/rig/src/soak/record.rs
@@ -264,13 +264,17 @@
     /// Whether the dispatcher's process ended by the time the request ended, so that its lack of a response is excused.
     /// A process with SIGTERM excuses only requests written over 700 ms after the signal: it must still answer earlier ones.
     fn was_killed(&self, request: &Request) -> bool {
-        self.process_runs.iter().filter(|process_run| process_run.dispatcher == request.dispatcher).any(|process_run| {
-            let Some(ended_ms) = process_run.ended_ms else { return false };
-            let had_request =
+        self.process_runs.iter().filter(|process_run| process_run.dispatcher == request.dispatcher).any(
+            |process_run| {
+                let Some(ended_ms) = process_run.ended_ms else { return false };
+                let had_request =
                     process_run.started_ms <= request.written_ms && request.written_ms <= ended_ms;
-            let is_late = |terminated_ms: Millis| request.written_ms > terminated_ms + 700.0;
-                had_request && ended_ms <= request.ended_ms + 1.0 && process_run.terminated_ms.is_none_or(is_late)
-        })
+                let is_late = |terminated_ms: Millis| request.written_ms > terminated_ms + 700.0;
+                had_request
+                    && ended_ms <= request.ended_ms + 1.0
+                    && process_run.terminated_ms.is_none_or(is_late)
+            },
+        )
     }
 
     fn count_unsafe_reruns(&self) -> u64 {
@@ -302,7 +306,8 @@
                 bound_ms = outage.until_ms + NOTIFICATION_BOUND_MS;
             }
         }
-        for silent_call in self.silent_calls.iter().filter(|silent_call| silent_call.dispatcher == dispatcher) {
+        for silent_call in self.silent_calls.iter().filter(|silent_call| silent_call.dispatcher == dispatcher)
+        {
             if silent_call.from_ms <= bound_ms && change.at_ms <= silent_call.wait_ends_ms {
                 bound_ms = bound_ms.max(silent_call.wait_ends_ms + POLL_BOUND_MS);
             }
@@ -325,12 +330,17 @@
     /// counts in any case; on a reused one the close may have crossed the request, so it counts only if a server has seen it.
     fn was_read_and_closed(&self, id: &str, request: &Request) -> bool {
         let reached_server = || self.attempts.iter().any(|attempt| attempt.id == id);
-        request.outcome == Outcome::Closed && !self.was_killed(request) && (request.is_first || reached_server())
+        request.outcome == Outcome::Closed
+            && !self.was_killed(request)
+            && (request.is_first || reached_server())
     }
 
     fn not_ready_in_time(&self, within_ms: Millis) -> u64 {
         let is_late = |process_run: &&ProcessRun| {
-            let took_ms = process_run.ready_ms.or(process_run.ended_ms).map_or(f64::INFINITY, |at_ms| at_ms - process_run.started_ms);
+            let took_ms = process_run
+                .ready_ms
+                .or(process_run.ended_ms)
+                .map_or(f64::INFINITY, |at_ms| at_ms - process_run.started_ms);
             took_ms > within_ms
         };
         let late = self.process_runs.iter().filter(is_late).count();
@@ -347,7 +357,9 @@
             };
             let mut calls: Vec<Millis> = self.attempts.iter().filter(in_ramp).map(|a| a.began_ms).collect();
             calls.sort_by(f64::total_cmp);
-            violations += u64::from(calls.iter().any(|&from_ms| slow_start.exceeds_budget(&calls, started_ms, from_ms)));
+            violations += u64::from(
+                calls.iter().any(|&from_ms| slow_start.exceeds_budget(&calls, started_ms, from_ms)),
+            );
         }
         violations
     }
@@ -358,7 +370,8 @@
     fn exceeds_budget(&self, calls: &[Millis], started_ms: Millis, from_ms: Millis) -> bool {
         let window = from_ms..from_ms + SLOW_START_WINDOW_MS;
         let count = calls.iter().filter(|at_ms| window.contains(*at_ms)).count() as f64;
-        let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * (from_ms - started_ms) / self.warm_ms;
+        let fraction =
+            self.initial_fraction + (1.0 - self.initial_fraction) * (from_ms - started_ms) / self.warm_ms;
         let budget = self.tip_multiple * self.warm_jobs_per_second * fraction * SLOW_START_WINDOW_MS / 1e3;
         let tolerance = if budget < 30.0 { 3.0 * (budget + 3.0).sqrt() } else { 2.0 * (budget + 2.0).sqrt() };
         count > budget + tolerance
--- a/rig/src/soak/world.rs
+++ b/rig/src/soak/world.rs
@@ -183,7 +183,8 @@
         match self.random(0..CALLS_PER_FAULT * 3) {
             0 => return None,
             1 => {
-                let silent_call = SilentCall { dispatcher, from_ms: arrived_ms, wait_ends_ms: arrived_ms + wait_ms };
+                let silent_call =
+                    SilentCall { dispatcher, from_ms: arrived_ms, wait_ends_ms: arrived_ms + wait_ms };
                 lock(&self.record).silent_calls.push(silent_call);
                 let _ = http.read();
                 return None;
--- a/rig/src/zones/check.rs
+++ b/rig/src/zones/check.rs
@@ -43,9 +43,12 @@
 
 /// Checks that all processes log the same states for an epoch and that no process goes back to an older epoch. Measures how
 /// much later than the first the last process logs an epoch.
-fn check_agreement(world: &World,
+fn check_agreement(
+    world: &World,
     fault_runs: &[FaultRun],
-    logged: &[LoggedDecision], figures: &mut Figures) -> DecidedStates {
+    logged: &[LoggedDecision],
+    figures: &mut Figures,
+) -> DecidedStates {
     let mut newest: BTreeMap<(usize, u32), u64> = BTreeMap::new();
     let mut decided = DecidedStates::new();
     for entry in logged {
@@ -77,7 +80,10 @@
 /// Checks that no zone is closed without a fault that explains it.
 fn check_wrong_closings(
     fault_runs: &[FaultRun],
-    decided: &DecidedStates, zone: usize, figures: &mut Figures) {
+    decided: &DecidedStates,
+    zone: usize,
+    figures: &mut Figures,
+) {
     let is_explained = |at: Instant| {
         fault_runs.iter().any(|p| {
             let concerns_zone = match p.fault {
@@ -102,9 +108,13 @@
 
 /// Checks that all processes that were present log the closing of a dead zone. Measures how long the closing and the
 /// reopening took.
-fn check_closings(world: &World,
+fn check_closings(
+    world: &World,
     fault_runs: &[FaultRun],
-    logged: &[LoggedDecision], zone: usize, figures: &mut Figures) {
+    logged: &[LoggedDecision],
+    zone: usize,
+    figures: &mut Figures,
+) {
     for p in fault_runs.iter().filter(|p| p.fault == Fault::ZoneDead(zone)) {
         let was_absent = |process: usize| world.was_absent(process, p.from, p.until);
         let mut worst = 0;
@@ -132,7 +142,8 @@
         let own: Vec<&LoggedDecision> = logged.iter().filter(|r| r.process == process).collect();
         for (at, entry) in own.iter().enumerate().filter(|(_, entry)| closed(entry)) {
             let until = own.get(at + 1).filter(|next| !closed(next)).map(|next| next.at);
-            let closed_since = own[..at].iter().rposition(|r| !closed(r)).map_or(own[0].at, |open| own[open + 1].at);
+            let closed_since =
+                own[..at].iter().rposition(|r| !closed(r)).map_or(own[0].at, |open| own[open + 1].at);
             let next = own.get(at + 1).map(|next| next.at);
             let drained_at = entry.at.max(closed_since + DRAIN_GRACE);
             let late = lock(&world.arrivals)
--- a/rig/src/zones/mod.rs
+++ b/rig/src/zones/mod.rs
@@ -269,7 +269,8 @@
     let mut threads = Vec::new();
     for process in 0..plan.dispatchers {
         for number in 0..clients_per_process {
-            let (world, initial_delay) = (Arc::clone(world), pause * number as u32 / clients_per_process as u32);
+            let (world, initial_delay) =
+                (Arc::clone(world), pause * number as u32 / clients_per_process as u32);
             threads.push(thread::spawn(move || client(&world, process, pause, initial_delay)));
         }
     }
@@ -305,7 +306,9 @@
         absences: Mutex::default(),
         logged_decisions: Mutex::default(),
         figures: Mutex::default(),
-        in_flight: (0..plan.zones).map(|_| (0..WORKERS_PER_ZONE).map(|_| AtomicU32::new(0)).collect()).collect(),
+        in_flight: (0..plan.zones)
+            .map(|_| (0..WORKERS_PER_ZONE).map(|_| AtomicU32::new(0)).collect())
+            .collect(),
     });
     let lists = start_stand_ins(&world)?;
     for number in 0..plan.dispatchers {
--- a/rig/src/zones/stage.rs
+++ b/rig/src/zones/stage.rs
@@ -36,8 +36,13 @@
         };
         if let (Some(epoch), Some(states)) = (field("epoch").and_then(|e| e.parse().ok()), field("states")) {
             let states = states.to_string();
-            lock(&world.logged_decisions).push(LoggedDecision { process: number,
-                incarnation, at, epoch, states });
+            lock(&world.logged_decisions).push(LoggedDecision {
+                process: number,
+                incarnation,
+                at,
+                epoch,
+                states,
+            });
         }
     });
 }
@@ -159,7 +164,8 @@
         let count = world.plan.dispatchers;
         self.proxy.set_faults(|weather| {
             for a in 0..count {
-                for b in (0..count).filter(|b| (world.home_zone(a) == zone) != (world.home_zone(*b) == zone)) {
+                for b in (0..count).filter(|b| (world.home_zone(a) == zone) != (world.home_zone(*b) == zone))
+                {
                     if cut {
                         weather.cut.insert((a, b))
                     } else {
--- a/rig/src/zones/world.rs
+++ b/rig/src/zones/world.rs
@@ -132,7 +132,8 @@
             let mut rng = fastrand::Rng::with_seed(id.bytes().fold(7, |sum, b| sum * 31 + u64::from(b)));
             let queue_ms = u64::from(in_flight / SLOTS_PER_WORKER) * 40;
             let slow = if world.zones[zone].slow.load(Ordering::Relaxed) { 3000 } else { 0 };
-            let long = if world.zones[zone].long_jobs.load(Ordering::Relaxed) { LONG_JOB_EXTRA_MS } else { 0 };
+            let long =
+                if world.zones[zone].long_jobs.load(Ordering::Relaxed) { LONG_JOB_EXTRA_MS } else { 0 };
             thread::sleep(Duration::from_millis(20 + rng.u64(..40) + queue_ms + slow + long));
             world.in_flight[zone][number].fetch_sub(1, Ordering::Relaxed);
             if accepted && !world.zones[zone].dead.load(Ordering::Relaxed) {
@@ -164,7 +165,8 @@
         let parameter =
             |name: &str| target.split(['?', '&']).find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok());
         if parameter("since=").is_some_and(|since| since >= 1) {
-            let end = Instant::now() + Duration::from_millis(parameter("timeout_ms=").unwrap_or(0).min(20_000));
+            let end =
+                Instant::now() + Duration::from_millis(parameter("timeout_ms=").unwrap_or(0).min(20_000));
             while Instant::now() < end && !world.stopping.load(Ordering::Relaxed) {
                 thread::sleep(Duration::from_millis(50));
             }
--- a/rig/tests/scale.rs
+++ b/rig/tests/scale.rs
@@ -29,8 +29,12 @@
         more / (sizes[b] - sizes[a]) as f64
     };
     assert!(slope(0, 3) <= 2500.0, "bytes per second per member at the leader: {}", slope(0, 3));
-    assert!(slope(2, 3) <= slope(0, 1) * 1.2,
-        "the cost grows faster than linearly: slope {} after {}", slope(2, 3), slope(0, 1));
+    assert!(
+        slope(2, 3) <= slope(0, 1) * 1.2,
+        "the cost grows faster than linearly: slope {} after {}",
+        slope(2, 3),
+        slope(0, 1)
+    );
 }
 
 /// Guards against nondeterminism: the same seed must give the same counts.
--- a/rig/tests/zones.rs
+++ b/rig/tests/zones.rs
@@ -13,8 +13,11 @@
         println!("seed {seed}: {}", figures.line());
         figures.verify().unwrap();
         assert!(figures.served_share() > 0.9, "served share of the ideal: {}", figures.line());
-        assert!(figures.baseline_near * 100 > figures.baseline * 99,
-            "share served in the own zone: {}", figures.line());
+        assert!(
+            figures.baseline_near * 100 > figures.baseline * 99,
+            "share served in the own zone: {}",
+            figures.line()
+        );
     }
 }
 
