--- a/tests/blind.rs
+++ b/tests/blind.rs
@@ -24,7 +24,7 @@
     for _ in 0..40 {
         world.now += 20 * MS;
         let (job, actions) = world.job(0);
-        assert_eq!(asked(&actions), None);
+        assert_eq!(probed_endpoint(&actions), None);
         let endpoint_id = sent(&actions).expect("a job is sent immediately");
         world.ended(job, 0, endpoint_id, Outcome::Served);
     }
@@ -167,7 +167,8 @@
             match action {
                 Action::Send { job, endpoint: endpoint_id } => {
                     self.totals.sent += 1.0;
-                    let (n, attempt) = (endpoint_id.0 as usize - 1, self.worlds[dispatcher].attempts(job));
+                    let (n, attempt) =
+                        (endpoint_id.0 as usize - 1, self.worlds[dispatcher].next_attempt(job));
                     if self.endpoints[n].dead {
                         self.ended(dispatcher, job, attempt, n, Outcome::Unreachable);
                     } else if self.endpoints[n].queue.len() >= QUEUE_LIMIT {
--- a/tests/common/crossing.rs
+++ b/tests/common/crossing.rs
@@ -5,11 +5,11 @@
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use super::net::{Http, PATIENCE, Program, accept_any};
+use super::net::{Http, Program, TEST_TIMEOUT, accept_any};
 
 /// Waits for an event that can only be looked for.
-pub fn until(mut happened: impl FnMut() -> bool, what: &str) {
-    let end = Instant::now() + PATIENCE;
+pub fn wait_until(mut happened: impl FnMut() -> bool, what: &str) {
+    let end = Instant::now() + TEST_TIMEOUT;
     while !happened() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(Duration::from_millis(1));
@@ -21,14 +21,14 @@
     text.rsplit(") ").next().unwrap().split(' ').map(String::from).collect()
 }
 
-/// Stops the process between two instructions: what comes until `thaw` is there in one turn of its loop.
-pub fn freeze(program: &Program) {
+/// Stops the process between two instructions: what comes until `resume` is there in one turn of its loop.
+pub fn suspend(program: &Program) {
     program.signal("STOP");
-    until(|| stat(program)[0] == "T", "it does not stop");
+    wait_until(|| stat(program)[0] == "T", "it does not stop");
 }
 
 /// Lets it go on.
-pub fn thaw(program: &Program) {
+pub fn resume(program: &Program) {
     program.signal("CONT");
 }
 
@@ -50,40 +50,40 @@
 }
 
 /// The program with so many descriptors, as the system counts them.
-pub fn bounded(most: usize, config: &str) -> Program {
+pub fn start_with_fd_limit(most: usize, config: &str) -> Program {
     let mut command = Command::new("/bin/sh");
     let line = format!("ulimit -n {most}; exec {}", env!("CARGO_BIN_EXE_micabeam"));
     command.args(["-c", &line]);
-    Program::of(command, Some(config), None, None)
+    Program::from_command(command, Some(config), None, None)
 }
 
 /// An answer of discovery: changes up to a version.
-pub fn tells(watch: &mut Http, seq: u64, hosts: &[&str]) {
+pub fn send_list_changes(watch: &mut Http, seq: u64, hosts: &[&str]) {
     let body = format!(r#"{{"seq": {seq}, "whole": false, "hosts": [{}]}}"#, hosts.join(","));
     watch.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
 }
 
 /// A listener whose connections do not come up: its backlog is full until it is opened.
-pub struct Full {
+pub struct BacklogListener {
     pub listener: TcpListener,
     pub address: SocketAddr,
     fillers: std::cell::RefCell<Vec<TcpStream>>,
 }
 
-impl Full {
+impl BacklogListener {
     /// One that can be reached until it is filled.
-    pub fn closed() -> Full {
+    pub fn empty() -> BacklogListener {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        Full { listener, address, fillers: std::cell::RefCell::default() }
+        BacklogListener { listener, address, fillers: std::cell::RefCell::default() }
     }
 
     /// One that is filled.
-    pub fn new() -> Full {
-        let full = Full::closed();
+    pub fn filled() -> BacklogListener {
+        let full = BacklogListener::empty();
         full.fill();
         full
     }
@@ -97,7 +97,7 @@
     }
 
     /// Opens it: what was tried meanwhile comes up.
-    pub fn open(self) -> TcpListener {
+    pub fn clear(self) -> TcpListener {
         // The filler ends, so that it is not taken for one of the program's.
         self.listener.set_nonblocking(false).unwrap();
         for filler in self.fillers.borrow_mut().drain(..) {
@@ -112,7 +112,7 @@
 pub fn accept_request(listener: &TcpListener) -> TcpStream {
     loop {
         let stream = accept_any(&[listener]);
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         if matches!(stream.peek(&mut [0]), Ok(1)) {
             return stream;
         }
@@ -122,12 +122,12 @@
 /// The connection that the program tries to open comes up, and ends with nothing written.
 pub fn assert_no_request(listener: &TcpListener, what: &str) {
     let stream = accept_any(&[listener]);
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert!(!matches!(stream.peek(&mut [0]), Ok(1)), "{what}");
 }
 
 /// No connection has come.
-pub fn assert_nothing_came(listener: &TcpListener, what: &str) {
+pub fn assert_no_connection(listener: &TcpListener, what: &str) {
     listener.set_nonblocking(true).unwrap();
     assert!(listener.accept().is_err(), "{what}");
 }
--- a/tests/common/gear.rs
+++ b/tests/common/gear.rs
@@ -6,14 +6,14 @@
 
 use micabeam::frontend::gearman::packets::{kind, request};
 
-use crate::net::{PATIENCE, Program, SETTINGS};
+use crate::net::{Program, SETTINGS, TEST_TIMEOUT};
 
 /// Anything that a stand-in can speak over: a plain socket or TLS.
-pub trait Wire: Read + Write {}
-impl<T: Read + Write> Wire for T {}
+pub trait ReadWrite: Read + Write {}
+impl<T: Read + Write> ReadWrite for T {}
 
 /// One side of a Gearman connection.
-pub struct Gear(pub Box<dyn Wire>);
+pub struct Gear(pub Box<dyn ReadWrite>);
 
 pub type Packet = (u32, Vec<Vec<u8>>);
 
@@ -21,7 +21,7 @@
     pub fn connect(address: SocketAddr) -> Gear {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Gear(Box::new(stream))
     }
 
@@ -105,6 +105,6 @@
             "search": {{"class": "avail-search", "tenant": "cariboo-rv"}}}}}}"#
     );
     let mut program = Program::start(None, Some(&file));
-    let address = program.address();
+    let address = program.read_address();
     (program, address)
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -100,7 +100,7 @@
     }
 
     /// The number of the next attempt of a job that was sent, counted by the calls of this.
-    pub fn attempts(&mut self, job: JobId) -> usize {
+    pub fn next_attempt(&mut self, job: JobId) -> usize {
         let sends = self.sends.entry(job).or_default();
         *sends += 1;
         *sends - 1
@@ -150,7 +150,7 @@
 }
 
 /// Which worker the actions probe first.
-pub fn asked(actions: &[Action]) -> Option<EndpointId> {
+pub fn probed_endpoint(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::Probe { endpoint: worker } => Some(*worker),
         _ => None,
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Settings with a safe class and an unsafe one, and long aims, so that a slow machine is not late.
 pub const SETTINGS: &str = r#"{"balancers": 1, "myNumber": 0, "quantum": 1000, "membershipMode": "subscribe",
@@ -40,32 +40,32 @@
     pub child: Child,
     /// Its configuration, its Gearman file and its operator's file, where it has them.
     pub files: [Option<PathBuf>; 3],
-    out: BufReader<ChildStdout>,
-    pub err: BufReader<ChildStderr>,
+    stdout: BufReader<ChildStdout>,
+    pub stderr: BufReader<ChildStderr>,
 }
 
 impl Program {
     pub fn start(config: Option<&str>, gearman: Option<&str>) -> Program {
-        Program::with(config, gearman, None)
+        Program::start_with_files(config, gearman, None)
     }
 
     /// The program with an operator's file.
-    pub fn operator(text: &str) -> Program {
-        Program::with(None, None, Some(text))
+    pub fn start_with_operator_file(text: &str) -> Program {
+        Program::start_with_files(None, None, Some(text))
     }
 
-    fn with(config: Option<&str>, gearman: Option<&str>, operator: Option<&str>) -> Program {
-        Program::of(Command::new(env!("CARGO_BIN_EXE_micabeam")), config, gearman, operator)
+    fn start_with_files(config: Option<&str>, gearman: Option<&str>, operator: Option<&str>) -> Program {
+        Program::from_command(Command::new(env!("CARGO_BIN_EXE_micabeam")), config, gearman, operator)
     }
 
     /// The program with a directory for its notes.
-    pub fn beside(config: &str, notes: &std::path::Path) -> Program {
+    pub fn start_with_temp_dir(config: &str, notes: &std::path::Path) -> Program {
         let mut command = Command::new(env!("CARGO_BIN_EXE_micabeam"));
         command.env("TMPDIR", notes);
-        Program::of(command, Some(config), None, None)
+        Program::from_command(command, Some(config), None, None)
     }
 
-    pub fn of(
+    pub fn from_command(
         mut command: Command,
         config: Option<&str>,
         gearman: Option<&str>,
@@ -89,15 +89,15 @@
             command.arg("--operator").arg(operator);
         }
         let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
-        let out = BufReader::new(child.stdout.take().unwrap());
-        let err = BufReader::new(child.stderr.take().unwrap());
-        Program { child, files, out, err }
+        let stdout = BufReader::new(child.stdout.take().unwrap());
+        let stderr = BufReader::new(child.stderr.take().unwrap());
+        Program { child, files, stdout, stderr }
     }
 
     /// The address that the next line it prints ends with.
-    pub fn address(&mut self) -> SocketAddr {
+    pub fn read_address(&mut self) -> SocketAddr {
         let mut line = String::new();
-        self.out.read_line(&mut line).unwrap();
+        self.stdout.read_line(&mut line).unwrap();
         line.trim().rsplit(' ').next().unwrap().parse().unwrap_or_else(|_| panic!("printed {line:?}"))
     }
 
@@ -105,14 +105,14 @@
     pub fn reload(&mut self, at: usize, text: &str) -> String {
         std::fs::write(self.files[at].as_ref().unwrap(), text).unwrap();
         self.signal("HUP");
-        self.line()
+        self.next_plain_line()
     }
 
     /// The next plain line of its log; events of `tracing`, which begin with their time, are passed over.
-    pub fn line(&mut self) -> String {
+    pub fn next_plain_line(&mut self) -> String {
         loop {
             let mut line = String::new();
-            let length = self.err.read_line(&mut line).unwrap();
+            let length = self.stderr.read_line(&mut line).unwrap();
             if length == 0 || line.starts_with("micabeam: ") {
                 return line;
             }
@@ -127,7 +127,7 @@
     /// Waits for its end: whether it ended well, and what it wrote.
     pub fn wait(mut self) -> (bool, String) {
         let mut text = String::new();
-        self.err.read_to_string(&mut text).unwrap();
+        self.stderr.read_to_string(&mut text).unwrap();
         (self.child.wait().unwrap().success(), text)
     }
 }
@@ -141,17 +141,17 @@
 
 /// The platform's front over scripted backend servers, which the list held before the start.
 pub fn platform(discovery: SocketAddr, hosts: &[(&str, SocketAddr)]) -> (Program, SocketAddr) {
-    platform_with(256, discovery, hosts)
+    platform_with_sockets(256, discovery, hosts)
 }
 
 /// The same with so many descriptors.
-pub fn platform_with(
+pub fn platform_with_sockets(
     sockets: usize,
     discovery: SocketAddr,
     hosts: &[(&str, SocketAddr)],
 ) -> (Program, SocketAddr) {
     let mut program = Program::start(Some(&config(sockets, discovery, hosts)), None);
-    let address = program.address();
+    let address = program.read_address();
     (program, address)
 }
 
@@ -189,7 +189,7 @@
 
 /// An address at which nobody listens. The port stays bound until the test program ends: freed, it could be
 /// given to a listener of another story.
-pub fn nobody() -> SocketAddr {
+pub fn refusing_address() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
@@ -199,7 +199,7 @@
 
 /// The next connection at any of the listeners; none in good time is a failure.
 pub fn accept_any(listeners: &[&TcpListener]) -> TcpStream {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < end {
         for listener in listeners {
             listener.set_nonblocking(true).unwrap();
@@ -218,11 +218,11 @@
 
 impl Http {
     pub fn connect(address: SocketAddr) -> Http {
-        Http::over(TcpStream::connect(address).unwrap())
+        Http::from_stream(TcpStream::connect(address).unwrap())
     }
 
     pub fn accept(listener: &TcpListener) -> Http {
-        Http::over(accept_any(&[listener]))
+        Http::from_stream(accept_any(&[listener]))
     }
 
     /// The next connection, once this one is dropped.
@@ -231,8 +231,8 @@
         Http::accept(listener)
     }
 
-    pub fn over(stream: TcpStream) -> Http {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    pub fn from_stream(stream: TcpStream) -> Http {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Http(BufReader::new(stream))
     }
 
@@ -253,7 +253,7 @@
             }
             head.push_str(&line);
         }
-        let mut body = vec![0; value(&head, "content-length").map_or(0, |v| v.parse().unwrap())];
+        let mut body = vec![0; header_value(&head, "content-length").map_or(0, |v| v.parse().unwrap())];
         self.0.read_exact(&mut body).unwrap();
         (head, String::from_utf8(body).unwrap())
     }
@@ -277,15 +277,15 @@
         assert!(head.starts_with("HTTP/1.1 204"), "{head}");
     }
 
-    pub fn take(&mut self) {
+    pub fn send_accepted(&mut self) {
         self.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
     }
 }
 
 /// A scripted server's part in a job that it has read: says 202, then tells of its start and its end on a
 /// connection of its own, which is given back for more calls.
-pub fn take_and_finish(job: &mut Http, address: SocketAddr, id: &str, result: &str) -> Http {
-    job.take();
+pub fn accept_and_finish(job: &mut Http, address: SocketAddr, id: &str, result: &str) -> Http {
+    job.send_accepted();
     let mut calls = Http::connect(address);
     calls.call_back(id, "s-1", "started", "");
     calls.call_back(id, "s-1", "done", result);
@@ -293,7 +293,7 @@
 }
 
 /// A header's value.
-pub fn value(head: &str, name: &str) -> Option<String> {
+pub fn header_value(head: &str, name: &str) -> Option<String> {
     head.lines().find_map(|line| {
         let (found, value) = line.split_once(':')?;
         found.eq_ignore_ascii_case(name).then(|| value.trim().to_string())
@@ -310,13 +310,13 @@
 }
 
 /// A counter in the log of a program that has ended.
-pub fn told(log: &str, name: &str) -> u64 {
+pub fn logged_counter(log: &str, name: &str) -> u64 {
     let line = log.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     line.unwrap_or_else(|| panic!("no {name} in {log}")).parse().unwrap()
 }
 
 /// Sees that each session taken has ended, in one way.
-pub fn all_ended(log: &str) {
-    let ends = ["turned_away", "served", "denied", "failed", "left"].map(|name| told(log, name));
-    assert_eq!(told(log, "taken"), ends.iter().sum::<u64>(), "{log}");
+pub fn assert_all_ended(log: &str) {
+    let ends = ["turned_away", "served", "denied", "failed", "left"].map(|name| logged_counter(log, name));
+    assert_eq!(logged_counter(log, "taken"), ends.iter().sum::<u64>(), "{log}");
 }
--- a/tests/common/stand_ins.rs
+++ b/tests/common/stand_ins.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use super::crossing::reset;
-use super::net::{Http, listener, value};
+use super::net::{Http, header_value, listener};
 
 /// How often a server makes a call that is not acknowledged.
 const CALL_BACK_TRIES: u32 = 10;
@@ -63,14 +63,14 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let service = service.clone();
-                thread::spawn(move || service.serve(Http::over(stream)));
+                thread::spawn(move || service.serve(Http::from_stream(stream)));
             }
         });
         discovery
     }
 
     /// Has it treat so many calls in some way, and answer those after them.
-    pub fn treat(&self, mode: Mode, calls: u64) {
+    pub fn set_mode(&self, mode: Mode, calls: u64) {
         let mut state = self.state.0.lock().unwrap();
         (state.mode, state.faults_left) = (mode, calls);
     }
@@ -166,7 +166,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (name, jobs) = (name.clone(), Arc::clone(&jobs));
-                thread::spawn(move || serve_jobs(Http::over(stream), dispatcher, &name, &jobs));
+                thread::spawn(move || serve_jobs(Http::from_stream(stream), dispatcher, &name, &jobs));
             }
         });
     }
@@ -188,16 +188,17 @@
             continue;
         }
         jobs.fetch_add(1, Ordering::Relaxed);
-        connection.take();
-        let id = value(&head, "req-id").unwrap();
-        let is_told = (0..CALL_BACK_TRIES).any(|_| tells_end(dispatcher, &id, name).unwrap_or(false));
-        assert!(is_told, "nobody acknowledges the end of {id}");
+        connection.send_accepted();
+        let id = header_value(&head, "req-id").unwrap();
+        let is_acknowledged =
+            (0..CALL_BACK_TRIES).any(|_| report_done(dispatcher, &id, name).unwrap_or(false));
+        assert!(is_acknowledged, "nobody acknowledges the end of {id}");
     }
 }
 
 /// Tells of a job's end; whether that was acknowledged. A connection may be reset as a process stops listening.
-fn tells_end(dispatcher: SocketAddr, id: &str, name: &str) -> std::io::Result<bool> {
-    let mut call = Http::over(TcpStream::connect(dispatcher)?);
+fn report_done(dispatcher: SocketAddr, id: &str, name: &str) -> std::io::Result<bool> {
+    let mut call = Http::from_stream(TcpStream::connect(dispatcher)?);
     let body = format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"ok"}}"#);
     let length = body.len();
     let head = format!("POST /v1/job-events HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n");
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -18,7 +18,7 @@
 use micabeam::settings::Site;
 use net::*;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_micabeam");
+const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_micabeam");
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -31,17 +31,17 @@
 }
 
 /// Asks a console, and gives all of its answer.
-fn call(console: SocketAddr, line: &str) -> String {
+fn console_call(console: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     let mut answer = String::new();
     let _ = stream.read_to_string(&mut answer);
     answer
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(std::time::Duration::from_millis(5));
@@ -77,7 +77,7 @@
         fleet
     }
 
-    fn want(&self, own: usize, version: u64) {
+    fn write_policy(&self, own: usize, version: u64) {
         let text = format!(
             "version = {version}\n[[partition]]\nname = \"p\"\nprefixes = [\"s-\"]\n[[rule]]\nname = \"all\"\npartition = \"p\"\n"
         );
@@ -85,7 +85,7 @@
     }
 
     /// The operator's file of a member.
-    fn table(&self, own: usize) -> String {
+    fn operator_file(&self, own: usize) -> String {
         let mut text = format!(
             "console = \"127.0.0.1:0\"\n[fleet]\ncluster = \"stored\"\nname = \"n{own}\"\nstate = \"{}\"\nzones = [\"z\"]\n",
             self.dir.join(format!("votes-{own}")).display()
@@ -104,10 +104,15 @@
 
     /// Starts a member; its console.
     fn start(&self, own: usize) -> (Program, SocketAddr) {
-        let config = config(128, nobody(), &[("s-1", nobody())]);
-        let mut program = Program::of(Command::new(PROGRAM), Some(&config), None, Some(&self.table(own)));
-        program.address();
-        let console = program.address();
+        let config = config(128, refusing_address(), &[("s-1", refusing_address())]);
+        let mut program = Program::from_command(
+            Command::new(PROGRAM_PATH),
+            Some(&config),
+            None,
+            Some(&self.operator_file(own)),
+        );
+        program.read_address();
+        let console = program.read_address();
         (program, console)
     }
 }
@@ -115,25 +120,25 @@
 /// Version 2 was in force when the fleet was stopped as a whole. Its operators' files still have version 1, which a fleet
 /// that remembers nothing would take.
 #[test]
-fn a_fleet_goes_on_from_the_votes_and_policies_that_were_stored() {
+fn a_fleet_resumes_from_its_stored_votes_and_policies() {
     let fleet = Fleet::with_stored_state();
-    (0..3).for_each(|own| fleet.want(own, 1));
+    (0..3).for_each(|own| fleet.write_policy(own, 1));
     let started: Vec<_> = (0..3).map(|own| fleet.start(own)).collect();
-    let all = |what: &str| started.iter().all(|(_, console)| call(*console, "policy").contains(what));
-    until("the stored version is in force", || {
+    let all = |what: &str| started.iter().all(|(_, console)| console_call(*console, "policy").contains(what));
+    wait_until("the stored version is in force", || {
         all("runs 2 decided 2 staged none wanted none epoch 4 serves yes")
     });
     assert!(all("last 2 in force"));
-    fleet.want(1, 3);
+    fleet.write_policy(1, 3);
     started[1].0.signal("HUP");
-    until("the next version is in force", || {
+    wait_until("the next version is in force", || {
         all("runs 3 decided 3 staged none wanted none epoch 6 serves yes")
     });
 }
 
 /// What a process has left at an upgrade, with jobs served before, is what the next one goes on from.
 #[test]
-fn a_stored_warm_state_and_its_note_are_read_and_used() {
+fn a_stored_warm_state_and_its_handover_note_are_restored() {
     let note = HandoverNote::parse(include_str!("fixtures/upgrade/note.handover")).expect("it reads");
     let bytes = include_bytes!("fixtures/upgrade/state.memory");
     let names: Vec<String> =
@@ -165,12 +170,12 @@
 const PID_BYTES: usize = 2;
 
 #[test]
-fn figures_keep_their_names_types_and_labels() {
+fn metrics_keep_their_names_types_and_labels() {
     let fleet = Fleet::with_stored_state();
-    (0..3).for_each(|own| fleet.want(own, 1));
+    (0..3).for_each(|own| fleet.write_policy(own, 1));
     let started: Vec<_> = (0..3).map(|own| fleet.start(own)).collect();
-    until("figures are told", || call(started[0].1, "telemetry").contains("lb_fleet_evidence{"));
-    let text = call(started[0].1, "telemetry");
+    wait_until("figures are told", || console_call(started[0].1, "telemetry").contains("lb_fleet_evidence{"));
+    let text = console_call(started[0].1, "telemetry");
     let mut rows = BTreeSet::new();
     for line in text.lines() {
         if let Some(declared) = line.strip_prefix("# TYPE ") {
@@ -189,21 +194,21 @@
 /// The first line of a console's answer for each call in each phase.
 #[test]
 fn the_console_answers_as_before() {
-    let config = config(128, nobody(), &[("s-1", nobody())]);
+    let config = config(128, refusing_address(), &[("s-1", refusing_address())]);
     let config = config.replacen('{', r#"{"console": "127.0.0.1:0", "#, 1);
     let mut program = Program::start(Some(&config), None);
-    program.address();
-    let console = program.address();
+    program.read_address();
+    let console = program.read_address();
     let mut log = String::new();
     for line in
         ["readyz", "policy", "evacuate", "readyz", "evacuate", "activate", "readyz", "activate", "", "what"]
     {
-        log += &format!("{line}: {}", call(console, line));
+        log += &format!("{line}: {}", console_call(console, line));
     }
     program.signal("TERM");
-    until("it drains", || call(console, "readyz") != "ACK ready\n");
+    wait_until("it drains", || console_call(console, "readyz") != "ACK ready\n");
     for line in ["readyz", "evacuate", "activate"] {
-        log += &format!("{line}: {}", call(console, line));
+        log += &format!("{line}: {}", console_call(console, line));
     }
     assert_fixture("console.txt", &log);
     assert_eq!(program.child.wait().unwrap().code(), Some(0));
@@ -215,18 +220,18 @@
     let text = "[stream]\nlisten = \"127.0.0.1:0\"\nconnections = 16\npipes = 0\nservers = [{name = \"a\", dial = \"127.0.0.1:1\"}]\n\
         [[stream.class]]\nname = \"export\"\nrepeat = \"safe\"\n\
         [gearman]\nlisten = \"127.0.0.1:0\"\npeers = 8\n[gearman.functions.search]\nclass = \"avail-search\"\n";
-    let config = config(512, nobody(), &[]);
-    let mut program = Program::of(Command::new(PROGRAM), Some(&config), None, Some(text));
+    let config = config(512, refusing_address(), &[]);
+    let mut program = Program::from_command(Command::new(PROGRAM_PATH), Some(&config), None, Some(text));
     // Gearman's and the stream front's come first.
-    let addresses: Vec<SocketAddr> = (0..3).map(|_| program.address()).collect();
+    let addresses: Vec<SocketAddr> = (0..3).map(|_| program.read_address()).collect();
     let mut http = Http::connect(addresses[2]);
     http.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
     let name = |line: &str| line.split(' ').next().unwrap_or_default().to_string() + "\n";
     let mut now = "GET /counters\n".to_string();
     now.extend(http.read().1.lines().map(name));
     program.signal("TERM");
-    let (well, log) = program.wait();
-    assert!(well, "{log}");
+    let (exited_cleanly, log) = program.wait();
+    assert!(exited_cleanly, "{log}");
     now += "at the end\n";
     // Beside counters the log has plain lines, and events of `tracing`.
     let is_counter = |line: &&str| !line.starts_with("micabeam: ") && !line.contains(" INFO micabeam::");
@@ -247,7 +252,7 @@
 impl Start<'_> {
     /// Runs it to its end: its exit code, and what it wrote, with the names of its files by their last part.
     fn run(&self) -> (Option<i32>, String) {
-        let mut command = Command::new(PROGRAM);
+        let mut command = Command::new(PROGRAM_PATH);
         for variable in ["LB_CONFIG", "LB_LISTEN", "LB_DISCOVERY", "LB_NAME", "LB_CONSOLE"] {
             command.env_remove(variable);
         }
@@ -481,11 +486,11 @@
 
 /// The variables go before the configuration; its addresses are printed at the start.
 #[test]
-fn variables_go_before_the_configuration() {
+fn environment_variables_override_the_configuration() {
     let (front, discovery) = (listener(), listener());
     let address = front.1;
     drop(front);
-    let mut command = Command::new(PROGRAM);
+    let mut command = Command::new(PROGRAM_PATH);
     for variable in ["LB_CONFIG", "LB_NAME"] {
         command.env_remove(variable);
     }
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -11,16 +11,16 @@
 
 /// The program with a console; the clients' address and the console's.
 fn start(hosts: &[(&str, SocketAddr)]) -> (Program, SocketAddr, SocketAddr) {
-    let config = config(256, nobody(), hosts).replacen('{', r#"{"console": "127.0.0.1:0", "#, 1);
+    let config = config(256, refusing_address(), hosts).replacen('{', r#"{"console": "127.0.0.1:0", "#, 1);
     let mut program = Program::start(Some(&config), None);
-    let (address, console) = (program.address(), program.address());
+    let (address, console) = (program.read_address(), program.read_address());
     (program, address, console)
 }
 
 /// Sends bytes as a call and reads all of the answer, up to the console's end of it.
 fn send(console: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn each_call_is_answered_and_what_is_no_call_gets_nak_with_a_reason() {
+fn malformed_calls_get_nak_and_slow_callers_delay_nobody() {
     let (_program, _, console) = start(&[]);
     // Guards against callers that say nothing, or half a line, keeping others waiting.
     let _silent = TcpStream::connect(console).unwrap();
@@ -69,13 +69,13 @@
     cut.read_to_string(&mut answer).unwrap();
     assert_eq!(answer, "NAK no line end\n");
     // The half-sent caller is ended at its deadline.
-    half.set_read_timeout(Some(PATIENCE)).unwrap();
+    half.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(half.read(&mut [0; 16]).unwrap_or(0), 0);
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
 }
 
 #[test]
-fn evacuate_says_no_closes_idle_clients_finishes_open_jobs_and_activate_says_yes() {
+fn evacuate_closes_idle_clients_and_finishes_open_jobs_until_activate() {
     let (worker, dial) = listener();
     let (_program, address, console) = start(&[("s-1", dial)]);
     assert!(up(address).starts_with("HTTP/1.1 200"));
@@ -92,10 +92,10 @@
     assert!(up(address).starts_with("HTTP/1.1 503"));
     // The idle client is closed; the busy one gets its answer, and then its connection ends.
     assert_eq!(idle.read().0, "");
-    take_and_finish(&mut job, address, "e1", "done late");
+    accept_and_finish(&mut job, address, "e1", "done late");
     let (head, body) = busy.read();
     assert_eq!(body, "done late");
-    assert!(value(&head, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close")), "{head}");
+    assert!(header_value(&head, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close")), "{head}");
     assert_eq!(busy.read().0, "");
     assert_eq!(call(console, "activate"), "ACK\n");
     assert_eq!(call(console, "readyz"), "ACK ready\n");
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn a_console_address_that_does_not_read_ends_the_start_with_one_line() {
-    let config = config(256, nobody(), &[]).replacen('{', r#"{"console": "here", "#, 1);
+fn an_invalid_console_address_exits_with_a_one_line_message() {
+    let config = config(256, refusing_address(), &[]).replacen('{', r#"{"console": "here", "#, 1);
     let (ended_well, log) = Program::start(Some(&config), None).wait();
     assert!(!ended_well);
     assert_eq!(log.trim(), "micabeam: `console` is not a socket address: here", "{log}");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -14,42 +14,48 @@
 use net::*;
 
 /// Settings in which a connection may take long to come up, so that there is time for something to cross it.
-fn patient(discovery: SocketAddr, hosts: &[(&str, SocketAddr)]) -> String {
+fn slow_connect_config(discovery: SocketAddr, hosts: &[(&str, SocketAddr)]) -> String {
     config(256, discovery, hosts).replace(r#""connectTimeout": 250000"#, r#""connectTimeout": 8000000"#)
 }
 
-fn start(text: &str) -> (Program, SocketAddr) {
+fn start_program(text: &str) -> (Program, SocketAddr) {
     let mut program = Program::start(Some(text), None);
-    let address = program.address();
+    let address = program.read_address();
     (program, address)
 }
 
 /// Settings in which a safe job that does not start by so many microseconds is given up and tried elsewhere, and no two
 /// copies of it may be out.
-fn hurried(text: &str, aim: u64) -> String {
+fn with_start_deadline(text: &str, aim: u64) -> String {
     let aims = format!(r#""aim": {aim}, "hardLimit": 9000000, "semantics": "retryable""#);
     text.replace(r#""mayCancel": true"#, r#""mayCancel": true, "mayDuplicate": false"#)
         .replace(r#""aim": 4000000, "hardLimit": 5000000, "semantics": "retryable""#, &aims)
 }
 
 /// Has one of two servers read a job, whichever has its turn first, and gives its connection.
-fn read_at(full: &Full, two: &TcpListener, address: SocketAddr, client: &mut Http, name: &str) -> Http {
+fn submit_until_read_by(
+    server: &BacklogListener,
+    two: &TcpListener,
+    address: SocketAddr,
+    client: &mut Http,
+    name: &str,
+) -> Http {
     client.submit("avail-search", &format!("{name}1"));
-    let mut job = Http::over(accept_any(&[&full.listener, two]));
+    let mut job = Http::from_stream(accept_any(&[&server.listener, two]));
     job.read();
-    if job.0.get_ref().local_addr().unwrap() != full.address {
+    if job.0.get_ref().local_addr().unwrap() != server.address {
         // It was the other's turn: the next job is the one.
-        serve(&mut job, address, &format!("{name}1"), "s-2");
+        accept_and_report_done(&mut job, address, &format!("{name}1"), "s-2");
         assert!(client.read().0.starts_with("HTTP/1.1 200"));
         client.submit("avail-search", &format!("{name}2"));
-        job = Http::accept(&full.listener);
+        job = Http::accept(&server.listener);
         job.read();
     }
     job
 }
 
 /// Takes a job and tells of its end on other connections.
-fn serve(job: &mut Http, address: SocketAddr, id: &str, from: &str) {
+fn accept_and_report_done(job: &mut Http, address: SocketAddr, id: &str, from: &str) {
     job.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     Http::connect(address).call_back(id, from, "done", "ok");
 }
@@ -58,9 +64,9 @@
 
 /// A client's end behind more than is held for it. Guards against a job that is sent on and on for nobody.
 #[test]
-fn a_client_s_end_behind_a_flood_is_seen() {
+fn a_disconnect_behind_more_input_than_is_buffered_is_noticed() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let mut client = Http::connect(address);
     client.submit("avail-search", "g1");
     let mut job = Http::accept(&worker);
@@ -68,63 +74,68 @@
     // Three times what a connection holds, then the end. What is written to a peer that reads it goes out at once.
     client.write(&"x".repeat(300 * 1024));
     drop(client);
-    until(|| counter(address, "left") == 1, "its end is not seen");
+    wait_until(|| counter(address, "left") == 1, "its end is not seen");
     assert_eq!(job.read().0, "", "the job that nobody waits for is not called off");
 }
 
 /// Half of a job's flood is a client's that stays: it gets its answer, and its connection is not used again.
 #[test]
-fn a_client_that_floods_and_stays_has_its_answer_and_a_close() {
+fn a_client_that_sends_excess_input_gets_its_answer_and_a_close() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let mut client = Http::connect(address);
     client.submit("avail-search", "g2");
     let mut job = Http::accept(&worker);
     job.read();
     client.write(&"x".repeat(300 * 1024));
-    serve(&mut job, address, "g2", "s-1");
+    accept_and_report_done(&mut job, address, "g2", "s-1");
     let (head, body) = client.read();
     assert!(head.starts_with("HTTP/1.1 200") && body == "ok", "{head}");
-    assert_eq!(value(&head, "connection").as_deref(), Some("close"));
+    assert_eq!(header_value(&head, "connection").as_deref(), Some("close"));
     assert_eq!(client.read().0, "");
 }
 
 /// An attempt fails and its client's end waits in the same turn of the loop, behind it. Guards against a further attempt
 /// for a client that has gone.
 #[test]
-fn no_further_attempt_begins_for_a_client_whose_end_came_in_the_same_turn() {
+fn no_retry_starts_after_the_client_disconnected_in_the_same_loop_pass() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let (program, address) = platform(nobody(), &[("s-1", dial_one), ("s-2", dial_two)]);
+    let (program, address) = platform(refusing_address(), &[("s-1", dial_one), ("s-2", dial_two)]);
     let mut client = Http::connect(address);
     client.submit("avail-search", "t1");
-    let mut job = Http::over(accept_any(&[&one, &two]));
+    let mut job = Http::from_stream(accept_any(&[&one, &two]));
     job.read();
-    freeze(&program);
+    suspend(&program);
     reset(job);
     drop(client);
-    thaw(&program);
-    until(|| counter(address, "left") == 1, "its end is not seen");
+    resume(&program);
+    wait_until(|| counter(address, "left") == 1, "its end is not seen");
     for listener in [&one, &two] {
-        assert_nothing_came(listener, "an attempt began after its client had gone");
+        assert_no_connection(listener, "an attempt began after its client had gone");
     }
 }
 
 /// A client goes while the connection for its job comes up. Guards against bytes that are queued for a connection and go
 /// out as it comes up.
 #[test]
-fn a_client_that_goes_while_a_connection_comes_up_has_nothing_sent() {
-    let full = Full::new();
-    let (_program, address) = start(&patient(nobody(), &[("s-1", full.address)]));
+fn a_job_is_not_sent_when_its_client_leaves_during_connect() {
+    let server = BacklogListener::filled();
+    let (_program, address) =
+        start_program(&slow_connect_config(refusing_address(), &[("s-1", server.address)]));
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "c1");
-    until(|| counter(address, "sent") == 1, "no attempt was decided");
+    wait_until(|| counter(address, "sent") == 1, "no attempt was decided");
     drop(client);
-    until(|| counter(address, "left") == 1, "its end is not seen");
-    let listener = full.open();
+    wait_until(|| counter(address, "left") == 1, "its end is not seen");
+    let listener = server.clear();
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "c2");
-    let (head, _) = Http::over(accept_request(&listener)).read();
-    assert_eq!(value(&head, "req-id").as_deref(), Some("c2"), "it went out for a client that had gone");
+    let (head, _) = Http::from_stream(accept_request(&listener)).read();
+    assert_eq!(
+        header_value(&head, "req-id").as_deref(),
+        Some("c2"),
+        "it went out for a client that had gone"
+    );
 }
 
 // Decided, not yet written.
@@ -132,25 +143,25 @@
 /// A server begins to drain while the connection for a job comes up. Guards against a send whose first byte goes out long
 /// after the drain was told.
 #[test]
-fn a_job_decided_for_a_server_that_drains_meanwhile_goes_elsewhere() {
-    let ((discovery, at), full, (other, dial)) = (listener(), Full::new(), listener());
-    let (_program, address) = start(&patient(at, &[("s-1", full.address)]));
+fn a_job_is_reassigned_when_its_server_drains_during_connect() {
+    let ((discovery, at), server, (other, dial)) = (listener(), BacklogListener::filled(), listener());
+    let (_program, address) = start_program(&slow_connect_config(at, &[("s-1", server.address)]));
     let mut watch = Http::accept(&discovery);
     confirm_list(&mut watch);
     watch.read();
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "d1");
-    until(|| counter(address, "sent") == 1, "no attempt was decided");
-    tells(
+    wait_until(|| counter(address, "sent") == 1, "no attempt was decided");
+    send_list_changes(
         &mut watch,
         8,
-        &[&host("s-1", full.address, "draining"), &host("s-2", dial, "up")].map(String::as_str),
+        &[&host("s-1", server.address, "draining"), &host("s-2", dial, "up")].map(String::as_str),
     );
     watch.read();
-    assert_no_request(&full.open(), "a draining server was sent a job");
+    assert_no_request(&server.clear(), "a draining server was sent a job");
     let mut job = Http::accept(&other);
     job.read();
-    serve(&mut job, address, "d1", "s-2");
+    accept_and_report_done(&mut job, address, "d1", "s-2");
     assert!(client.read().0.starts_with("HTTP/1.1 200"));
     assert_eq!((counter(address, "never_ran"), counter(address, "may_have_run")), (1, 0));
 }
@@ -158,37 +169,37 @@
 /// A server is started anew at the same address while the connection for a job comes up: it is cold, and what was decided
 /// for the one before it is decided again.
 #[test]
-fn a_job_decided_for_a_server_that_is_started_anew_meanwhile_is_decided_again() {
-    let ((discovery, at), full) = (listener(), Full::new());
-    let (_program, address) = start(&patient(at, &[("s-1", full.address)]));
+fn a_job_is_reassigned_when_its_server_restarts_during_connect() {
+    let ((discovery, at), server) = (listener(), BacklogListener::filled());
+    let (_program, address) = start_program(&slow_connect_config(at, &[("s-1", server.address)]));
     let mut watch = Http::accept(&discovery);
     confirm_list(&mut watch);
     watch.read();
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "b1");
-    until(|| counter(address, "sent") == 1, "no attempt was decided");
+    wait_until(|| counter(address, "sent") == 1, "no attempt was decided");
     let anew =
-        host("s-1", full.address, "up").replace(r#""born_ms": 0"#, &format!(r#""born_ms": {}"#, unix_ms()));
-    tells(&mut watch, 8, &[anew.as_str()]);
+        host("s-1", server.address, "up").replace(r#""born_ms": 0"#, &format!(r#""born_ms": {}"#, unix_ms()));
+    send_list_changes(&mut watch, 8, &[anew.as_str()]);
     watch.read();
-    let listener = full.open();
-    until(|| counter(address, "never_ran") >= 1, "it was written to the one that was started anew");
+    let listener = server.clear();
+    wait_until(|| counter(address, "never_ran") >= 1, "it was written to the one that was started anew");
     drop((listener, client));
 }
 
 /// The time in which a keyed job may be repeated ends while the connection for its repeat comes up. Guards against a
 /// repeat that its servers no longer know for one.
 #[test]
-fn a_repeat_whose_time_ends_while_its_connection_comes_up_is_not_written() {
-    let ((one, dial), full) = (listener(), Full::new());
+fn a_keyed_retry_is_not_sent_after_its_deduplication_window() {
+    let ((one, dial), server) = (listener(), BacklogListener::filled());
     let keyed = r#"{"name": "avail-search", "aim": 4000000, "hardLimit": 9000000, "semantics": "dedup",
         "keyScope": "all", "window": 400000}"#;
-    let text = patient(nobody(), &[("s-1", dial), ("s-2", full.address)]).replace(
+    let text = slow_connect_config(refusing_address(), &[("s-1", dial), ("s-2", server.address)]).replace(
         r#"{"name": "avail-search", "aim": 4000000, "hardLimit": 5000000, "semantics": "retryable"}"#,
         keyed,
     );
     assert!(text.contains("dedup"));
-    let (_program, address) = start(&text);
+    let (_program, address) = start_program(&text);
     // Whichever is first in the cycle: two jobs meet both servers.
     let mut clients: Vec<Http> = Vec::new();
     for id in ["w1", "w2"] {
@@ -200,35 +211,38 @@
     job.read();
     reset(job);
     // The reset one is decided for the other server, whose connection comes up when its time is over.
-    until(|| counter(address, "sent") >= 3, "no repeat was decided");
+    wait_until(|| counter(address, "sent") >= 3, "no repeat was decided");
     let began = Instant::now();
-    until(|| began.elapsed() > Duration::from_millis(500), "");
-    let listener = full.open();
+    wait_until(|| began.elapsed() > Duration::from_millis(500), "");
+    let listener = server.clear();
     // One of the two was decided for it first, and stands; the repeat does not.
     let mut came = Http::accept(&listener);
     came.read();
-    until(|| counter(address, "never_ran") == 1, "the repeat was written after its time");
+    wait_until(|| counter(address, "never_ran") == 1, "the repeat was written after its time");
     drop(clients);
 }
 
 /// Where no two attempts of a job may be out together: the call that gives the first up is still unwritten as the next
 /// connection is whole. Guards against two copies at once.
 #[test]
-fn the_next_attempt_waits_until_the_one_before_it_is_given_up() {
-    let (full, (two, dial_two)) = (Full::closed(), listener());
-    let text = hurried(&patient(nobody(), &[("s-1", full.address), ("s-2", dial_two)]), 2_000_000);
-    let (_program, address) = start(&text);
+fn a_retry_waits_until_the_cancel_of_the_first_attempt_is_answered() {
+    let (server, (two, dial_two)) = (BacklogListener::empty(), listener());
+    let text = with_start_deadline(
+        &slow_connect_config(refusing_address(), &[("s-1", server.address), ("s-2", dial_two)]),
+        2_000_000,
+    );
+    let (_program, address) = start_program(&text);
     let mut client = Http::connect(address);
-    let mut job = read_at(&full, &two, address, &mut client, "x");
+    let mut job = submit_until_read_by(&server, &two, address, &mut client, "x");
     let sent = counter(address, "sent");
-    full.fill();
+    server.fill();
     job.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    until(|| counter(address, "sent") == sent + 1, "it was not given up");
+    wait_until(|| counter(address, "sent") == sent + 1, "it was not given up");
     let next = accept_any(&[&two]);
     next.set_nonblocking(true).unwrap();
     assert!(next.peek(&mut [0]).is_err(), "a second copy went out beside the first");
     next.set_nonblocking(false).unwrap();
-    let mut delete = Http::over(accept_request(&full.open()));
+    let mut delete = Http::from_stream(accept_request(&server.clear()));
     let (head, _) = delete.read();
     assert!(head.starts_with("DELETE /jobs/x"), "{head:?}");
     // Written is not told: only the answer says that it came.
@@ -237,40 +251,46 @@
     assert!(next.peek(&mut [0]).is_err(), "a second copy went out before the first was given up");
     next.set_nonblocking(false).unwrap();
     delete.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    let (head, _) = Http::over(next).read();
+    let (head, _) = Http::from_stream(next).read();
     assert!(head.starts_with("POST /avail-search"), "{head}");
 }
 
 /// The same where the call that gives it up cannot be written at all. Guards against a copy that goes out all the same.
 #[test]
-fn what_cannot_be_given_up_is_not_sent_a_second_time() {
-    let (full, (two, dial_two)) = (Full::closed(), listener());
-    let text = hurried(&config(256, nobody(), &[("s-1", full.address), ("s-2", dial_two)]), 600_000);
-    let (_program, address) = start(&text);
+fn a_job_is_not_retried_when_its_cancel_cannot_be_sent() {
+    let (server, (two, dial_two)) = (BacklogListener::empty(), listener());
+    let text = with_start_deadline(
+        &config(256, refusing_address(), &[("s-1", server.address), ("s-2", dial_two)]),
+        600_000,
+    );
+    let (_program, address) = start_program(&text);
     let mut client = Http::connect(address);
-    let mut job = read_at(&full, &two, address, &mut client, "n");
-    full.fill();
+    let mut job = submit_until_read_by(&server, &two, address, &mut client, "n");
+    server.fill();
     job.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     // Three calls do not come up, each within the time for that.
     assert!(client.read().0.starts_with("HTTP/1.1 503"));
     let next = accept_any(&[&two]);
-    next.set_read_timeout(Some(PATIENCE)).unwrap();
+    next.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert!(!matches!(next.peek(&mut [0]), Ok(1)), "a second copy went out beside the first");
 }
 
 /// The server took the job and its 202 was lost on the way: the close of the connection gives nothing up there. Guards
 /// against a second copy beside the one that runs.
 #[test]
-fn a_close_alone_does_not_give_up_what_may_have_been_taken() {
+fn closing_the_connection_does_not_cancel_a_job_that_may_run() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let text = hurried(&config(256, nobody(), &[("s-1", dial_one), ("s-2", dial_two)]), 600_000);
-    let (_program, address) = start(&text);
+    let text = with_start_deadline(
+        &config(256, refusing_address(), &[("s-1", dial_one), ("s-2", dial_two)]),
+        600_000,
+    );
+    let (_program, address) = start_program(&text);
     let mut client = Http::connect(address);
     client.submit("avail-search", "l1");
-    let mut job = Http::over(accept_any(&[&one, &two]));
+    let mut job = Http::from_stream(accept_any(&[&one, &two]));
     job.read();
-    let at_one = job.0.get_ref().local_addr().unwrap() == dial_one;
-    let (first, other) = if at_one { (&one, &two) } else { (&two, &one) };
+    let is_first = job.0.get_ref().local_addr().unwrap() == dial_one;
+    let (first, other) = if is_first { (&one, &two) } else { (&two, &one) };
     assert_eq!(job.read().0, "", "it says nothing, and is closed by its aim");
     let mut delete = Http::accept(first);
     assert!(delete.read().0.starts_with("DELETE /jobs/l1"));
@@ -279,21 +299,24 @@
     assert!(next.peek(&mut [0]).is_err(), "a second copy went out before the first was given up");
     next.set_nonblocking(false).unwrap();
     delete.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-    assert!(Http::over(next).read().0.starts_with("POST /avail-search"));
+    assert!(Http::from_stream(next).read().0.starts_with("POST /avail-search"));
 }
 
 /// An attempt is given up and the next is out; then the first tells its end, and its start. Guards against the news of one
 /// that count for the other.
 #[test]
-fn the_end_of_an_attempt_that_was_given_up_is_not_the_next_one_s() {
+fn call_backs_of_a_cancelled_attempt_do_not_complete_the_next_one() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let text = hurried(&config(256, nobody(), &[("s-1", dial_one), ("s-2", dial_two)]), 300_000);
-    let (_program, address) = start(&text);
+    let text = with_start_deadline(
+        &config(256, refusing_address(), &[("s-1", dial_one), ("s-2", dial_two)]),
+        300_000,
+    );
+    let (_program, address) = start_program(&text);
     let mut client = Http::connect(address);
     client.submit("avail-search", "o1");
-    let mut job = Http::over(accept_any(&[&one, &two]));
+    let mut job = Http::from_stream(accept_any(&[&one, &two]));
     job.read();
-    job.take();
+    job.send_accepted();
     let first = if job.0.get_ref().local_addr().unwrap() == dial_one { "s-1" } else { "s-2" };
     let (other, second) = if first == "s-1" { (&two, "s-2") } else { (&one, "s-1") };
     // It does not start by its aim: given up, and sent to the other.
@@ -301,7 +324,7 @@
     job.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     let mut next = Http::accept(other);
     next.read();
-    next.take();
+    next.send_accepted();
     let mut calls = Http::connect(address);
     calls.call_back("o1", first, "started", "");
     calls.call_back("o1", first, "done", "of the one that was given up");
@@ -316,35 +339,39 @@
 /// A second copy of the answer that turned a job away comes as the connection could be used again. Guards against a job
 /// that is held never to have run by another's answer, and runs twice.
 #[test]
-fn a_second_copy_of_a_refusal_is_not_the_next_job_s_answer() {
+fn a_duplicate_refusal_is_not_taken_for_the_next_job_s_response() {
     let (worker, dial) = listener();
-    let (program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let (mut first, mut client) = (Http::connect(address), Http::connect(address));
     first.submit("confirm-booking", "r0");
     let mut conn = Http::accept(&worker);
     conn.read();
-    conn.take();
+    conn.send_accepted();
     let mut calls = Http::connect(address);
     // Once this is acknowledged the 202 before it has been read.
     calls.call_back("r0", "s-1", "started", "");
     client.submit("confirm-booking", "r1");
     let (head, _) = conn.read();
-    assert_eq!(value(&head, "req-id").as_deref(), Some("r1"), "it comes on the same connection: {head}");
+    assert_eq!(
+        header_value(&head, "req-id").as_deref(),
+        Some("r1"),
+        "it comes on the same connection: {head}"
+    );
     // In one turn: the refusal, and the end of the other job, whose report says that there is room.
-    freeze(&program);
+    suspend(&program);
     let refusal = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
     conn.write(refusal);
     let done = r#"{"id":"r0","from":"s-1","state":"done","result":"ok","load":{"queue":0,"x0":5}}"#;
     calls.write(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{done}", done.len()));
-    thaw(&program);
+    resume(&program);
     assert!(first.read().0.starts_with("HTTP/1.1 200"));
     // It is sent again at once, on a connection that has said nothing yet.
     let mut again = Http::accept(&worker);
     let (head, _) = again.read();
-    assert_eq!(value(&head, "req-id").as_deref(), Some("r1"), "{head}");
+    assert_eq!(header_value(&head, "req-id").as_deref(), Some("r1"), "{head}");
     conn.write(refusal);
     assert_eq!(conn.read().0, "", "bytes that nobody asked for end it");
-    serve(&mut again, address, "r1", "s-1");
+    accept_and_report_done(&mut again, address, "r1", "s-1");
     assert!(client.read().0.starts_with("HTTP/1.1 200"));
     assert_eq!((counter(address, "sent"), counter(address, "never_ran")), (3, 1));
 }
@@ -352,21 +379,21 @@
 /// All connections to servers are in use, by those that hang. Guards against healthy servers that are held to have
 /// failed as this process has no connection left.
 #[test]
-fn with_no_connection_left_a_job_is_refused_and_no_server_is_held_to_have_failed() {
+fn running_out_of_connections_refuses_the_job_and_ejects_no_server() {
     let servers: Vec<_> = (0..6).map(|_| listener()).collect();
-    let doors: Vec<&TcpListener> = servers.iter().map(|(door, _)| door).collect();
+    let listeners: Vec<&TcpListener> = servers.iter().map(|(listener, _)| listener).collect();
     let names: Vec<String> = (0..6).map(|at| format!("s-{at}")).collect();
     let hosts: Vec<_> = names.iter().map(String::as_str).zip(servers.iter().map(|(_, dial)| *dial)).collect();
     // 64 descriptors: four connections to servers.
-    let text =
-        config(64, nobody(), &hosts).replace(r#""name": "n0""#, r#""name": "n0", "console": "127.0.0.1:0""#);
+    let text = config(64, refusing_address(), &hosts)
+        .replace(r#""name": "n0""#, r#""name": "n0", "console": "127.0.0.1:0""#);
     let mut program = Program::start(Some(&text), None);
-    let (address, console) = (program.address(), program.address());
+    let (address, console) = (program.read_address(), program.read_address());
     let mut held = Vec::new();
     for at in 0..4 {
         let mut client = Http::connect(address);
         client.submit("confirm-booking", &format!("m{at}"));
-        let mut job = Http::over(accept_any(&doors));
+        let mut job = Http::from_stream(accept_any(&listeners));
         job.read();
         held.push((client, job));
     }
@@ -383,17 +410,17 @@
 /// A refusal without a length is cut off by a reset. Guards against half an answer that counts as a whole one, and a job
 /// that runs twice as it is held never to have run.
 #[test]
-fn an_answer_that_a_reset_cuts_off_is_no_answer() {
+fn a_response_cut_off_by_a_reset_is_not_complete() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let (program, address) = platform(nobody(), &[("s-1", dial_one), ("s-2", dial_two)]);
+    let (program, address) = platform(refusing_address(), &[("s-1", dial_one), ("s-2", dial_two)]);
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "k1");
-    let mut job = Http::over(accept_any(&[&one, &two]));
+    let mut job = Http::from_stream(accept_any(&[&one, &two]));
     job.read();
-    freeze(&program);
+    suspend(&program);
     job.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\n\r\nas it see");
     reset(job);
-    thaw(&program);
+    resume(&program);
     assert!(client.read().0.starts_with("HTTP/1.1 500"), "it may have run");
     assert_eq!((counter(address, "sent"), counter(address, "may_have_run")), (1, 1));
 }
@@ -403,47 +430,47 @@
 /// A list without a length that a reset cuts off, which reads well as far as it came. Guards against servers that are
 /// taken for gone.
 #[test]
-fn a_list_that_a_reset_cuts_off_is_not_taken() {
+fn a_list_cut_off_by_a_reset_is_not_applied() {
     let ((discovery, at), (_worker, dial)) = (listener(), listener());
     let (program, _) = platform(at, &[("s-1", dial)]);
     let mut watch = Http::accept(&discovery);
     watch.read();
-    freeze(&program);
+    suspend(&program);
     watch.write("HTTP/1.1 200 OK\r\n\r\n{\"seq\": 99, \"whole\": true, \"hosts\": []}");
     reset(watch);
-    thaw(&program);
+    resume(&program);
     let (head, _) = Http::accept(&discovery).read();
     assert!(head.contains("since=7&"), "{head}");
 }
 
 /// A late copy of the service tells an older version. Guards against a drain that is forgotten again.
 #[test]
-fn an_older_version_is_passed_over_and_asked_for_whole_when_it_comes_again() {
+fn an_older_list_version_is_ignored_and_a_second_one_requests_the_whole_list() {
     let ((discovery, at), (_worker, dial)) = (listener(), listener());
     let (_program, _address) = platform(at, &[("s-1", dial)]);
     let mut watch = Http::accept(&discovery);
     watch.read();
-    tells(&mut watch, 9, &[&host("s-1", dial, "draining")]);
+    send_list_changes(&mut watch, 9, &[&host("s-1", dial, "draining")]);
     assert!(watch.read().0.contains("since=9&"));
-    tells(&mut watch, 8, &[&host("s-1", dial, "up")]);
+    send_list_changes(&mut watch, 8, &[&host("s-1", dial, "up")]);
     let mut again = Http::accept(&discovery);
     let (head, _) = again.read();
     assert!(head.contains("since=9&"), "{head}");
-    tells(&mut again, 8, &[&host("s-1", dial, "up")]);
+    send_list_changes(&mut again, 8, &[&host("s-1", dial, "up")]);
     let (head, _) = Http::accept(&discovery).read();
     assert!(head.starts_with("GET /discovery/hosts HTTP"), "it counts anew: {head}");
 }
 
 /// A call on a kept connection crosses its closing. Guards against a pause as after a failure, with no watch open.
 #[test]
-fn a_call_that_crosses_the_closing_of_its_connection_is_made_again_at_once() {
+fn a_watch_on_a_connection_closed_by_the_service_is_retried_at_once() {
     let ((discovery, at), (_worker, dial)) = (listener(), listener());
     let text =
         config(256, at, &[("s-1", dial)]).replace(r#""askWithin": 4000000"#, r#""askWithin": 40000000"#);
-    let (_program, _) = start(&text);
+    let (_program, _) = start_program(&text);
     let mut watch = Http::accept(&discovery);
     watch.read();
-    tells(&mut watch, 8, &[]);
+    send_list_changes(&mut watch, 8, &[]);
     // The next call is written, and the end is its only answer.
     assert!(watch.read().0.contains("since=8&"));
     let began = Instant::now();
@@ -459,26 +486,26 @@
 /// The old service answers in the turn in which SIGHUP names another. Guards against versions of two services that are
 /// compared with one another, and against an answer of the old one that ends the new one's call.
 #[test]
-fn an_answer_of_the_old_service_does_not_cross_the_change_to_a_new_one() {
+fn an_answer_of_the_old_discovery_service_is_dropped_after_a_switch() {
     let ((old, old_at), (new, new_at), (_worker, dial)) = (listener(), listener(), listener());
     let text = config(256, old_at, &[("s-1", dial)]);
-    let (mut program, address) = start(&text);
+    let (mut program, address) = start_program(&text);
     let mut watch = Http::accept(&old);
     confirm_list(&mut watch);
     watch.read();
-    freeze(&program);
+    suspend(&program);
     std::fs::write(
         program.files[0].as_ref().unwrap(),
         text.replace(&old_at.to_string(), &new_at.to_string()),
     )
     .unwrap();
     program.signal("HUP");
-    tells(&mut watch, 70, &[]);
-    thaw(&program);
-    assert_eq!(program.line(), "micabeam: the configuration was read again\n");
+    send_list_changes(&mut watch, 70, &[]);
+    resume(&program);
+    assert_eq!(program.next_plain_line(), "micabeam: the configuration was read again\n");
     let mut next = Http::accept(&new);
     assert!(next.read().0.starts_with("GET /discovery/hosts HTTP"), "the whole list is asked for");
-    tells(&mut next, 3, &[&host("s-1", dial, "up")]);
+    send_list_changes(&mut next, 3, &[&host("s-1", dial, "up")]);
     assert!(next.read().0.contains("since=3&"));
     assert!(counter(address, "lists") <= 2);
 }
@@ -488,50 +515,50 @@
 /// More connections wait in the backlog than are accepted in a turn as the last job ends. Guards against an exit that
 /// resets requests that the machine has taken.
 #[test]
-fn what_waits_in_the_backlog_at_the_exit_is_answered() {
+fn requests_in_the_backlog_at_exit_are_answered() {
     let (worker, dial) = listener();
-    let (program, address) = platform_with(512, nobody(), &[("s-1", dial)]);
+    let (program, address) = platform_with_sockets(512, refusing_address(), &[("s-1", dial)]);
     let (mut client, mut idle) = (Http::connect(address), Http::connect(address));
     client.submit("confirm-booking", "e1");
     let mut job = Http::accept(&worker);
     job.read();
-    job.take();
+    job.send_accepted();
     let mut calls = Http::connect(address);
     calls.call_back("e1", "s-1", "started", "");
     idle.write("GET /up HTTP/1.1\r\n\r\n");
     idle.read();
     program.signal("TERM");
     assert_eq!(idle.read().0, "", "past the last call idle connections end");
-    freeze(&program);
+    suspend(&program);
     let done = r#"{"id":"e1","from":"s-1","state":"done","result":"ok"}"#;
     calls.write(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{done}", done.len()));
     let mut crowd: Vec<Http> = (0..150).map(|_| Http::connect(address)).collect();
     for (at, one) in crowd.iter_mut().enumerate() {
         one.submit("confirm-booking", &format!("f{at}"));
     }
-    thaw(&program);
+    resume(&program);
     assert!(client.read().0.starts_with("HTTP/1.1 200"));
     for (at, one) in crowd.iter_mut().enumerate() {
         let (head, _) = one.read();
         assert!(head.starts_with("HTTP/1.1 503"), "{at} of 150 got {head:?}");
     }
     drop((crowd, client, calls, idle));
-    let (well, log) = program.wait();
-    assert!(well, "{log}");
-    all_ended(&log);
+    let (exited_cleanly, log) = program.wait();
+    assert!(exited_cleanly, "{log}");
+    assert_all_ended(&log);
 }
 
 /// A request crosses the closing of a resting connection at a stop. Guards against a reset, which would take an answer
 /// under way with it, and against a request that is read after the closing and sent on.
 #[test]
-fn a_request_that_crosses_the_closing_of_its_connection_is_neither_sent_on_nor_reset() {
+fn a_request_arriving_after_the_idle_close_is_neither_sent_on_nor_reset() {
     let (worker, dial) = listener();
-    let (program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let (mut client, mut resting) = (Http::connect(address), Http::connect(address));
     client.submit("confirm-booking", "q1");
     let mut job = Http::accept(&worker);
     job.read();
-    job.take();
+    job.send_accepted();
     resting.write("GET /up HTTP/1.1\r\n\r\n");
     resting.read();
     program.signal("TERM");
@@ -540,30 +567,30 @@
     resting.submit("confirm-booking", "q2");
     Http::connect(address).call_back("q1", "s-1", "done", "ok");
     assert!(client.read().0.starts_with("HTTP/1.1 200"));
-    assert_nothing_came(&worker, "a request read after the shutdown was sent on");
+    assert_no_connection(&worker, "a request read after the shutdown was sent on");
     // Its end is an end, and no reset: what it had been sent could have been lost with that.
     assert!(resting.0.get_ref().take_error().unwrap().is_none(), "it was reset");
     drop((client, resting));
-    let (well, log) = program.wait();
-    assert!(well && told(&log, "sent") == 1, "{log}");
+    let (exited_cleanly, log) = program.wait();
+    assert!(exited_cleanly && logged_counter(&log, "sent") == 1, "{log}");
 }
 
 /// Signals that cross: SIGTERM twice, SIGHUP between them, in one turn of the loop, with a job in flight.
 #[test]
-fn signals_that_come_together_end_it_once_and_lose_nothing() {
+fn signals_arriving_together_stop_once_and_lose_no_job() {
     let (worker, dial) = listener();
-    let (mut program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (mut program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "s1");
     let mut job = Http::accept(&worker);
     job.read();
-    job.take();
-    freeze(&program);
+    job.send_accepted();
+    suspend(&program);
     for name in ["TERM", "HUP", "TERM"] {
         program.signal(name);
     }
-    thaw(&program);
-    let said = [program.line(), program.line()];
+    resume(&program);
+    let said = [program.next_plain_line(), program.next_plain_line()];
     assert!(
         said.iter().any(|line| line.contains("stopping"))
             && said.iter().any(|line| line.contains("read again"))
@@ -572,8 +599,8 @@
     Http::connect(address).call_back("s1", "s-1", "done", "ok");
     assert!(client.read().0.starts_with("HTTP/1.1 200"));
     drop(client);
-    let (well, log) = program.wait();
-    assert!(well, "{log}");
+    let (exited_cleanly, log) = program.wait();
+    assert!(exited_cleanly, "{log}");
 }
 
 // Descriptors.
@@ -581,7 +608,7 @@
 /// Idle clients fill the descriptors while discovery is down. Guards against a program that has none left for discovery,
 /// call-backs, servers or the front's question, one that spins, and one that is not ready after a restart.
 #[test]
-fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
+fn idle_clients_do_not_exhaust_the_descriptors_while_discovery_is_down() {
     let (worker, dial) = listener();
     // Bound and not listening: it is down, and comes back at the same address.
     let down = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -591,8 +618,8 @@
     let text = config(1024, at, &[("s-1", dial)]);
     for id in ["o1", "o2"] {
         let began = Instant::now();
-        let mut program = bounded(128, &text);
-        let address = program.address();
+        let mut program = start_with_fd_limit(128, &text);
+        let address = program.read_address();
         let crowd: Vec<Http> = (0..300).map(|_| Http::connect(address)).collect();
         let mut up = Http::connect(address);
         up.write("GET /up HTTP/1.1\r\n\r\n");
@@ -602,11 +629,11 @@
         client.submit("confirm-booking", id);
         let mut job = Http::accept(&worker);
         job.read();
-        serve(&mut job, address, id, "s-1");
+        accept_and_report_done(&mut job, address, id, "s-1");
         assert!(client.read().0.starts_with("HTTP/1.1 200"));
         // At rest it does not spin: a turn of the loop for each sweep, and no more.
         let (spent, since) = (cpu_ticks(&program), Instant::now());
-        until(|| since.elapsed() > Duration::from_millis(700), "");
+        wait_until(|| since.elapsed() > Duration::from_millis(700), "");
         let ticks = cpu_ticks(&program) - spent;
         assert!(ticks < 20, "{ticks} hundredths of a second of 70");
         if id == "o2" {
--- a/tests/cycle.rs
+++ b/tests/cycle.rs
@@ -90,8 +90,9 @@
     for _ in 0..12 {
         world.now += 20 * MS;
         let (job, actions) = world.job(0);
-        let scheduled = asked(&actions).expect("the scheduled endpoint is probed");
-        let next = asked(&world.probed(scheduled, 0.0)).expect("the job overflows from a full endpoint");
+        let scheduled = probed_endpoint(&actions).expect("the scheduled endpoint is probed");
+        let next =
+            probed_endpoint(&world.probed(scheduled, 0.0)).expect("the job overflows from a full endpoint");
         assert_eq!(sent(&world.probed(next, 1.0)), Some(next));
         world.ended(job, 0, next, Outcome::Served);
         assert_eq!(*followers.entry(scheduled).or_insert(next), next, "the order changed");
@@ -115,7 +116,7 @@
     let members: Vec<Endpoint> = (1..=3).map(|id| member(id, 1.0)).collect();
     let mut world = World::new(probing(), &members);
     let (_, actions) = world.job(0);
-    (world, asked(&actions).unwrap())
+    (world, probed_endpoint(&actions).unwrap())
 }
 
 /// Incident ifc9b7b: a job that needs several slots waits at the head of a queue and leaves one slot free,
@@ -125,12 +126,12 @@
     let (mut world, scheduled) = world_with_one_probe();
     world.probed(scheduled, 4.0);
     world.now += 20 * MS;
-    let scheduled = asked(&world.job(0).1).expect("the next turn");
+    let scheduled = probed_endpoint(&world.job(0).1).expect("the next turn");
     let report = LoadReport { free_slots: Some(2.0), held: Some(11.0), ..LoadReport::default() };
     let probed = Event::Probed { endpoint: scheduled, answered: true, latency: MS, report };
     let actions = world.handle(probed);
     assert_eq!(sent(&actions), None);
-    assert!(asked(&actions).is_some_and(|next| next != scheduled));
+    assert!(probed_endpoint(&actions).is_some_and(|next| next != scheduled));
 }
 
 /// Sends `jobs` jobs to the first of two endpoints with two slots each, then one job for each entry of
@@ -141,7 +142,7 @@
     let mut job = |free: f64| {
         world.now += 20 * MS;
         let (_, actions) = world.job(0);
-        let asked = asked(&actions).unwrap();
+        let asked = probed_endpoint(&actions).unwrap();
         let free = |endpoint_id| if endpoint_id == EndpointId(1) { free } else { 0.5 };
         let actions = world.probed(asked, free(asked));
         let next = EndpointId(3 - asked.0);
@@ -187,7 +188,7 @@
     let report = LoadReport { held: Some(3.0), ..LoadReport::default() };
     let mut actions = vec![Action::Probe { endpoint: scheduled }];
     for _ in 0..4 {
-        if let Some(endpoint_id) = asked(&actions) {
+        if let Some(endpoint_id) = probed_endpoint(&actions) {
             actions =
                 world.handle(Event::Probed { endpoint: endpoint_id, answered: true, latency: MS, report });
         }
--- a/tests/ending_connections.rs
+++ b/tests/ending_connections.rs
@@ -19,9 +19,9 @@
 /// 0.2 ms before the job was written on the same connection, which was reset 0.02 to 4 ms after. (The log of the entry, a `DELETE`
 /// of an earlier job, was the end of that one's time: the fourth job had its answer long before.)
 #[test]
-fn a_job_that_must_not_run_twice_does_not_cross_the_end_of_a_connection_that_was_just_used() {
+fn an_unsafe_job_is_not_written_on_a_connection_that_the_server_is_closing() {
     let (worker, dial) = listener();
-    let (program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (program, address) = platform(refusing_address(), &[("s-1", dial)]);
     // A round counts where the end followed soon, as it does unless the machine is very busy.
     for round in 0..20 {
         let ids = [format!("a{round}"), format!("b{round}")];
@@ -30,23 +30,23 @@
         let mut first = Http::accept(&worker);
         first.read();
         let sent = counter(address, "sent");
-        freeze(&program);
-        first.take();
+        suspend(&program);
+        first.send_accepted();
         clients[1].submit("confirm-booking", &ids[1]);
         let began = Instant::now();
-        thaw(&program);
-        until(|| counter(address, "sent") > sent, "the second job is not sent");
+        resume(&program);
+        wait_until(|| counter(address, "sent") > sent, "the second job is not sent");
         // It ends over what it has not read, as the end of an idle connection that crosses a request does.
         drop(first);
         if began.elapsed() > Duration::from_millis(40) {
             drop(clients);
-            until(|| counter(address, "left") == 2 * (round + 1), "their ends are not seen");
+            wait_until(|| counter(address, "left") == 2 * (round + 1), "their ends are not seen");
             continue;
         }
         let mut second = Http::accept(&worker);
         let (head, _) = second.read();
         assert!(head.contains(&ids[1]), "it was written on a connection that was ending: {head}");
-        second.take();
+        second.send_accepted();
         for (client, id) in clients.iter_mut().zip(&ids) {
             Http::connect(address).call_back(id, "s-1", "done", "ok");
             assert!(client.read().0.starts_with("HTTP/1.1 200"));
@@ -63,9 +63,9 @@
 /// had been sent as the queue there was just as long as it might wait; now the queue was longer than what was left. What showed it:
 /// `lb_held_total{reason="queue"}`, and each attempt logged.
 #[test]
-fn a_job_whose_kept_connection_ends_before_it_is_written_goes_on_another_at_once() {
+fn a_job_whose_kept_connection_closes_before_the_write_uses_another_at_once() {
     let (worker, dial) = listener();
-    let (program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (program, address) = platform(refusing_address(), &[("s-1", dial)]);
     for round in 0..20 {
         let ids: Vec<String> = (0..4).map(|number| format!("k{round}-{number}")).collect();
         let mut clients: Vec<Http> = ids.iter().map(|_| Http::connect(address)).collect();
@@ -77,16 +77,16 @@
             connections.push(connection);
         }
         let sent = counter(address, "sent");
-        freeze(&program);
-        connections[2].take();
+        suspend(&program);
+        connections[2].send_accepted();
         clients[3].submit("confirm-booking", &ids[3]);
         let began = Instant::now();
-        thaw(&program);
-        until(|| counter(address, "sent") > sent, "the fourth job is not sent");
+        resume(&program);
+        wait_until(|| counter(address, "sent") > sent, "the fourth job is not sent");
         drop(connections.pop());
         if began.elapsed() > Duration::from_millis(40) {
             drop(clients);
-            until(|| counter(address, "left") == 4 * (round + 1), "their ends are not seen");
+            wait_until(|| counter(address, "left") == 4 * (round + 1), "their ends are not seen");
             continue;
         }
         let mut fourth = Http::accept(&worker);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -48,7 +48,7 @@
             now += 100 * MS;
             let mut out = Vec::new();
             dispatcher.handle(now, job(id, 2, now), &mut out);
-            while let Some(worker) = asked(&out) {
+            while let Some(worker) = probed_endpoint(&out) {
                 (probes, now) = (probes + 1, now + 5 * MS);
                 let some = f64::from(u8::from(free.contains(&worker)));
                 let report =
@@ -267,7 +267,7 @@
             let (at, safe) = (now + id * 300 * MS, id % 2 == 0);
             let mut out = Vec::new();
             dispatcher.handle(at, job(id, if safe { 0 } else { 2 }, at), &mut out);
-            while let Some(worker) = asked(&out) {
+            while let Some(worker) = probed_endpoint(&out) {
                 probes += 1;
                 let (answered, report) =
                     (worker != bad, LoadReport { free_slots: Some(1.0), ..LoadReport::default() });
--- a/tests/gearman.rs
+++ b/tests/gearman.rs
@@ -57,7 +57,7 @@
         )
     };
     let mut program = net::Program::start(None, Some(&text(2)));
-    let address = program.address();
+    let address = program.read_address();
     let (mut worker, mut client) = (Gear::worker(address, &["confirm"]), Gear::connect(address));
     let handle = client.submit("confirm", "u1", "site 12");
     assert_eq!(worker.fetch().unwrap().0, handle);
@@ -364,6 +364,6 @@
     let begun = std::time::Instant::now();
     let (well, text) = program.wait();
     assert!(well && begun.elapsed() < std::time::Duration::from_secs(8), "{:?}", begun.elapsed());
-    net::all_ended(&text);
+    net::assert_all_ended(&text);
     writer.join().unwrap();
 }
--- a/tests/identity.rs
+++ b/tests/identity.rs
@@ -13,7 +13,7 @@
 
 use gear::*;
 use micabeam::frontend::gearman::packets::kind;
-use net::{PATIENCE, Program, file};
+use net::{Program, TEST_TIMEOUT, file};
 use rcgen::{
     BasicConstraints, CertificateParams, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair, KeyUsagePurpose,
     SanType,
@@ -109,7 +109,7 @@
         None => config.with_no_client_auth(),
     };
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let name = ServerName::try_from("micabeam").unwrap();
     let tls = ClientConnection::new(Arc::new(config), name).unwrap();
     Gear(Box::new(StreamOwned::new(tls, stream)))
@@ -187,7 +187,7 @@
     assert!(takes(address, Some(&old_desk)) && !takes(address, Some(&new_desk)));
     let until = |text: &str, path: &Path, leaf: &Leaf| {
         std::fs::write(path, text).unwrap();
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while !takes(address, Some(leaf)) {
             assert!(Instant::now() < end, "the files were not read again");
             std::thread::sleep(Duration::from_millis(20));
@@ -198,7 +198,7 @@
     std::fs::write(&bundle, "no certificate").unwrap();
     assert!(
         program
-            .err
+            .stderr
             .by_ref()
             .lines()
             .map(Result::unwrap)
--- a/tests/list_freshness.rs
+++ b/tests/list_freshness.rs
@@ -56,7 +56,7 @@
         let known = [("s-1", removed.address), ("s-2", alive.address)];
         let text = fleet_member(number, dispatchers, discovery, &known);
         let mut program = Program::start(Some(&text), None);
-        let address = program.address();
+        let address = program.read_address();
         removed.serve(address);
         alive.serve(address);
         Restarted { program, address, removed, alive }
@@ -94,7 +94,7 @@
     let service = std::cell::RefCell::new(None);
     let restarted = Restarted::start(0, 3, |hosts| {
         let discovery = StandInDiscovery::start(9, hosts);
-        discovery.treat(mode, calls);
+        discovery.set_mode(mode, calls);
         let address = discovery.address;
         *service.borrow_mut() = Some(discovery);
         address
@@ -137,7 +137,7 @@
     let discovery = StandInDiscovery::start(8, &[first, second.clone()].join(","));
     let known = [("s-1", removed.address), ("s-2", alive.address)];
     let mut program = Program::start(Some(&fleet_member(0, 3, discovery.address, &known)), None);
-    let address = program.address();
+    let address = program.read_address();
     removed.serve(address);
     alive.serve(address);
     wait_until_ready(address, READY_WITHIN);
@@ -148,14 +148,14 @@
         client.write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
         client.read();
     }
-    crossing::freeze(&program);
+    crossing::suspend(&program);
     let before = removed.jobs();
     discovery.publish(9, &second);
     for (number, client) in clients.iter_mut().enumerate() {
         client.submit("avail-search", &format!("held-{number}"));
     }
     thread::sleep(Duration::from_secs(10));
-    crossing::thaw(&program);
+    crossing::resume(&program);
     for client in &mut clients {
         // The class's time is over for some: a rejection does no harm.
         assert!(!client.read().0.is_empty());
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -13,20 +13,20 @@
 
 /// A change counts as told so long after discovery is back, and a drain has to be followed so long after that.
 const NOTIFICATION_BOUND: Micros = 6 * SECOND;
-const GRACE: Micros = 2 * SECOND;
+const DRAIN_GRACE: Micros = 2 * SECOND;
 /// A call that has waited so long fails, and takes its time all the same.
-const PATIENCE: Micros = 3 * SECOND;
+const CALL_TIMEOUT: Micros = 3 * SECOND;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
+enum Due {
     Wake,
     Failed,
-    Told,
+    Listed,
 }
 
 /// How a call that comes while discovery is down ends.
 #[derive(Clone, Copy, Debug)]
-enum Down {
+enum Fault {
     /// It is refused at once.
     Refuses,
     /// It is silent, and given up by its caller.
@@ -36,22 +36,22 @@
 struct Outage {
     dispatchers: u32,
     /// Until when it is down, from second 100 on.
-    back: Micros,
+    ends_at: Micros,
     /// Time that it has for a call.
-    each: Micros,
-    down: Down,
+    service_time: Micros,
+    fault: Fault,
 }
 
 impl Outage {
     const START: Micros = 100 * SECOND;
 
     /// After which a silent call is given up, as `front/discovery.rs` does.
-    fn given_up(&self) -> Micros {
+    fn call_timeout(&self) -> Micros {
         if self.dispatchers > Settings::LARGE_FLEET { 3500 * MS } else { 2500 * MS }
     }
 
     /// When each dispatcher had its list again after discovery was back, and the most calls in a second.
-    fn play(&self, seed: u64) -> (Vec<Micros>, usize) {
+    fn simulate(&self, seed: u64) -> (Vec<Micros>, usize) {
         let members = [member(1, 1.0), member(2, 1.0)];
         let mut fleet: Vec<Router> = (0..self.dispatchers)
             .map(|number| {
@@ -62,37 +62,37 @@
             })
             .collect();
         // All watches end as it goes down.
-        let mut due: BinaryHeap<Reverse<(Micros, usize, Next)>> =
-            (0..fleet.len()).map(|n| Reverse((Outage::START, n, Next::Failed))).collect();
-        let (mut busy, mut told, mut calls) = (0, vec![None; fleet.len()], Vec::new());
+        let mut due: BinaryHeap<Reverse<(Micros, usize, Due)>> =
+            (0..fleet.len()).map(|n| Reverse((Outage::START, n, Due::Failed))).collect();
+        let (mut busy, mut received, mut calls) = (0, vec![None; fleet.len()], Vec::new());
         for (n, dispatcher) in fleet.iter_mut().enumerate() {
             dispatcher.handle(Outage::START - SECOND, Event::List(&members), &mut Vec::new());
-            assert!(told[n].is_none());
+            assert!(received[n].is_none());
         }
         while let Some(Reverse((now, n, next))) = due.pop() {
-            if now > self.back + 60 * SECOND {
+            if now > self.ends_at + 60 * SECOND {
                 break;
             }
-            let mut out = Vec::new();
+            let mut actions = Vec::new();
             match next {
-                Next::Wake => fleet[n].handle(now, Event::Wake, &mut out),
-                Next::Failed => fleet[n].handle(now, Event::ListFailed { is_cheap: false }, &mut out),
-                Next::Told => {
-                    told[n].get_or_insert(now - self.back);
-                    fleet[n].handle(now, Event::List(&members), &mut out);
+                Due::Wake => fleet[n].handle(now, Event::Wake, &mut actions),
+                Due::Failed => fleet[n].handle(now, Event::ListFailed { is_cheap: false }, &mut actions),
+                Due::Listed => {
+                    received[n].get_or_insert(now - self.ends_at);
+                    fleet[n].handle(now, Event::List(&members), &mut actions);
                 }
             }
-            for action in out {
+            for action in actions {
                 match action {
-                    Action::WakeAt(at) => due.push(Reverse((at, n, Next::Wake))),
-                    Action::Subscribe if told[n].is_none() => due.push(Reverse(match self.down {
-                        Down::Refuses if now < self.back => (now + MS, n, Next::Failed),
-                        Down::Silent if now < self.back => (now + self.given_up(), n, Next::Failed),
+                    Action::WakeAt(at) => due.push(Reverse((at, n, Due::Wake))),
+                    Action::Subscribe if received[n].is_none() => due.push(Reverse(match self.fault {
+                        Fault::Refuses if now < self.ends_at => (now + MS, n, Due::Failed),
+                        Fault::Silent if now < self.ends_at => (now + self.call_timeout(), n, Due::Failed),
                         _ => {
                             calls.push(now);
-                            busy = now.max(busy) + self.each;
-                            let late = busy > now + PATIENCE;
-                            if late { (now + PATIENCE, n, Next::Failed) } else { (busy, n, Next::Told) }
+                            busy = now.max(busy) + self.service_time;
+                            let late = busy > now + CALL_TIMEOUT;
+                            if late { (now + CALL_TIMEOUT, n, Due::Failed) } else { (busy, n, Due::Listed) }
                         }
                     })),
                     _ => {}
@@ -102,50 +102,51 @@
         let most =
             calls.iter().map(|&from| calls.iter().filter(|&&at| at >= from && at < from + SECOND).count());
         let most = most.max().unwrap_or(0);
-        (told.into_iter().map(|at| at.unwrap_or(Micros::MAX)).collect(), most)
+        (received.into_iter().map(|at| at.unwrap_or(Micros::MAX)).collect(), most)
     }
 }
 
 /// Plays one size over seeds: the share that had its list in time, the latest, and the most calls in a second.
-fn share(dispatchers: u32, seconds: u64, all: Micros, down: Down) -> (f64, Micros, usize) {
+fn in_time_share(dispatchers: u32, seconds: u64, all: Micros, fault: Fault) -> (f64, Micros, usize) {
     let outage = Outage {
         dispatchers,
-        back: Outage::START + seconds * SECOND,
-        each: all / u64::from(dispatchers),
-        down,
+        ends_at: Outage::START + seconds * SECOND,
+        service_time: all / u64::from(dispatchers),
+        fault,
     };
     let (mut in_time, mut count, mut latest, mut most) = (0, 0, 0, 0);
     for seed in 0..10 {
-        let (told, calls) = outage.play(seed);
-        in_time += told.iter().filter(|&&at| at <= NOTIFICATION_BOUND + GRACE).count();
-        (count, most) = (count + told.len(), most.max(calls));
-        latest = latest.max(told.into_iter().max().unwrap_or(0));
+        let (received, calls) = outage.simulate(seed);
+        in_time += received.iter().filter(|&&at| at <= NOTIFICATION_BOUND + DRAIN_GRACE).count();
+        (count, most) = (count + received.len(), most.max(calls));
+        latest = latest.max(received.into_iter().max().unwrap_or(0));
     }
     (in_time as f64 / count as f64, latest, most)
 }
 
-/// Guards against a backoff that doubles past the time after which a change counts as told, and against one so short that
+/// Guards against a backoff that doubles past the time after which a change counts as received, and against one so short that
 /// the calls of all fail one another. Where discovery gets through the calls of all in 8 s, no order of calls does better:
 /// the last is answered when it has worked without a pause.
 #[test]
-fn after_an_outage_every_dispatcher_has_the_list_before_it_must_follow_it() {
+fn every_dispatcher_has_the_list_within_the_bound_after_an_outage() {
     for dispatchers in [5, 30, 300] {
-        for (seconds, down) in [3, 8, 15].into_iter().flat_map(|s| [(s, Down::Refuses), (s, Down::Silent)]) {
+        for (seconds, fault) in [3, 8, 15].into_iter().flat_map(|s| [(s, Fault::Refuses), (s, Fault::Silent)])
+        {
             for all in [2, 5, 8] {
-                let (share, latest, most) = share(dispatchers, seconds, all * SECOND, down);
-                let place = format!(
-                    "{dispatchers} dispatchers, down for {seconds} s ({down:?}), all served in {all} s: {share:.4} in time, \
+                let (share, latest, most) = in_time_share(dispatchers, seconds, all * SECOND, fault);
+                let summary = format!(
+                    "{dispatchers} dispatchers, down for {seconds} s ({fault:?}), all served in {all} s: {share:.4} in time, \
                      the last after {:.2} s, {most} calls a second at most",
                     latest as f64 / 1e6
                 );
-                println!("{place}");
+                println!("{summary}");
                 let least = match (all, dispatchers) {
                     (8, 5) => 0.8,
                     (8, _) => 0.96,
                     _ => 1.0,
                 };
-                assert!(share >= least, "{place}");
-                assert!(most as u32 <= dispatchers / 5 + 1, "{place}");
+                assert!(share >= least, "{summary}");
+                assert!(most as u32 <= dispatchers / 5 + 1, "{summary}");
             }
         }
     }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -9,16 +9,16 @@
 use net::*;
 
 #[test]
-fn a_call_before_the_202_serves_once_however_often_it_comes() {
-    let ((worker, dial), discovery) = (listener(), nobody());
+fn repeated_call_backs_before_the_202_complete_the_job_once() {
+    let ((worker, dial), discovery) = (listener(), refusing_address());
     let (_program, address) = platform(discovery, &[("s-1", dial)]);
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     client.submit("confirm-booking", "a1");
     let mut job = Http::accept(&worker);
     let (head, body) = job.read();
     assert!(head.starts_with("POST /confirm-booking/x?y=1 HTTP/1.1"), "{head}");
-    assert_eq!((value(&head, "req-id").as_deref(), body.as_str()), (Some("a1"), "job"));
-    assert!(value(&head, "req-deadline").is_some_and(|d| d.ends_with('u')), "{head}");
+    assert_eq!((header_value(&head, "req-id").as_deref(), body.as_str()), (Some("a1"), "job"));
+    assert!(header_value(&head, "req-deadline").is_some_and(|d| d.ends_with('u')), "{head}");
     // One from a server that has no dispatch of it is acknowledged and books nothing.
     calls.call_back("a1", "s-9", "done", "wrong");
     calls.call_back("a1", "s-1", "started", "");
@@ -26,14 +26,14 @@
     let (head, body) = client.read();
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     assert_eq!(body, "site 12");
-    job.take();
+    job.send_accepted();
     // Once this is acknowledged the 202 before it has been read.
     calls.call_back("a1", "s-1", "done", "again");
     // The connection on which the 202 came late serves the next job, and no second answer is in the way.
     client.submit("confirm-booking", "a2");
     let (head, _) = job.read();
-    assert_eq!(value(&head, "req-id").as_deref(), Some("a2"));
-    job.take();
+    assert_eq!(header_value(&head, "req-id").as_deref(), Some("a2"));
+    job.send_accepted();
     calls.call_back("a2", "s-1", "done", "site 13");
     assert_eq!(client.read().1, "site 13");
     assert_eq!((counter(address, "taken"), counter(address, "served")), (2, 2));
@@ -42,9 +42,9 @@
 /// Guards against a server that is handed another request than its client sent: what both agree on, such as the key by
 /// which repeats are dropped, is theirs. What is of one hop stays here, and what is said anew is said once.
 #[test]
-fn headers_that_a_client_and_a_server_agree_on_pass_on() {
+fn end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let mut client = Http::connect(address);
     client.write(
         "POST /avail-search/x HTTP/1.1\r\nHost: a\r\nReq-Id: k1\r\nReq-Deadline: 4000m\r\n\
@@ -53,8 +53,8 @@
     );
     let (head, body) = Http::accept(&worker).read();
     assert_eq!(body, "job");
-    assert_eq!(value(&head, "idempotency-key").as_deref(), Some("f84ac7ad0002743a"), "{head}");
-    assert_eq!(value(&head, "x-of-theirs").as_deref(), Some("1"), "{head}");
+    assert_eq!(header_value(&head, "idempotency-key").as_deref(), Some("f84ac7ad0002743a"), "{head}");
+    assert_eq!(header_value(&head, "x-of-theirs").as_deref(), Some("1"), "{head}");
     for (name, times) in
         [("x-of-one-hop", 0), ("expect", 0), ("host", 1), ("req-id", 1), ("content-length", 1)]
     {
@@ -64,9 +64,12 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran_and_the_job_goes_elsewhere() {
+fn a_job_whose_connection_is_refused_goes_to_another_server() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", nobody()), ("s-2", dial), ("s-3", nobody())]);
+    let (_program, address) = platform(
+        refusing_address(),
+        &[("s-1", refusing_address()), ("s-2", dial), ("s-3", refusing_address())],
+    );
     let mut calls = Http::connect(address);
     for at in 0..3 {
         let (mut client, id) = (Http::connect(address), format!("b{at}"));
@@ -85,10 +88,10 @@
 #[test]
 fn an_unsafe_job_whose_connection_breaks_after_its_last_byte_is_not_sent_again() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let (_program, address) = platform(nobody(), &[("s-1", dial_one), ("s-2", dial_two)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial_one), ("s-2", dial_two)]);
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "c1");
-    let mut job = Http::over(accept_any(&[&one, &two]));
+    let mut job = Http::from_stream(accept_any(&[&one, &two]));
     job.read();
     drop(job);
     let (head, _) = client.read();
@@ -98,9 +101,9 @@
 }
 
 #[test]
-fn a_safe_job_that_was_declined_goes_to_the_next_server() {
+fn a_declined_job_goes_to_the_next_server() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let (_program, address) = platform(nobody(), &[("s-1", dial_one), ("s-2", dial_two)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial_one), ("s-2", dial_two)]);
     let declined = std::thread::spawn(move || {
         let mut job = Http::accept(&one);
         job.read();
@@ -126,14 +129,14 @@
 }
 
 #[test]
-fn a_client_that_leaves_calls_its_job_off() {
+fn a_client_that_disconnects_cancels_its_job() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     client.submit("avail-search", "e1");
     let mut job = Http::accept(&worker);
     job.read();
-    job.take();
+    job.send_accepted();
     calls.call_back("e1", "s-1", "started", "");
     drop(client);
     let (head, _) = job.read();
@@ -145,7 +148,7 @@
     // Before the 202 the connection is closed instead.
     let mut client = Http::connect(address);
     client.submit("avail-search", "e2");
-    assert_eq!(value(&job.read().0, "req-id").as_deref(), Some("e2"));
+    assert_eq!(header_value(&job.read().0, "req-id").as_deref(), Some("e2"));
     drop(client);
     assert_eq!(job.read().0, "");
 }
@@ -153,13 +156,13 @@
 #[test]
 fn a_connection_that_the_server_closed_is_not_used_again() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     for id in ["f1", "f2", "f3"] {
         client.submit("confirm-booking", id);
         let mut job = Http::accept(&worker);
-        assert_eq!(value(&job.read().0, "req-id").as_deref(), Some(id));
-        job.take();
+        assert_eq!(header_value(&job.read().0, "req-id").as_deref(), Some(id));
+        job.send_accepted();
         drop(job);
         calls.call_back(id, "s-1", "done", "ok");
         assert!(client.read().0.starts_with("HTTP/1.1 200"));
@@ -168,14 +171,14 @@
 }
 
 #[test]
-fn a_probe_on_a_kept_connection_that_breaks_is_asked_again_at_once() {
+fn a_probe_on_a_kept_connection_that_closes_is_retried_at_once() {
     let ((worker, dial), text) = (listener(), "\"mayCancel\": true");
     // A report is never too young to ask for another.
-    let settings = config(256, nobody(), &[("s-1", dial)])
+    let settings = config(256, refusing_address(), &[("s-1", dial)])
         .replace(text, &format!("{text}, \"probing\": true"))
         .replace("\"quantum\": 1000", "\"quantum\": 1");
     let mut program = Program::start(Some(&settings), None);
-    let address = program.address();
+    let address = program.read_address();
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     let probe = |http: &mut Http| {
         assert!(http.read().0.starts_with("GET /metrics/load "));
@@ -187,8 +190,8 @@
     let mut kept = Http::accept(&worker);
     for id in ["p1", "p2"] {
         probe(&mut kept);
-        assert_eq!(value(&kept.read().0, "req-id").as_deref(), Some(id));
-        kept.take();
+        assert_eq!(header_value(&kept.read().0, "req-id").as_deref(), Some(id));
+        kept.send_accepted();
         // The end may overtake the 202, and then its connection would not be kept: a new one is served in between.
         counter(address, "sent");
         calls.call_back(id, "s-1", "done", "ok");
@@ -204,19 +207,19 @@
 }
 
 #[test]
-fn nothing_free_is_denied_at_once_with_when_to_come_back() {
-    let (_program, address) = platform(nobody(), &[]);
+fn a_job_without_a_server_is_rejected_at_once_with_retry_after() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let mut client = Http::connect(address);
     client.submit("short-hold", "g1");
     let (head, _) = client.read();
     assert!(head.starts_with("HTTP/1.1 503"), "{head}");
-    let after: f64 = value(&head, "retry-after").unwrap().parse().unwrap();
+    let after: f64 = header_value(&head, "retry-after").unwrap().parse().unwrap();
     assert!(after > 0.0 && after <= 2.0, "{head}");
 }
 
 #[test]
-fn what_does_not_read_gets_its_status_and_harms_nobody() {
-    let (_program, address) = platform(nobody(), &[]);
+fn malformed_requests_get_their_status_and_affect_no_other_client() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let job = |class: &str, id: &str, deadline: &str| {
         let head = format!("Req-Id: {id}\r\nReq-Deadline: {deadline}\r\nContent-Length: 0");
         format!("POST /{class} HTTP/1.1\r\n{head}\r\n\r\n")
@@ -252,7 +255,7 @@
 }
 
 #[test]
-fn the_watch_goes_on_and_a_draining_server_gets_nothing_new() {
+fn a_draining_server_gets_no_new_jobs_after_a_failed_watch_is_retried() {
     let ((discovery, at), (one, dial_one), (two, dial_two)) = (listener(), listener(), listener());
     let (_program, address) = platform(at, &[("s-1", dial_one), ("s-2", dial_two)]);
     let answer = |watch: &mut Http, status: &str, seq: u64, hosts: &str| {
@@ -284,15 +287,15 @@
 }
 
 #[test]
-fn a_watch_that_fell_silent_is_begun_anew_once_a_server_fails() {
+fn a_silent_watch_is_restarted_once_a_server_fails() {
     let ((discovery, at), (worker, dial)) = (listener(), listener());
-    let (_program, address) = platform(at, &[("s-1", nobody()), ("s-2", dial)]);
+    let (_program, address) = platform(at, &[("s-1", refusing_address()), ("s-2", dial)]);
     let mut watch = Http::accept(&discovery);
     confirm_list(&mut watch);
     assert!(watch.read().0.contains("since=7&"));
     let (mut calls, mut jobs) = (Http::connect(address), 0);
     discovery.set_nonblocking(true).unwrap();
-    let end = std::time::Instant::now() + PATIENCE;
+    let end = std::time::Instant::now() + TEST_TIMEOUT;
     let again = loop {
         if let Ok((stream, _)) = discovery.accept() {
             break stream;
@@ -308,42 +311,42 @@
         client.read();
     };
     again.set_nonblocking(false).unwrap();
-    assert!(Http::over(again).read().0.contains("since=7&"));
+    assert!(Http::from_stream(again).read().0.contains("since=7&"));
     assert_eq!(watch.read().0, "", "the silent one is given up");
 }
 
 #[test]
-fn sigterm_finishes_what_was_taken_and_says_that_it_closes() {
+fn sigterm_finishes_accepted_jobs_and_sends_connection_close() {
     let (worker, dial) = listener();
-    let (mut program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (mut program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let (mut client, mut idle) = (Http::connect(address), Http::connect(address));
     idle.write("GET /up HTTP/1.1\r\n\r\n");
     idle.read();
     client.submit("confirm-booking", "j1");
     let mut job = Http::accept(&worker);
     job.read();
-    job.take();
+    job.send_accepted();
     program.signal("TERM");
-    assert_eq!(program.line(), "micabeam: stopping\n");
-    // Those that have a connection go on being served: the other dispatchers may be away as well.
+    assert_eq!(program.next_plain_line(), "micabeam: stopping\n");
+    // Those that have a connection go on being served: the other dispatchers may be away as exited_cleanly.
     let mut kept = Http::connect(address);
     for _ in 0..2 {
         kept.write("POST /no HTTP/1.1\r\n\r\n");
         let (head, _) = kept.read();
-        assert!(head.starts_with("HTTP/1.1 404") && value(&head, "connection").is_none(), "{head}");
+        assert!(head.starts_with("HTTP/1.1 404") && header_value(&head, "connection").is_none(), "{head}");
     }
     // The idle connection ends while the job is still out; its call-back is taken on a new connection.
     assert_eq!(idle.read().0, "");
     Http::connect(address).call_back("j1", "s-1", "done", "kept");
     let (head, body) = client.read();
     assert!(head.starts_with("HTTP/1.1 200") && body == "kept", "{head}");
-    assert_eq!(value(&head, "connection").as_deref(), Some("close"));
-    let (well, text) = program.wait();
-    assert!(well && text.contains("served 1\n") && text.contains("taken 1\n"), "{text}");
+    assert_eq!(header_value(&head, "connection").as_deref(), Some("close"));
+    let (exited_cleanly, text) = program.wait();
+    assert!(exited_cleanly && text.contains("served 1\n") && text.contains("taken 1\n"), "{text}");
 }
 
 #[test]
-fn sighup_follows_discovery_keeps_what_is_in_flight_and_leaves_a_bad_file_alone() {
+fn sighup_switches_discovery_keeps_jobs_in_flight_and_ignores_a_bad_file() {
     let ((old, old_at), (new, new_at)) = (listener(), listener());
     let ((worker, dial), (next, next_dial)) = (listener(), listener());
     let (mut program, address) = platform(old_at, &[("s-1", dial)]);
@@ -354,7 +357,7 @@
     client.submit("confirm-booking", "r1");
     let mut job = Http::accept(&worker);
     job.read();
-    job.take();
+    job.send_accepted();
     // Half a file, one whose classes have other names, and one with an address that is none.
     let good = config(256, new_at, &[]);
     let (half, other) = (good[..90].to_string(), good.replace("avail-search", "avail"));
@@ -375,12 +378,12 @@
     assert_eq!(client.read().1, "kept");
     client.submit("confirm-booking", "r2");
     let (head, _) = Http::accept(&next).read();
-    assert_eq!(value(&head, "req-id").as_deref(), Some("r2"));
+    assert_eq!(header_value(&head, "req-id").as_deref(), Some("r2"));
 }
 
 #[test]
-fn many_requests_at_once_on_one_connection_are_answered_one_by_one() {
-    let (_program, address) = platform(nobody(), &[]);
+fn pipelined_requests_are_answered_one_by_one() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let mut client = Http::connect(address);
     let one = "POST /no HTTP/1.1\r\n\r\n";
     let mut stream = client.0.get_ref().try_clone().unwrap();
@@ -392,7 +395,7 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_with_one_plain_line() {
+fn a_bad_configuration_exits_with_a_one_line_message() {
     let deep = "[".repeat(100_000);
     let few = format!(
         r#"{{"settings": {SETTINGS}, "limits": {{"sockets": 3}}, "listen": "127.0.0.1:0",
@@ -405,18 +408,21 @@
         (r#"{"settings": {"quantum": 1}}"#, "missing field"),
         (few.as_str(), "too few"),
     ] {
-        let (well, text) = Program::start(Some(config), None).wait();
-        assert!(!well && text.lines().count() == 1 && text.to_lowercase().contains(says), "{says}: {text}");
+        let (exited_cleanly, text) = Program::start(Some(config), None).wait();
+        assert!(
+            !exited_cleanly && text.lines().count() == 1 && text.to_lowercase().contains(says),
+            "{says}: {text}"
+        );
     }
-    let (well, text) = Program::start(None, None).wait();
-    assert!(!well && text.lines().count() == 1, "{text}");
+    let (exited_cleanly, text) = Program::start(None, None).wait();
+    assert!(!exited_cleanly && text.lines().count() == 1, "{text}");
 }
 
 #[test]
 fn more_clients_than_descriptors_all_get_an_answer() {
     let (worker, dial) = listener();
     // 70 descriptors leave 17 connections for clients, and 9 sessions.
-    let (_program, address) = platform_with(70, nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform_with_sockets(70, refusing_address(), &[("s-1", dial)]);
     let send = |at: usize| {
         let mut client = Http::connect(address);
         let head = format!("POST /short-hold HTTP/1.1\r\nReq-Id: k{at}\r\nContent-Length: 0\r\n\r\n");
@@ -440,8 +446,8 @@
 }
 
 #[test]
-fn who_says_nothing_or_half_of_it_is_ended_within_three_seconds() {
-    let (_program, address) = platform(nobody(), &[]);
+fn silent_clients_and_incomplete_requests_are_closed_within_three_seconds() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let began = std::time::Instant::now();
     let (mut silent, mut half, mut body) =
         (Http::connect(address), Http::connect(address), Http::connect(address));
@@ -459,10 +465,11 @@
 }
 
 #[test]
-fn half_sent_bodies_do_not_take_the_memory_and_small_requests_still_fit() {
-    let config = config(256, nobody(), &[]).replace("\"sockets\": 256", "\"sockets\": 256, \"memory_mb\": 4");
+fn incomplete_bodies_do_not_exhaust_the_memory_for_small_requests() {
+    let config = config(256, refusing_address(), &[])
+        .replace("\"sockets\": 256", "\"sockets\": 256, \"memory_mb\": 4");
     let mut program = Program::start(Some(&config), None);
-    let address = program.address();
+    let address = program.read_address();
     // A megabyte is for clients, and each of them sends the most of a body that is let in.
     let half = format!("POST /no HTTP/1.1\r\nContent-Length: 65536\r\n\r\n{}", "x".repeat(60_000));
     let mut clients: Vec<Http> = (0..30).map(|_| Http::connect(address)).collect();
@@ -476,10 +483,10 @@
 }
 
 #[test]
-fn a_usual_client_keeps_its_place_among_many_that_say_nothing() {
+fn many_silent_connections_do_not_evict_an_active_client() {
     let (worker, dial) = listener();
     // 70 descriptors leave 17 connections for clients.
-    let (_program, address) = platform_with(70, nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform_with_sockets(70, refusing_address(), &[("s-1", dial)]);
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     for id in ["m1", "m2"] {
         client.submit("confirm-booking", id);
@@ -496,12 +503,12 @@
 }
 
 #[test]
-fn a_request_that_a_server_cannot_use_fails_and_is_sent_to_no_other() {
+fn a_request_answered_with_400_is_not_retried() {
     let ((one, dial), (two, other)) = (listener(), listener());
-    let (_program, address) = platform(nobody(), &[("s-1", dial), ("s-2", other)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial), ("s-2", other)]);
     let mut client = Http::connect(address);
     client.submit("avail-search", "o1");
-    let mut job = Http::over(accept_any(&[&one, &two]));
+    let mut job = Http::from_stream(accept_any(&[&one, &two]));
     job.read();
     job.write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
     assert!(client.read().0.starts_with("HTTP/1.1 500"));
@@ -509,8 +516,8 @@
 }
 
 #[test]
-fn a_client_that_goes_on_sending_is_told_that_it_is_too_much() {
-    let (_program, address) = platform(nobody(), &[]);
+fn an_oversized_body_is_read_to_its_end_and_answered_with_413() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let mut client = Http::connect(address);
     let mut stream = client.0.get_ref().try_clone().unwrap();
     stream.write_all(b"POST /avail-search HTTP/1.1\r\nContent-Length: 15000000\r\n\r\n").unwrap();
@@ -520,8 +527,8 @@
 }
 
 #[test]
-fn a_client_that_never_stops_asking_does_not_keep_others_waiting() {
-    let (_program, address) = platform(nobody(), &[]);
+fn a_client_that_pipelines_without_end_does_not_starve_others() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let greedy = Http::connect(address);
     let mut stream = greedy.0.get_ref().try_clone().unwrap();
     let mut answers = greedy.0.get_ref().try_clone().unwrap();
@@ -542,36 +549,36 @@
 /// Guards the end of sessions that have no backend server and of those whose clients left, and a stop that waits for a
 /// client which reads nothing.
 #[test]
-fn without_servers_and_clients_all_sessions_end_and_so_does_the_program() {
-    let (program, address) = platform(nobody(), &[]);
+fn all_sessions_end_at_shutdown_without_servers_or_clients() {
+    let (program, address) = platform(refusing_address(), &[]);
     let mut clients: Vec<Http> = (0..20).map(|_| Http::connect(address)).collect();
     for (at, client) in clients.iter_mut().enumerate() {
         client.submit(if at % 2 == 0 { "avail-search" } else { "confirm-booking" }, &format!("id-{at}"));
     }
     // Taken, all of them, before any client leaves and before the signal.
-    let end = std::time::Instant::now() + PATIENCE;
+    let end = std::time::Instant::now() + TEST_TIMEOUT;
     while counter(address, "taken") < 20 {
         assert!(std::time::Instant::now() < end, "not all are taken");
     }
     clients.truncate(10);
     program.signal("TERM");
     let begun = std::time::Instant::now();
-    let (well, text) = program.wait();
-    assert!(well && begun.elapsed() < std::time::Duration::from_secs(6), "{:?}", begun.elapsed());
-    all_ended(&text);
+    let (exited_cleanly, text) = program.wait();
+    assert!(exited_cleanly && begun.elapsed() < std::time::Duration::from_secs(6), "{:?}", begun.elapsed());
+    assert_all_ended(&text);
     for mut client in clients {
         assert!(client.read().0.starts_with("HTTP/1.1 503"), "each has its answer");
     }
 }
 
 #[test]
-fn a_client_that_writes_slowly_but_steadily_or_in_chunks_is_served() {
-    let ((worker, dial), discovery) = (listener(), nobody());
+fn a_slow_but_steady_or_chunked_request_is_served() {
+    let ((worker, dial), discovery) = (listener(), refusing_address());
     // Discovery is away: the list it had must not age out while the client writes.
     let config =
         config(256, discovery, &[("s-1", dial)]).replace("\"askWithin\": 4000000", "\"askWithin\": 60000000");
     let mut program = Program::start(Some(&config), None);
-    let address = program.address();
+    let address = program.read_address();
     // Guards against cutting off, at 2.5 s from its first byte, a client that writes a request over 3.5 s
     // in pieces with no gap of 2.5 s: only silence ends a client that owes the rest of a request.
     let mut slow = Http::connect(address);
@@ -584,8 +591,8 @@
         std::thread::sleep(std::time::Duration::from_millis(500));
     }
     let mut job = Http::accept(&worker);
-    assert_eq!(value(&job.read().0, "req-id").as_deref(), Some("p1"));
-    let mut calls = take_and_finish(&mut job, address, "p1", "slow ok");
+    assert_eq!(header_value(&job.read().0, "req-id").as_deref(), Some("p1"));
+    let mut calls = accept_and_finish(&mut job, address, "p1", "slow ok");
     let (head, body) = slow.read();
     assert_eq!(body, "slow ok", "{head}");
     // Guards against refusing a body in chunks with 501: it goes on with its payload and a length.
@@ -595,17 +602,17 @@
          2\r\njo\r\n1\r\nb\r\n0\r\n\r\n",
     );
     let (head, body) = job.read();
-    assert_eq!((value(&head, "req-id").as_deref(), body.as_str()), (Some("p2"), "job"));
-    assert_eq!(value(&head, "content-length").as_deref(), Some("3"));
-    job.take();
+    assert_eq!((header_value(&head, "req-id").as_deref(), body.as_str()), (Some("p2"), "job"));
+    assert_eq!(header_value(&head, "content-length").as_deref(), Some("3"));
+    job.send_accepted();
     calls.call_back("p2", "s-1", "started", "");
     calls.call_back("p2", "s-1", "done", "chunks ok");
     assert_eq!(chunked.read().1, "chunks ok");
 }
 
 #[test]
-fn a_server_slow_to_take_a_job_on_a_new_connection_still_has_it() {
-    let ((worker, dial), discovery) = (listener(), nobody());
+fn a_202_later_than_the_connect_timeout_does_not_fail_the_attempt() {
+    let ((worker, dial), discovery) = (listener(), refusing_address());
     let (_program, address) = platform(discovery, &[("s-1", dial)]);
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "q1");
@@ -613,8 +620,8 @@
     // a server that takes longer to say 202 had its job held never to have run, and the client was refused.
     std::thread::sleep(std::time::Duration::from_millis(600));
     let mut job = Http::accept(&worker);
-    assert_eq!(value(&job.read().0, "req-id").as_deref(), Some("q1"));
-    take_and_finish(&mut job, address, "q1", "late ok");
+    assert_eq!(header_value(&job.read().0, "req-id").as_deref(), Some("q1"));
+    accept_and_finish(&mut job, address, "q1", "late ok");
     let (head, body) = client.read();
     assert_eq!(body, "late ok", "{head}");
     assert_eq!(counter(address, "never_ran"), 0);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -57,18 +57,22 @@
             self.dir.join(format!("policy-{own}.toml")).display(),
             self.dir.join(format!("kept-{own}")).display()
         );
-        let config = config(128, nobody(), &self.hosts[..servers]);
-        let mut program =
-            Program::of(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text));
-        let address = program.address();
-        let console = program.address();
+        let config = config(128, refusing_address(), &self.hosts[..servers]);
+        let mut program = Program::from_command(
+            Command::new(env!("CARGO_BIN_EXE_micabeam")),
+            Some(&config),
+            None,
+            Some(&text),
+        );
+        let address = program.read_address();
+        let console = program.read_address();
         (program, address, console)
     }
 }
 
 fn standing(console: SocketAddr) -> String {
     let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(b"policy\n").unwrap();
     let mut text = String::new();
     let _ = stream.read_to_string(&mut text);
@@ -76,7 +80,7 @@
 }
 
 fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(std::time::Duration::from_millis(5));
@@ -85,7 +89,7 @@
 
 /// The server's part in a job that it has read.
 fn finish(job: &mut Http, address: SocketAddr, id: &str, by: usize) {
-    job.take();
+    job.send_accepted();
     Http::connect(address).call_back(id, &format!("s-{}", by + 1), "done", "done");
 }
 
@@ -182,7 +186,7 @@
     assert!(client.read().0.starts_with("HTTP/1.1 503") && asked.elapsed().as_millis() < 800);
     client.submit("confirm-booking", "c-2");
     let (head, _) = client.read();
-    assert!(head.starts_with("HTTP/1.1 503") && value(&head, "retry-after").is_some(), "{head}");
+    assert!(head.starts_with("HTTP/1.1 503") && header_value(&head, "retry-after").is_some(), "{head}");
     // Back with the others, it serves again, without a word from its operator.
     started.push(fleet.start(1, 2));
     until("it serves again", || standing(console).contains("serves yes"));
@@ -198,7 +202,7 @@
         "console = \"127.0.0.1:0\"\n[rollout]\npolicy = \"{0}\"\nkeep = \"{0}\"\n",
         fleet.dir.join("policy-0.toml").display()
     );
-    let (well, log) = Program::operator(&text).wait();
+    let (well, log) = Program::start_with_operator_file(&text).wait();
     assert!(!well && log.contains("rollout: the table [fleet] is required"), "{log}");
     // Without the platform's front nobody would ask it.
     let others: String = (0..3)
@@ -213,10 +217,11 @@
         .to_string()
         + &others;
     let (_, log) = {
-        let config = config(128, nobody(), &fleet.hosts);
+        let config = config(128, refusing_address(), &fleet.hosts);
         let table = fleet_table.clone();
         let text = table + text.split_once('\n').unwrap().1;
-        Program::of(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text)).wait()
+        Program::from_command(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text))
+            .wait()
     };
     // As the operators' page shows it.
     let page = include_str!("../docs/operating/ingest.md");
@@ -225,6 +230,7 @@
     fleet.want(0, &policy(1, "s-1"));
     let stream = "[stream]\nlisten = \"127.0.0.1:0\"\nservers = [{name = \"a\", dial = \"127.0.0.1:1\"}]\n\
                   [[stream.class]]\nname = \"export\"\nrepeat = \"safe\"\n";
-    let (well, log) = Program::operator(&(fleet_table + text.split_once('\n').unwrap().1 + stream)).wait();
+    let (well, log) =
+        Program::start_with_operator_file(&(fleet_table + text.split_once('\n').unwrap().1 + stream)).wait();
     assert!(!well && log.contains("only the HTTP frontend applies a policy"), "{log}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -88,13 +88,13 @@
     let members = endpoints(2);
     let mut world = World::new(probing(), &members);
     let (_, actions) = world.job(0);
-    let draining = asked(&actions).unwrap();
+    let draining = probed_endpoint(&actions).unwrap();
     let line = *members.iter().find(|m| m.id == draining).unwrap();
     world.handle(Event::Changes(&[Endpoint { status: EndpointStatus::Draining, ..line }]));
     // The probe is answered after the endpoint was reported as draining.
     let after = world.probed(draining, 4.0);
     assert_ne!(sent(&after), Some(draining));
-    assert!(asked(&after).is_some_and(|next| next != draining));
+    assert!(probed_endpoint(&after).is_some_and(|next| next != draining));
 }
 
 #[test]
@@ -270,9 +270,10 @@
 fn a_worker_that_was_full_is_not_chosen_by_its_old_report() {
     let mut world = World::new(probing(), &endpoints(2));
     let (job, actions) = world.job(2);
-    let first = asked(&actions).unwrap();
+    let first = probed_endpoint(&actions).unwrap();
     assert_eq!(sent(&world.probed(first, 3.0)), Some(first));
-    let other = asked(&world.ended(job, 0, first, Outcome::Full)).expect("the other worker is not probed");
+    let other =
+        probed_endpoint(&world.ended(job, 0, first, Outcome::Full)).expect("the other worker is not probed");
     assert_ne!(other, first);
     world.now += 10 * MS;
     let back = world.probed(other, 0.0);
@@ -301,14 +302,14 @@
         settings.classes[2].late_value = late_worth;
         let mut world = World::new(settings, &endpoints(1));
         let (job, actions) = world.job(2);
-        assert_eq!(asked(&actions), Some(EndpointId(1)));
+        assert_eq!(probed_endpoint(&actions), Some(EndpointId(1)));
         let report = LoadReport { free_slots: Some(0.0), queue: Some(50.0), ..LoadReport::default() };
         let full = Event::Probed { endpoint: EndpointId(1), answered: true, latency: MS, report };
         let mut actions = world.handle(full);
         let start = world.now;
         while answer(&actions).is_none() && world.now < start + 6 * SECOND {
             actions = world.wait(MS);
-            if asked(&actions).is_some() {
+            if probed_endpoint(&actions).is_some() {
                 actions.extend(world.handle(full));
             }
         }
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -30,8 +30,8 @@
 }
 
 fn stream(servers: &[SocketAddr], more: &str, class: &str) -> (Program, SocketAddr) {
-    let mut program = Program::operator(&table(servers, more, class));
-    let address = program.address();
+    let mut program = Program::start_with_operator_file(&table(servers, more, class));
+    let address = program.read_address();
     (program, address)
 }
 
@@ -49,8 +49,8 @@
 
     fn over(stream: TcpStream) -> Wire {
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream.set_write_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        stream.set_write_timeout(Some(TEST_TIMEOUT)).unwrap();
         Wire(BufReader::new(stream))
     }
 
@@ -409,7 +409,7 @@
 #[test]
 fn where_nothing_was_written_another_server_gets_it() {
     let (listener, server) = listener();
-    let (_program, address) = stream(&[nobody(), server], "", "");
+    let (_program, address) = stream(&[refusing_address(), server], "", "");
     for _ in 0..6 {
         let mut client = Wire::connect(address);
         client.say(put("once", 3) + "job");
@@ -426,8 +426,8 @@
 fn a_server_drained_in_the_middle_finishes_and_gets_nothing_new() {
     let ((old, one), (new, two)) = (listener(), listener());
     let text = table(&[one], "", "");
-    let mut program = Program::operator(&text);
-    let address = program.address();
+    let mut program = Program::start_with_operator_file(&text);
+    let address = program.read_address();
     let mut client = Wire::connect(address);
     client.say(put("once", 40_000));
     client.say(body(20_000));
@@ -620,8 +620,9 @@
     let ((discovery, at), (one, first), (two, second)) = (listener(), listener(), listener());
     let text = table(&[first], "", "");
     let list = text.lines().find(|l| l.starts_with("servers")).unwrap().to_string();
-    let mut program = Program::operator(&text.replace(&list, &format!("discovery = \"{at}\"")));
-    let address = program.address();
+    let mut program =
+        Program::start_with_operator_file(&text.replace(&list, &format!("discovery = \"{at}\"")));
+    let address = program.read_address();
     let mut service = Http::accept(&discovery);
     let (head, _) = service.read();
     assert!(head.starts_with("GET /discovery/hosts?since=0"), "{head}");
@@ -651,8 +652,8 @@
 
 #[test]
 fn a_file_that_does_not_fit_ends_the_start_with_plain_lines() {
-    let bad = table(&[nobody()], "attempts = 9\nturn_kb = 1", "");
-    let (well, log) = Program::operator(&bad).wait();
+    let bad = table(&[refusing_address()], "attempts = 9\nturn_kb = 1", "");
+    let (well, log) = Program::start_with_operator_file(&bad).wait();
     assert!(!well);
     let lines: Vec<&str> = log.lines().collect();
     assert_eq!(lines.len(), 2, "{log}");
@@ -665,7 +666,7 @@
 /// Guards the end of requests that no server can take, and of those whose clients left meanwhile.
 #[test]
 fn without_a_server_requests_are_denied_in_their_time_and_the_program_ends() {
-    let (program, address) = stream(&[nobody()], "retry_after_s = 1", "");
+    let (program, address) = stream(&[refusing_address()], "retry_after_s = 1", "");
     let mut clients: Vec<Wire> = (0..6).map(|_| Wire::connect(address)).collect();
     for client in &mut clients {
         client.say(put("once", 3) + "job");
@@ -678,7 +679,7 @@
     program.signal("TERM");
     let (well, text) = program.wait();
     assert!(well, "{text}");
-    assert_eq!(told(&text, "taken"), 6, "{text}");
-    all_ended(&text);
-    assert_eq!(told(&text, "held"), 0, "{text}");
+    assert_eq!(logged_counter(&text, "taken"), 6, "{text}");
+    assert_all_ended(&text);
+    assert_eq!(logged_counter(&text, "held"), 0, "{text}");
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -44,7 +44,7 @@
                 )
                 .replace("5eed", &format!("{number}"));
             let mut program = Program::start(Some(&text), None);
-            program.address();
+            program.read_address();
             // Indented, as lists may come.
             let list = format!(
                 "{{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n    {}\n  ]\n}}\n",
@@ -82,7 +82,7 @@
     let ((agent, at), (one, dial_one), (two, dial_two)) = (listener(), listener(), listener());
     let hosts = [("s-1", dial_one), ("s-2", dial_two)];
     let mut program = Program::start(Some(&config(256, at, &hosts).replace("subscribe", "automatic")), None);
-    let address = program.address();
+    let address = program.read_address();
     let mut watch = Http::accept(&agent);
     assert!(watch.read().0.starts_with("GET /discovery/hosts?since=7&"));
     // It says nothing more on this one: it is asked anew, on another connection, and ends that at once.
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -41,16 +41,16 @@
 
     /// Starts a process; its console.
     fn start(&self, own: usize) -> (Program, SocketAddr) {
-        let mut program = Program::operator(&self.table(own));
-        program.address();
-        let console = program.address();
+        let mut program = Program::start_with_operator_file(&self.table(own));
+        program.read_address();
+        let console = program.read_address();
         (program, console)
     }
 }
 
 fn figure(console: SocketAddr, name: &str) -> f64 {
     let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(b"telemetry\n").unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
@@ -58,7 +58,7 @@
 }
 
 fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "{what}");
     }
@@ -114,7 +114,7 @@
     damaged[20] ^= 1;
     damaged.extend([0; 64]);
     std::fs::write(&fleet.files[2], &damaged).unwrap();
-    let (ended_well, log) = Program::operator(&fleet.table(2)).wait();
+    let (ended_well, log) = Program::start_with_operator_file(&fleet.table(2)).wait();
     assert!(!ended_well);
     assert!(log.contains("corrupt frame at byte 18 (not an incomplete last write)"), "{log}");
 }
@@ -123,7 +123,8 @@
 fn a_file_that_does_not_fit_ends_the_start_with_a_line_for_each_thing_wrong() {
     let fleet = Fleet::new();
     let table = fleet.table(0).replace("name = \"n0\"\nstate", "name = \"n7\"\nstate");
-    let (ended_well, log) = Program::operator(&table.replacen("voter = true", "voter = false", 1)).wait();
+    let (ended_well, log) =
+        Program::start_with_operator_file(&table.replacen("voter = true", "voter = false", 1)).wait();
     assert!(!ended_well);
     assert!(log.contains("`name` is `n7`") && log.contains("2 members have `voter = true`"), "{log}");
 }
