--- a/tests/common/crossing.rs
+++ b/tests/common/crossing.rs
@@ -1,4 +1,5 @@
-//! Peers that make two events cross: a process that is frozen, a listener whose connections do not come up, a reset.
+//! Helpers that force an interleaving of two events: suspending the gateway, a listener whose backlog is
+//! full, and connection resets.
 #![allow(dead_code)]
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,7 +8,7 @@
 
 use super::net::{Http, Program, TEST_TIMEOUT, accept_any};
 
-/// Waits for an event that can only be looked for.
+/// Polls until `happened` returns true. Panics with `what` after `TEST_TIMEOUT`.
 pub fn wait_until(mut happened: impl FnMut() -> bool, what: &str) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !happened() {
@@ -16,40 +17,42 @@
     }
 }
 
+/// Returns the fields of `/proc/PID/stat` that follow the command name.
 fn stat(program: &Program) -> Vec<String> {
     let text = std::fs::read_to_string(format!("/proc/{}/stat", program.child.id())).unwrap();
     text.rsplit(") ").next().unwrap().split(' ').map(String::from).collect()
 }
 
-/// Stops the process between two instructions: what comes until `resume` is there in one turn of its loop.
+/// Suspends the process with SIGSTOP. All input that arrives until `resume` is seen in one pass of its event
+/// loop.
 pub fn suspend(program: &Program) {
     program.signal("STOP");
-    wait_until(|| stat(program)[0] == "T", "it does not stop");
+    wait_until(|| stat(program)[0] == "T", "the process is not suspended");
 }
 
-/// Lets it go on.
+/// Resumes a suspended process with SIGCONT.
 pub fn resume(program: &Program) {
     program.signal("CONT");
 }
 
-/// Processor time that it has used, in hundredths of a second.
+/// Returns the CPU time that the process has used, in hundredths of a second.
 pub fn cpu_ticks(program: &Program) -> u64 {
     let stat = stat(program);
     stat[11].parse::<u64>().unwrap() + stat[12].parse::<u64>().unwrap()
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection with a TCP reset.
 pub fn reset(http: Http) {
     let stream = http.0.into_inner();
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// Milliseconds since 1970.
+/// Returns the milliseconds since the Unix epoch.
 pub fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
 }
 
-/// The program with so many descriptors, as the system counts them.
+/// Starts the gateway with a limit on its file descriptors (`ulimit -n`).
 pub fn start_with_fd_limit(most: usize, config: &str) -> Program {
     let mut command = Command::new("/bin/sh");
     let line = format!("ulimit -n {most}; exec {}", env!("CARGO_BIN_EXE_micabeam"));
@@ -57,13 +60,13 @@
     Program::from_command(command, Some(config), None, None)
 }
 
-/// An answer of discovery: changes up to a version.
+/// Answers a discovery watch with the changes up to version `seq`.
 pub fn send_list_changes(watch: &mut Http, seq: u64, hosts: &[&str]) {
     let body = format!(r#"{{"seq": {seq}, "whole": false, "hosts": [{}]}}"#, hosts.join(","));
     watch.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
 }
 
-/// A listener whose connections do not come up: its backlog is full until it is opened.
+/// A listener whose backlog can be filled, so that connections to it stay in connect until it is cleared.
 pub struct BacklogListener {
     pub listener: TcpListener,
     pub address: SocketAddr,
@@ -71,7 +74,7 @@
 }
 
 impl BacklogListener {
-    /// One that can be reached until it is filled.
+    /// Returns a listener that accepts connections until `fill` is called.
     pub fn empty() -> BacklogListener {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -81,24 +84,25 @@
         BacklogListener { listener, address, fillers: std::cell::RefCell::default() }
     }
 
-    /// One that is filled.
+    /// Returns a listener with a full backlog.
     pub fn filled() -> BacklogListener {
         let full = BacklogListener::empty();
         full.fill();
         full
     }
 
-    /// Fills its backlog: the system drops what comes then, and its opener tries again after a second.
+    /// Fills the backlog. The kernel drops further SYN packets, and a connecting peer retransmits after one
+    /// second.
     pub fn fill(&self) {
         self.listener.set_nonblocking(false).unwrap();
         self.fillers.borrow_mut().push(TcpStream::connect(self.address).unwrap());
         let over = TcpStream::connect_timeout(&self.address, Duration::from_millis(200));
-        assert!(over.is_err(), "it is not full");
+        assert!(over.is_err(), "the backlog is not full");
     }
 
-    /// Opens it: what was tried meanwhile comes up.
+    /// Empties the backlog, so that pending connects succeed.
     pub fn clear(self) -> TcpListener {
-        // The filler ends, so that it is not taken for one of the program's.
+        // Accepted here, so that no test mistakes it for a connection of the gateway.
         self.listener.set_nonblocking(false).unwrap();
         for filler in self.fillers.borrow_mut().drain(..) {
             let (taken, _) = self.listener.accept().unwrap();
@@ -108,7 +112,7 @@
     }
 }
 
-/// The next connection that writes something.
+/// Accepts connections until one of them sends data, and returns that one.
 pub fn accept_request(listener: &TcpListener) -> TcpStream {
     loop {
         let stream = accept_any(&[listener]);
@@ -119,14 +123,14 @@
     }
 }
 
-/// The connection that the program tries to open comes up, and ends with nothing written.
+/// Asserts that the gateway's next connection is established and closed without any data.
 pub fn assert_no_request(listener: &TcpListener, what: &str) {
     let stream = accept_any(&[listener]);
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert!(!matches!(stream.peek(&mut [0]), Ok(1)), "{what}");
 }
 
-/// No connection has come.
+/// Asserts that no connection is waiting.
 pub fn assert_no_connection(listener: &TcpListener, what: &str) {
     listener.set_nonblocking(true).unwrap();
     assert!(listener.accept().is_err(), "{what}");
--- a/tests/common/gear.rs
+++ b/tests/common/gear.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for Gearman clients and workers.
+//! Scripted Gearman clients and workers.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -8,13 +8,14 @@
 
 use crate::net::{Program, SETTINGS, TEST_TIMEOUT};
 
-/// Anything that a stand-in can speak over: a plain socket or TLS.
+/// A byte stream of a scripted peer: a plain socket or TLS.
 pub trait ReadWrite: Read + Write {}
 impl<T: Read + Write> ReadWrite for T {}
 
-/// One side of a Gearman connection.
+/// A client's or worker's end of a Gearman connection.
 pub struct Gear(pub Box<dyn ReadWrite>);
 
+/// A packet's type and its arguments.
 pub type Packet = (u32, Vec<Vec<u8>>);
 
 impl Gear {
@@ -25,7 +26,7 @@
         Gear(Box::new(stream))
     }
 
-    /// A worker that can do these functions.
+    /// Connects as a worker and registers these functions.
     pub fn worker(address: SocketAddr, functions: &[&str]) -> Gear {
         let mut worker = Gear::connect(address);
         worker.can_do(functions);
@@ -36,18 +37,18 @@
         for function in functions {
             self.send(kind::CAN_DO, &[function]);
         }
-        // Once this is answered all before it has been read.
+        // The answer shows that the gateway has read all packets before it.
         self.send(kind::ECHO_REQ, &["ready"]);
         assert_eq!(self.read(), Some((kind::ECHO_RES, vec![b"ready".to_vec()])));
     }
 
     pub fn send(&mut self, kind: u32, arguments: &[&str]) {
         let arguments: Vec<&[u8]> = arguments.iter().map(|a| a.as_bytes()).collect();
-        // The program may have ended the connection: what is read next tells.
+        // A write error is ignored: if the gateway has closed the connection, the next read shows it.
         let _ = self.0.write_all(&request(kind, &arguments));
     }
 
-    /// The next packet, its arguments split; none at the end.
+    /// Reads the next packet and splits its arguments; `None` at the end of the connection.
     pub fn read(&mut self) -> Option<Packet> {
         let mut header = [0; 12];
         self.0.read_exact(&mut header).ok()?;
@@ -59,7 +60,7 @@
         Some((word(4), arguments))
     }
 
-    /// The next packet, which is of this kind: its arguments.
+    /// Reads the next packet, asserts its type, and returns its arguments.
     pub fn expect(&mut self, kind: u32) -> Vec<String> {
         let (found, arguments) = self.read().expect("the connection ended");
         let texts: Vec<String> =
@@ -68,13 +69,14 @@
         texts
     }
 
-    /// Submits a job and gives its handle.
+    /// Submits a job and returns its handle.
     pub fn submit(&mut self, function: &str, unique: &str, data: &str) -> String {
         self.send(kind::SUBMIT_JOB, &[function, unique, data]);
         self.expect(kind::JOB_CREATED).remove(0)
     }
 
-    /// Sleeps until there is a job, and fetches it: its handle and its data. None when the connection ends.
+    /// Grabs the next job, sleeping until one is available, and returns its handle and data; `None` at the
+    /// end of the connection.
     pub fn fetch(&mut self) -> Option<(String, String)> {
         loop {
             self.send(kind::GRAB_JOB, &[]);
@@ -89,14 +91,15 @@
                         self.send(kind::PRE_SLEEP, &[]);
                     }
                     (kind::NOOP, _) => break,
-                    other => panic!("a worker got {other:?}"),
+                    other => panic!("unexpected packet for a worker: {other:?}"),
                 }
             }
         }
     }
 }
 
-/// The Gearman front alone: `confirm` is unsafe, `search` safe, `hold` unsafe and short.
+/// Starts the gateway with the Gearman frontend alone. The functions: `confirm` is unsafe, `search` is safe,
+/// `hold` is unsafe with a short deadline. `more` is inserted after the settings.
 pub fn gearman(more: &str) -> (Program, SocketAddr) {
     let file = format!(
         r#"{{"listen": "127.0.0.1:0", "settings": {SETTINGS}{more}, "functions": {{
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world for the tests: settings, a list, and a dispatcher whose actions are kept.
+//! Harness for tests of the router: settings, endpoints, and a router driven by a manual clock.
 #![allow(dead_code)]
 
 use micabeam::routing::Router;
@@ -19,7 +19,8 @@
     }
 }
 
-/// One class of each way to repeat: 0 safe, 1 keyed within a cell, 2 unsafe.
+/// Returns settings with one class for each idempotency: 0 idempotent, 1 keyed within a cell, 2 not
+/// idempotent.
 pub fn settings() -> Settings {
     let window = 2 * SECOND;
     Settings {
@@ -54,13 +55,14 @@
     }
 }
 
-/// The same where workers can be probed.
+/// Returns the same settings with probes enabled.
 pub fn probing() -> Settings {
     let mut settings = settings();
     settings.capabilities.may_probe = true;
     settings
 }
 
+/// Returns a ready endpoint; odd and even ids are in different cells.
 pub fn member(id: u64, size: f64) -> Endpoint {
     let state = EndpointStatus::Ready;
     Endpoint {
@@ -74,6 +76,7 @@
     }
 }
 
+/// A router with its clock and a count of the jobs submitted to it.
 pub struct World {
     pub dispatcher: Router,
     pub now: Micros,
@@ -99,19 +102,20 @@
         actions
     }
 
-    /// The number of the next attempt of a job that was sent, counted by the calls of this.
+    /// Returns the index of a job's next attempt: the number of earlier calls for this job.
     pub fn next_attempt(&mut self, job: JobId) -> usize {
         let sends = self.sends.entry(job).or_default();
         *sends += 1;
         *sends - 1
     }
 
-    /// Lets time pass and answers what it brings.
+    /// Advances the clock by `span` and returns the actions of the wake-up.
     pub fn wait(&mut self, span: Micros) -> Vec<Action> {
         self.now += span;
         self.handle(Event::Wake)
     }
 
+    /// Submits a job with a deadline in 5 s, and returns its id and the router's actions.
     pub fn job(&mut self, class: usize) -> (JobId, Vec<Action>) {
         self.jobs += 1;
         let id = JobId(self.jobs);
@@ -119,6 +123,7 @@
         (id, self.handle(Event::Job(job)))
     }
 
+    /// Reports the end of an attempt after 50 ms and returns the router's actions.
     pub fn ended(&mut self, job: JobId, attempt: usize, worker: EndpointId, outcome: Outcome) -> Vec<Action> {
         let finished = outcome == Outcome::Served;
         let report = LoadReport::default();
@@ -134,14 +139,14 @@
         }))
     }
 
-    /// Answers a probe at once with so many free slots.
+    /// Answers a probe after 1 ms with `free` free slots, and returns the router's actions.
     pub fn probed(&mut self, worker: EndpointId, free: f64) -> Vec<Action> {
         let report = LoadReport { free_slots: Some(free), ..LoadReport::default() };
         self.handle(Event::Probed { endpoint: worker, answered: true, latency: MS, report })
     }
 }
 
-/// Where the actions send a job first.
+/// Returns the endpoint of the first send among the actions.
 pub fn sent(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::Send { endpoint: worker, .. } => Some(*worker),
@@ -149,7 +154,7 @@
     })
 }
 
-/// Which worker the actions probe first.
+/// Returns the endpoint of the first probe among the actions.
 pub fn probed_endpoint(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::Probe { endpoint: worker } => Some(*worker),
@@ -157,7 +162,7 @@
     })
 }
 
-/// The final answer among the actions.
+/// Returns the first rejection or failure among the actions.
 pub fn answer(actions: &[Action]) -> Option<Action> {
     actions.iter().find(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).cloned()
 }
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -1,5 +1,5 @@
-//! Peers for the stories on sockets: the program itself on loopback, and scripted ones around it. Reads wait
-//! for what is to come, with a limit that only a failure meets.
+//! Helpers for tests over sockets: the gateway as a child process on loopback, and scripted peers. Reads
+//! block until data arrives, for at most `TEST_TIMEOUT`.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,9 +9,11 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
+/// Timeout of blocking reads and of polling loops. Only a failing test reaches it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings with a safe class and an unsafe one, and long aims, so that a slow machine is not late.
+/// Settings with a safe and an unsafe class whose aims are long, so that a slow machine meets them, and an
+/// unsafe class with a short deadline.
 pub const SETTINGS: &str = r#"{"balancers": 1, "myNumber": 0, "quantum": 1000, "membershipMode": "subscribe",
     "grades": [
       {"name": "avail-search", "aim": 4000000, "hardLimit": 5000000, "semantics": "retryable"},
@@ -23,22 +25,22 @@
     "familyInfo": {"tellsStart": true, "reportX0": "free slots"}, "report": {"fields": ["queue", "x0"]},
     "rules": {"coldFrom": 0.1, "cold": 20000000, "tipMultiple": 2.5, "askWithin": 4000000}}"#;
 
-/// A file of the test's own.
+/// Writes a file into a new directory and returns its path.
 pub fn file(name: &str, text: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}", std::process::id()));
-    // An earlier test program may have had this process's number.
+    // An earlier test process may have had the same PID.
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
     std::fs::write(dir.join(name), text).unwrap();
     dir.join(name)
 }
 
-/// The program, killed when the story ends.
+/// The gateway as a child process. It is killed on drop.
 pub struct Program {
     pub child: Child,
-    /// Its configuration, its Gearman file and its operator's file, where it has them.
+    /// The configuration, the Gearman file and the operator file, if given.
     pub files: [Option<PathBuf>; 3],
     stdout: BufReader<ChildStdout>,
     pub stderr: BufReader<ChildStderr>,
@@ -49,7 +51,7 @@
         Program::start_with_files(config, gearman, None)
     }
 
-    /// The program with an operator's file.
+    /// Starts the gateway with an operator file alone.
     pub fn start_with_operator_file(text: &str) -> Program {
         Program::start_with_files(None, None, Some(text))
     }
@@ -58,13 +60,14 @@
         Program::from_command(Command::new(env!("CARGO_BIN_EXE_micabeam")), config, gearman, operator)
     }
 
-    /// The program with a directory for its notes.
+    /// Starts the gateway with `TMPDIR` set to `notes`, where it writes its handover note.
     pub fn start_with_temp_dir(config: &str, notes: &std::path::Path) -> Program {
         let mut command = Command::new(env!("CARGO_BIN_EXE_micabeam"));
         command.env("TMPDIR", notes);
         Program::from_command(command, Some(config), None, None)
     }
 
+    /// Runs `command`, which starts the gateway, with the given files.
     pub fn from_command(
         mut command: Command,
         config: Option<&str>,
@@ -94,21 +97,23 @@
         Program { child, files, stdout, stderr }
     }
 
-    /// The address that the next line it prints ends with.
+    /// Reads a line from standard output and returns the address at its end.
     pub fn read_address(&mut self) -> SocketAddr {
         let mut line = String::new();
         self.stdout.read_line(&mut line).unwrap();
         line.trim().rsplit(' ').next().unwrap().parse().unwrap_or_else(|_| panic!("printed {line:?}"))
     }
 
-    /// Replaces one of its files, has it read again, and gives the line that it says then.
+    /// Overwrites a file (`at` is its index in `files`), sends SIGHUP, and returns the next plain line of the
+    /// log.
     pub fn reload(&mut self, at: usize, text: &str) -> String {
         std::fs::write(self.files[at].as_ref().unwrap(), text).unwrap();
         self.signal("HUP");
         self.next_plain_line()
     }
 
-    /// The next plain line of its log; events of `tracing`, which begin with their time, are passed over.
+    /// Returns the next line of the log that starts with `micabeam: `, and an empty text at the end. Events
+    /// of `tracing` start with their time and are skipped.
     pub fn next_plain_line(&mut self) -> String {
         loop {
             let mut line = String::new();
@@ -119,12 +124,13 @@
         }
     }
 
+    /// Sends a signal, given by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("/bin/sh").args(["-c", &kill]).status().unwrap().success());
     }
 
-    /// Waits for its end: whether it ended well, and what it wrote.
+    /// Waits for the process to exit. Returns whether its exit status is 0, and the rest of its log.
     pub fn wait(mut self) -> (bool, String) {
         let mut text = String::new();
         self.stderr.read_to_string(&mut text).unwrap();
@@ -139,12 +145,12 @@
     }
 }
 
-/// The platform's front over scripted backend servers, which the list held before the start.
+/// Starts the gateway with the platform's HTTP frontend. `hosts` is the list of its configuration.
 pub fn platform(discovery: SocketAddr, hosts: &[(&str, SocketAddr)]) -> (Program, SocketAddr) {
     platform_with_sockets(256, discovery, hosts)
 }
 
-/// The same with so many descriptors.
+/// Same as `platform`, with a limit on the number of sockets.
 pub fn platform_with_sockets(
     sockets: usize,
     discovery: SocketAddr,
@@ -155,7 +161,7 @@
     (program, address)
 }
 
-/// The configuration that it starts with.
+/// Returns a configuration for the platform's HTTP frontend, with `hosts` as version 7 of the list.
 pub fn config(sockets: usize, discovery: SocketAddr, hosts: &[(&str, SocketAddr)]) -> String {
     let lines: Vec<String> = hosts.iter().map(|(name, dial)| host(name, *dial, "up")).collect();
     format!(
@@ -166,8 +172,8 @@
     )
 }
 
-/// A process's first call for the list, which asks for an answer at once: there is no news, and the list of its
-/// configuration is confirmed.
+/// Answers a process's first discovery call, which asks for an answer at once: nothing has changed, so the
+/// list of the configuration is confirmed.
 pub fn confirm_list(call: &mut Http) {
     let (head, _) = call.read();
     assert!(head.starts_with("GET /discovery/hosts?since=7&timeout_ms=0 "), "{head}");
@@ -175,20 +181,20 @@
     call.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
 }
 
-/// A line of the list.
+/// Returns an entry of the discovery list.
 pub fn host(name: &str, dial: SocketAddr, health: &str) -> String {
     format!(r#"{{"host": "{name}", "dial": "{dial}", "health": "{health}", "share": 1.0, "born_ms": 0}}"#)
 }
 
-/// A listener, and its address.
+/// Returns a listener on a free loopback port, and its address.
 pub fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
 }
 
-/// An address at which nobody listens. The port stays bound until the test program ends: freed, it could be
-/// given to a listener of another story.
+/// Returns an address that refuses connections. Its port stays bound until the test process exits; if it were
+/// freed, the kernel could give it to a listener of another test.
 pub fn refusing_address() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -197,7 +203,7 @@
     address
 }
 
-/// The next connection at any of the listeners; none in good time is a failure.
+/// Accepts the next connection at any of the listeners. Panics if none arrives within `TEST_TIMEOUT`.
 pub fn accept_any(listeners: &[&TcpListener]) -> TcpStream {
     let end = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < end {
@@ -213,7 +219,7 @@
     panic!("nobody connected");
 }
 
-/// One side of an HTTP connection.
+/// A scripted client's or server's end of an HTTP connection.
 pub struct Http(pub BufReader<TcpStream>);
 
 impl Http {
@@ -225,7 +231,7 @@
         Http::from_stream(accept_any(&[listener]))
     }
 
-    /// The next connection, once this one is dropped.
+    /// Closes this connection and accepts the next one.
     pub fn accept_after(self, listener: &TcpListener) -> Http {
         drop(self);
         Http::accept(listener)
@@ -240,7 +246,7 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// A whole message: its head and its body. An empty head is the end.
+    /// Reads a whole message and returns its head and body. The head is empty at the end of the connection.
     pub fn read(&mut self) -> (String, String) {
         let mut head = String::new();
         loop {
@@ -258,7 +264,7 @@
         (head, String::from_utf8(body).unwrap())
     }
 
-    /// Hands a job in.
+    /// Submits a job with a deadline of 4 s.
     pub fn submit(&mut self, class: &str, id: &str) {
         self.write(&format!(
             "POST /{class}/x?y=1 HTTP/1.1\r\nHost: a\r\nReq-Id: {id}\r\nReq-Owner: fraser-parks\r\n\
@@ -266,7 +272,7 @@
         ));
     }
 
-    /// Calls back, and sees that the call is acknowledged.
+    /// Sends a job event (call-back) and asserts that it is acknowledged with 204.
     pub fn call_back(&mut self, id: &str, from: &str, state: &str, result: &str) {
         let body = format!(r#"{{"id":"{id}","from":"{from}","state":"{state}","result":"{result}"}}"#);
         self.write(&format!(
@@ -277,13 +283,14 @@
         assert!(head.starts_with("HTTP/1.1 204"), "{head}");
     }
 
+    /// Answers a job with 202 Accepted.
     pub fn send_accepted(&mut self) {
         self.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
     }
 }
 
-/// A scripted server's part in a job that it has read: says 202, then tells of its start and its end on a
-/// connection of its own, which is given back for more calls.
+/// Answers a job that was read with 202, then reports its start and its end on a new connection, which is
+/// returned for more call-backs.
 pub fn accept_and_finish(job: &mut Http, address: SocketAddr, id: &str, result: &str) -> Http {
     job.send_accepted();
     let mut calls = Http::connect(address);
@@ -292,7 +299,7 @@
     calls
 }
 
-/// A header's value.
+/// Returns the value of a header, if the message has it.
 pub fn header_value(head: &str, name: &str) -> Option<String> {
     head.lines().find_map(|line| {
         let (found, value) = line.split_once(':')?;
@@ -300,7 +307,7 @@
     })
 }
 
-/// A counter, as the program tells it.
+/// Reads a counter of a running gateway from `GET /counters`.
 pub fn counter(address: SocketAddr, name: &str) -> u64 {
     let mut http = Http::connect(address);
     http.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -309,13 +316,13 @@
     line.parse().unwrap()
 }
 
-/// A counter in the log of a program that has ended.
+/// Returns a counter from the log of a gateway that has exited, or from the text of `GET /counters`.
 pub fn logged_counter(log: &str, name: &str) -> u64 {
     let line = log.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     line.unwrap_or_else(|| panic!("no {name} in {log}")).parse().unwrap()
 }
 
-/// Sees that each session taken has ended, in one way.
+/// Asserts that each accepted session has ended, and is counted under exactly one result.
 pub fn assert_all_ended(log: &str) {
     let ends = ["turned_away", "served", "denied", "failed", "left"].map(|name| logged_counter(log, name));
     assert_eq!(logged_counter(log, "taken"), ends.iter().sum::<u64>(), "{log}");
--- a/tests/common/stand_ins.rs
+++ b/tests/common/stand_ins.rs
@@ -1,5 +1,5 @@
-//! Stand-ins that run by themselves: a discovery service whose list and faults a test sets, and job servers that serve what
-//! they get and count it.
+//! Stand-in servers with threads of their own: a discovery service whose list and faults a test sets, and job
+//! servers that complete and count their jobs.
 #![allow(dead_code)]
 
 use std::io::Write;
@@ -12,35 +12,35 @@
 use super::crossing::reset;
 use super::net::{Http, header_value, listener};
 
-/// How often a server makes a call that is not acknowledged.
+/// Maximum number of times that a server sends a call-back until it is acknowledged.
 const CALL_BACK_TRIES: u32 = 10;
 
-/// How the discovery service treats calls.
+/// How the discovery service responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers.
+    /// The service answers normally.
     Answers,
-    /// Each call fails at once, as where the service is down.
+    /// Each call is answered with 503 at once.
     Fails,
-    /// The connection is reset under the call.
+    /// The connection is reset after the call was read.
     Resets,
-    /// The answer ends in its middle.
+    /// The connection is closed after half of the answer.
     Truncates,
-    /// It reads the call and says nothing more.
+    /// The call is read and never answered.
     Silent,
 }
 
 struct DiscoveryState {
     mode: Mode,
-    /// Calls that are still treated as `mode` says; all after them are answered.
+    /// Number of calls that `mode` still applies to; later calls are answered.
     faults_left: u64,
     version: u64,
     hosts: String,
-    /// When calls came.
+    /// Arrival times of all calls.
     calls: Vec<Instant>,
 }
 
-/// A discovery service.
+/// A stand-in discovery service. Clones share its state.
 #[derive(Clone)]
 pub struct StandInDiscovery {
     pub address: SocketAddr,
@@ -48,7 +48,7 @@
 }
 
 impl StandInDiscovery {
-    /// A service that answers with this list.
+    /// Starts a service with this version of the list.
     pub fn start(version: u64, hosts: &str) -> StandInDiscovery {
         let (listener, address) = listener();
         let state = DiscoveryState {
@@ -69,20 +69,20 @@
         discovery
     }
 
-    /// Has it treat so many calls in some way, and answer those after them.
+    /// Applies `mode` to the next `calls` calls; later calls are answered.
     pub fn set_mode(&self, mode: Mode, calls: u64) {
         let mut state = self.state.0.lock().unwrap();
         (state.mode, state.faults_left) = (mode, calls);
     }
 
-    /// Makes a newer list known; watches that wait are answered.
+    /// Publishes a newer list and answers the pending long polls with it.
     pub fn publish(&self, version: u64, hosts: &str) {
         let mut state = self.state.0.lock().unwrap();
         (state.version, state.hosts) = (version, hosts.into());
         self.state.1.notify_all();
     }
 
-    /// When calls came.
+    /// Returns the arrival times of all calls.
     pub fn calls(&self) -> Vec<Instant> {
         self.state.0.lock().unwrap().calls.clone()
     }
@@ -111,7 +111,8 @@
         }
     }
 
-    /// How a call is treated, and its answer, which is waited for as long as the call says.
+    /// Returns how to respond to a call, and the answer. A long poll blocks until there is a newer list or
+    /// its timeout is over.
     fn answer(&self, head: &str) -> (Mode, String) {
         let parameter = |name: &str| {
             let rest = head.split(&format!("{name}=")).nth(1)?;
@@ -144,7 +145,7 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A server that takes each job and calls back that it is done.
+/// A stand-in server that accepts each job and reports it as done.
 pub struct JobServer {
     pub name: String,
     pub address: SocketAddr,
@@ -153,13 +154,13 @@
 }
 
 impl JobServer {
-    /// A server that listens, and serves once it is told whose jobs.
+    /// Binds the server's listener; jobs are served after `serve`.
     pub fn listen(name: &str) -> JobServer {
         let (listener, address) = listener();
         JobServer { name: name.into(), address, listener, jobs: Arc::default() }
     }
 
-    /// Serves the jobs of the dispatcher at `dispatcher`.
+    /// Serves jobs in the background, and sends their call-backs to `dispatcher`.
     pub fn serve(&self, dispatcher: SocketAddr) {
         let listener = self.listener.try_clone().unwrap();
         let (name, jobs) = (self.name.clone(), Arc::clone(&self.jobs));
@@ -171,7 +172,7 @@
         });
     }
 
-    /// How many jobs it has been sent.
+    /// Returns the number of jobs received.
     pub fn jobs(&self) -> u64 {
         self.jobs.load(Ordering::Relaxed)
     }
@@ -192,11 +193,12 @@
         let id = header_value(&head, "req-id").unwrap();
         let is_acknowledged =
             (0..CALL_BACK_TRIES).any(|_| report_done(dispatcher, &id, name).unwrap_or(false));
-        assert!(is_acknowledged, "nobody acknowledges the end of {id}");
+        assert!(is_acknowledged, "the call-back for {id} is not acknowledged");
     }
 }
 
-/// Tells of a job's end; whether that was acknowledged. A connection may be reset as a process stops listening.
+/// Reports a job as done and returns whether that was acknowledged. The connection may be reset if a process
+/// is just closing its listener.
 fn report_done(dispatcher: SocketAddr, id: &str, name: &str) -> std::io::Result<bool> {
     let mut call = Http::from_stream(TcpStream::connect(dispatcher)?);
     let body = format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"ok"}}"#);
@@ -206,7 +208,7 @@
     Ok(call.read().0.starts_with("HTTP/1.1 204"))
 }
 
-/// Waits until the dispatcher says that clients may come; how long that took.
+/// Polls `GET /up` until the dispatcher is ready, and returns how long that took.
 pub fn wait_until_ready(dispatcher: SocketAddr, limit: Duration) -> Duration {
     let began = Instant::now();
     loop {
@@ -220,7 +222,8 @@
     }
 }
 
-/// Hands jobs in, one after the other, for a while; how many were answered 200, and how many otherwise.
+/// Submits jobs one after the other for `duration`. Returns the number answered with 200 and the number of
+/// all others.
 pub fn submit_for(dispatcher: SocketAddr, name: &str, duration: Duration) -> (u64, u64) {
     let (end, mut served, mut other) = (Instant::now() + duration, 0, 0);
     let mut client = Http::connect(dispatcher);
--- a/tests/ending_connections.rs
+++ b/tests/ending_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to servers that end as the next job is written on them: the program over loopback, stopped and let go so that the
-//! order happens however busy the machine is.
+//! Upstream connections that close while the next job is written on them. The gateway is suspended and
+//! resumed, so that the events happen in the intended order on a busy machine too.
 
 #[path = "common/crossing.rs"]
 mod crossing;
@@ -11,18 +11,20 @@
 use crossing::*;
 use net::*;
 
-/// A server closes each connection after its answer, without a word of it, and a job that must not run twice follows at once.
+/// A server closes each connection after its answer, without `Connection: close`, and an unsafe job follows
+/// at once.
 ///
-/// What callers saw: now and then such a job was answered as failed, though its server was well. Why: the dispatcher took the
-/// connection for one that is kept as soon as the answer had come, while its end was on the way; what is written then may have
-/// run. What showed it: the known red of the upgrade, with each attempt and each connection logged. The server had closed 0.03 to
-/// 0.2 ms before the job was written on the same connection, which was reset 0.02 to 4 ms after. (The log of the entry, a `DELETE`
-/// of an earlier job, was the end of that one's time: the fourth job had its answer long before.)
+/// Guards against such a job failing although its server is healthy. The dispatcher treated the connection as
+/// kept alive as soon as the answer had arrived, while the close was on its way; a job that was written then
+/// may have run and must not be retried. Seen in an upgrade test with each attempt and connection logged: the
+/// server had closed 0.03 to 0.2 ms before the job was written on the same connection, which was reset 0.02
+/// to 4 ms later. (A `DELETE` of an earlier job in the log of that test was unrelated: it was that job's
+/// deadline, and the fourth job had its answer long before.)
 #[test]
 fn an_unsafe_job_is_not_written_on_a_connection_that_the_server_is_closing() {
     let (worker, dial) = listener();
     let (program, address) = platform(refusing_address(), &[("s-1", dial)]);
-    // A round counts where the end followed soon, as it does unless the machine is very busy.
+    // A round counts only if the close follows within 40 ms; on a very busy machine it may not.
     for round in 0..20 {
         let ids = [format!("a{round}"), format!("b{round}")];
         let mut clients = [Http::connect(address), Http::connect(address)];
@@ -36,16 +38,16 @@
         let began = Instant::now();
         resume(&program);
         wait_until(|| counter(address, "sent") > sent, "the second job is not sent");
-        // It ends over what it has not read, as the end of an idle connection that crosses a request does.
+        // The close leaves unread data, like an idle close that crosses a request.
         drop(first);
         if began.elapsed() > Duration::from_millis(40) {
             drop(clients);
-            wait_until(|| counter(address, "left") == 2 * (round + 1), "their ends are not seen");
+            wait_until(|| counter(address, "left") == 2 * (round + 1), "the disconnects are not counted");
             continue;
         }
         let mut second = Http::accept(&worker);
         let (head, _) = second.read();
-        assert!(head.contains(&ids[1]), "it was written on a connection that was ending: {head}");
+        assert!(head.contains(&ids[1]), "the job was written on a connection that was closing: {head}");
         second.send_accepted();
         for (client, id) in clients.iter_mut().zip(&ids) {
             Http::connect(address).call_back(id, "s-1", "done", "ok");
@@ -53,15 +55,15 @@
         }
         return;
     }
-    panic!("the machine is too busy for the order to happen");
+    panic!("the machine is too busy to force the order of events");
 }
 
-/// The connection that a job was to be written on ends before a byte of it is.
+/// The connection chosen for a job closes before the first byte of the job is written.
 ///
-/// What callers saw: the fourth job for an only server, whose other three had not started, was held and then rejected at its
-/// deadline. Why: the attempt counted as one that was not sent, and the job was decided anew, some milliseconds after it came. It
-/// had been sent as the queue there was just as long as it might wait; now the queue was longer than what was left. What showed it:
-/// `lb_held_total{reason="queue"}`, and each attempt logged.
+/// Guards against a job that is held and then rejected at its deadline: the fourth job for the only server,
+/// whose other three had not started. The attempt counted as not sent, and the job was scheduled again some
+/// milliseconds after its arrival. At first the estimated queue wait just fitted into the time left; the
+/// second time it no longer did. Seen in `lb_held_total{reason="queue"}` and in a log of each attempt.
 #[test]
 fn a_job_whose_kept_connection_closes_before_the_write_uses_another_at_once() {
     let (worker, dial) = listener();
@@ -86,14 +88,14 @@
         drop(connections.pop());
         if began.elapsed() > Duration::from_millis(40) {
             drop(clients);
-            wait_until(|| counter(address, "left") == 4 * (round + 1), "their ends are not seen");
+            wait_until(|| counter(address, "left") == 4 * (round + 1), "the disconnects are not counted");
             continue;
         }
         let mut fourth = Http::accept(&worker);
         let (head, _) = fourth.read();
-        assert!(head.contains(&ids[3]), "the fourth job does not come: {head}");
-        assert_eq!(counter(address, "sent"), sent + 1, "it is one attempt");
+        assert!(head.contains(&ids[3]), "the fourth job was not sent: {head}");
+        assert_eq!(counter(address, "sent"), sent + 1, "the job used more than one attempt");
         return;
     }
-    panic!("the machine is too busy for the order to happen");
+    panic!("the machine is too busy to force the order of events");
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! Stories of an upgrade: two or three processes of the program at one address, and call-backs that reach any of them.
+//! Upgrades: two or three processes of the gateway listen at one address, and a call-back can reach any of
+//! them.
 
 #[path = "common/crossing.rs"]
 mod crossing;
@@ -16,7 +17,8 @@
 use net::*;
 use stand_ins::{JobServer, Mode, StandInDiscovery};
 
-/// An installation: an address of its own that processes share, their notes_dir, and one booking worker.
+/// An installation of the gateway: an address that its processes share, the directory of their handover
+/// notes, and one worker.
 struct Installation {
     address: SocketAddr,
     notes_dir: PathBuf,
@@ -29,7 +31,7 @@
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let number = NEXT.fetch_add(1, Ordering::Relaxed) as u8;
         let pid = std::process::id();
-        // No other process of this machine's tests has this address.
+        // Derived from the PID, so that test processes that run at the same time use different addresses.
         let address = SocketAddr::from(([127, 1 + (pid >> 8) as u8 % 200, pid as u8, number], 8081));
         let notes_dir = file("notes", "").parent().unwrap().to_path_buf();
         let (worker, dial) = listener();
@@ -39,19 +41,20 @@
         Installation { address, notes_dir, worker, config }
     }
 
-    /// Starts a process, and waits until it says that it is ready.
+    /// Starts a process, waits until its console reports ready, and returns it with the console's address.
     fn start(&self) -> (Program, SocketAddr) {
         let mut program = Program::start_with_temp_dir(&self.config, &self.notes_dir);
         assert_eq!(program.read_address(), self.address);
         let console = program.read_address();
         let end = Instant::now() + TEST_TIMEOUT;
         while !readyz(console).starts_with("ACK") {
-            assert!(Instant::now() < end, "it says that it is ready");
+            assert!(Instant::now() < end, "the process is not ready");
         }
         (program, console)
     }
 
-    /// A client with a job that the worker has taken, handed to the process.
+    /// Submits a job to the process, has the worker accept it, and returns the client that waits for the
+    /// result.
     fn submit_accepted_job(&self, process: &Program, id: &str) -> Http {
         let mut client = self.client(process);
         client.submit("confirm-booking", id);
@@ -62,7 +65,7 @@
         client
     }
 
-    /// A client's connection that the kernel has dealt to the process.
+    /// Opens client connections until the kernel assigns one to the process, and returns that one.
     fn client(&self, process: &Program) -> Http {
         let pid = process.child.id().to_string();
         for _ in 0..200 {
@@ -75,7 +78,8 @@
         panic!("no connection reaches {pid}");
     }
 
-    /// Whether a new connection reaches the process. What waits to be accepted as the other stops listening is reset.
+    /// Returns whether a new connection reaches the process. A connection in the other's backlog is reset
+    /// when that one stops listening, and counts as no.
     fn reaches(&self, process: &Program) -> bool {
         let ask = || -> std::io::Result<String> {
             let mut stream = TcpStream::connect(self.address)?;
@@ -88,12 +92,13 @@
         ask().is_ok_and(|answer| header_value(&answer, "lb-process") == Some(process.child.id().to_string()))
     }
 
-    /// Calls back over a connection that reaches the process; gives the status.
+    /// Sends a call-back on a connection to the process and returns the status.
     fn call_back_at(&self, process: &Program, id: &str, result: &str) -> String {
         call_back_done(&mut self.client(process), id, result)
     }
 }
 
+/// Reports a job as done and returns the status.
 fn call_back_done(http: &mut Http, id: &str, result: &str) -> String {
     let body = format!(r#"{{"id":"{id}","from":"s-1","state":"done","result":"{result}"}}"#);
     http.write(&format!(
@@ -103,6 +108,7 @@
     http.read().0.split(' ').nth(1).unwrap_or("").to_string()
 }
 
+/// Returns the console's answer to `readyz`.
 fn readyz(console: SocketAddr) -> String {
     let mut stream = TcpStream::connect(console).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -112,14 +118,16 @@
     answer
 }
 
+/// Asserts that a client's job is answered with 200, and returns the result.
 fn expect_served(client: &mut Http) -> String {
     let (head, body) = client.read();
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     body
 }
 
-/// Seen on the operators' days: once the old process has stopped listening, call-backs of its jobs reach the new one,
-/// which acknowledged and forgot them, and the jobs timed out.
+/// Guards against lost call-backs: once the old process has stopped listening, call-backs for its jobs reach
+/// the new one. That one once acknowledged and dropped them, and the jobs timed out. Operators saw this in
+/// production.
 #[test]
 fn a_call_back_that_reaches_the_other_process_completes_its_job() {
     let installation = Installation::new();
@@ -130,11 +138,15 @@
     let mut late = installation.submit_accepted_job(&new, "new-0");
     assert_eq!(installation.call_back_at(&new, "old-0", "0"), "204");
     assert_eq!(expect_served(&mut waiting[0]), "0");
-    assert_eq!(installation.call_back_at(&old, "new-0", "n"), "204", "and the other way round");
+    assert_eq!(
+        installation.call_back_at(&old, "new-0", "n"),
+        "204",
+        "the old process forwards to the new one as well"
+    );
     assert_eq!(expect_served(&mut late), "n");
     old.signal("TERM");
     let end = Instant::now() + TEST_TIMEOUT;
-    // From here on the kernel deals all to the new one.
+    // Wait until the kernel assigns all new connections to the new process.
     while !(0..8).all(|_| installation.reaches(&new)) {
         assert!(Instant::now() < end);
     }
@@ -150,10 +162,11 @@
     assert_eq!(
         call_back_done(&mut Http::connect(installation.address), "old-1", "again"),
         "204",
-        "nobody knows it any more"
+        "a call-back for a job that no process knows is acknowledged"
     );
 }
 
+/// Guards against an old process whose jobs are lost when the new one is killed, before or after it is ready.
 #[test]
 fn killing_the_new_process_loses_no_job_of_the_old_one() {
     for before_ready in [true, false] {
@@ -167,7 +180,7 @@
         } else {
             installation.start().0
         };
-        // The end of the program that is dropped is a kill.
+        // Dropping a `Program` kills its process.
         drop(new);
         assert_eq!(call_back_done(&mut Http::connect(installation.address), "a", "r"), "204");
         assert_eq!(expect_served(&mut client), "r");
@@ -177,6 +190,7 @@
     }
 }
 
+/// Guards against workers that repeat a call-back forever because the owner of its job was killed.
 #[test]
 fn a_call_back_for_a_job_of_a_killed_process_is_acknowledged() {
     let installation = Installation::new();
@@ -185,10 +199,11 @@
     let (new, _) = installation.start();
     drop(old);
     drop(client);
-    assert_eq!(installation.call_back_at(&new, "a", "r"), "204", "its owner has gone, and the job with it");
+    assert_eq!(installation.call_back_at(&new, "a", "r"), "204", "the owner was killed, and its job is lost");
 }
 
-/// The owner cannot be asked: the call must not be acknowledged, and the word must come once it can.
+/// While the owner of a job is suspended, the other process cannot forward a call-back. It must answer 503,
+/// so that the worker repeats the call-back, and the repeated one must complete the job once.
 #[test]
 fn a_call_back_is_answered_503_while_the_process_that_owns_its_job_is_stopped() {
     let installation = Installation::new();
@@ -203,6 +218,7 @@
     assert_eq!(expect_served(&mut client), "r");
 }
 
+/// Guards against a process that forwards call-backs only to its direct predecessor.
 #[test]
 fn the_third_process_forwards_a_call_back_to_the_first() {
     let installation = Installation::new();
@@ -214,6 +230,7 @@
     assert_eq!(expect_served(&mut client), "r");
 }
 
+/// Guards against jobs that fail because a handover note is truncated or cannot be written.
 #[test]
 fn a_truncated_or_unwritable_handover_note_loses_no_job() {
     let truncated = Installation::new();
@@ -227,7 +244,7 @@
     assert_eq!(truncated.call_back_at(&old, "a", "r"), "204");
     assert_eq!(expect_served(&mut client), "r");
     drop(new);
-    // No directory for notes at all: one line, and the program serves.
+    // Without a directory for notes the process logs one line and serves.
     let without_dir =
         Installation { notes_dir: Path::new("/nonexistent/notes").to_path_buf(), ..Installation::new() };
     let (mut alone, _) = without_dir.start();
@@ -237,7 +254,8 @@
     assert_eq!(expect_served(&mut client), "s");
 }
 
-/// The new process begins with the list of its configuration, which may be old, and its own discovery may be slow.
+/// The new process starts with the list of its configuration, which may be old, and its first discovery call
+/// may be slow. Guards against jobs for an endpoint that the old process already knows to be draining.
 #[test]
 fn the_new_process_starts_with_the_old_one_s_draining_endpoints() {
     let mut installation = Installation::new();
@@ -249,7 +267,10 @@
         .replacen('{', r#"{"console": "127.0.0.1:0", "#, 1)
         .replace(r#""listen": "127.0.0.1:0""#, &format!(r#""listen": "{}""#, installation.address));
     let (old, _) = installation.start();
-    assert!(process_counter(&installation, &old, "lists") > 0, "ready with its first list");
+    assert!(
+        process_counter(&installation, &old, "lists") > 0,
+        "the old process is ready before its first list"
+    );
     discovery.set_mode(Mode::Silent, u64::MAX);
     let (new, _) = installation.start();
     for n in 0..6 {
@@ -258,18 +279,19 @@
         client.submit("confirm-booking", &id);
         let mut job = Http::from_stream(accept_any(&[&installation.worker, &drained]));
         assert!(job.read().0.contains(&id));
-        assert_eq!(job.0.get_ref().local_addr().unwrap(), dial, "s-2 was told to drain");
+        assert_eq!(job.0.get_ref().local_addr().unwrap(), dial, "a job was sent to s-2, which is draining");
         job.send_accepted();
         assert_eq!(installation.call_back_at(&new, &id, "r"), "204");
         assert_eq!(expect_served(&mut client), "r");
     }
 }
 
-/// The new process begins while discovery says nothing, and the old one runs on for a while or is told to end.
+/// The new process starts while discovery does not answer; the old one keeps running or is terminated.
 ///
-/// What callers saw: the dispatcher said that it was ready, and sent nothing from 1.7 to 5.2 s after its start. Why: the list of
-/// the old process was good for the grace alone, though that one went on to watch it, and its end brought nothing. What showed
-/// it: `attempts by the list allowed=false` in the new process's log at 1.69 s, `true` at 5.20 s, as its second call had failed.
+/// Guards against a new process that reports ready and then sends no job from 1.7 to 5.2 s after its start.
+/// The list taken over from the old process was valid for the grace period alone, although the old process
+/// still watched it, and the end of the old process did not extend it. The new process's log showed `attempts
+/// by the list allowed=false` at 1.69 s and `true` at 5.20 s, when its second call had failed.
 #[test]
 fn a_new_process_keeps_sending_jobs_while_discovery_is_silent() {
     let cases = [false, true].map(|ends_old| std::thread::spawn(move || longest_job_time(ends_old)));
@@ -279,7 +301,8 @@
     }
 }
 
-/// The longest time that a job took at a new process, over more time than it needs to know that discovery is down.
+/// Returns the longest time that a job took at a new process, measured for longer than the process needs to
+/// detect that discovery is down.
 fn longest_job_time(ends_old: bool) -> Duration {
     let mut installation = Installation::new();
     let server = JobServer::listen("s-1");
@@ -291,7 +314,8 @@
     let (old, _) = installation.start();
     discovery.set_mode(Mode::Silent, u64::MAX);
     let (new, _) = installation.start();
-    // What waits to be accepted as the old one stops listening is reset.
+    // Connected before SIGTERM, as the kernel resets connections in the old process's backlog when it stops
+    // listening.
     let mut client = installation.client(&new);
     if ends_old {
         old.signal("TERM");
@@ -308,8 +332,9 @@
     longest
 }
 
-/// The old process is told of a drain after it has left its list, while discovery says nothing to the new one. Guards against a
-/// list that is taken over once and believed for longer.
+/// The old process learns of a drain after it has handed over its list, while discovery does not answer the
+/// new one. Guards against a new process that takes the list over once and trusts it after newer versions
+/// exist.
 #[test]
 fn the_new_process_follows_a_drain_that_only_the_old_one_has_received() {
     let mut installation = Installation::new();
@@ -324,15 +349,15 @@
     drained.serve(installation.address);
     other.serve(installation.address);
     let (old, _) = installation.start();
-    crossing::wait_until(|| discovery.calls().len() == 2, "the old process does not watch");
+    crossing::wait_until(|| discovery.calls().len() == 2, "the old process does not watch discovery");
     discovery.set_mode(Mode::Silent, u64::MAX);
     let (new, _) = installation.start();
     discovery.publish(10, &lines("draining"));
     crossing::wait_until(
         || process_counter(&installation, &old, "lists") == 2,
-        "the old process is not told",
+        "the old process has not received the new list",
     );
-    // The drain is to be followed 2 s after it was told.
+    // The drain takes effect 2 s after it was received.
     std::thread::sleep(Duration::from_millis(1_500));
     let before = drained.jobs();
     let mut client = installation.client(&new);
@@ -340,10 +365,10 @@
         client.submit("avail-search", &format!("after-{number}"));
         expect_served(&mut client);
     }
-    assert_eq!(drained.jobs(), before, "jobs at the drained server");
+    assert_eq!(drained.jobs(), before, "the draining server was sent jobs");
 }
 
-/// A counter of one of the processes.
+/// Returns a counter of one of the processes.
 fn process_counter(installation: &Installation, process: &Program, name: &str) -> u64 {
     let mut http = installation.client(process);
     http.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -351,7 +376,7 @@
     logged_counter(&text, name)
 }
 
-/// No room for what the old process knows: the new one says so once, starts cold, and serves.
+/// The old process cannot write its warm state. The new one must log one line, start cold, and serve.
 #[test]
 fn an_unwritable_warm_state_logs_one_line_and_starts_cold() {
     let installation = Installation::new();
@@ -366,7 +391,8 @@
     assert_eq!(expect_served(&mut client), "r");
 }
 
-/// Both are terminated at once: what each has taken still gets its answer, wherever its call-back arrives.
+/// Both processes get SIGTERM at once. Guards against jobs without an answer: each call-back must complete
+/// its job, whichever process it reaches.
 #[test]
 fn two_processes_terminated_together_finish_their_jobs() {
     let installation = Installation::new();
@@ -377,7 +403,8 @@
     let mut caller = installation.client(&new);
     old.signal("TERM");
     new.signal("TERM");
-    // One caller at the new process has both: the link to the old one stands though that one has stopped listening.
+    // Both call-backs reach the new process. Its link to the old one stays open after that one stopped
+    // listening.
     assert_eq!(call_back_done(&mut caller, "a", "r"), "204");
     assert_eq!(expect_served(&mut first), "r");
     assert_eq!(call_back_done(&mut caller, "b", "s"), "204");
