--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -216,7 +216,7 @@
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    panic!("nobody connected");
+    panic!("no connection arrived in time");
 }
 
 /// A scripted client's or server's end of an HTTP connection.
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! What operators, peers and stored data rely on, as the program had it before its code was rearranged: files that an
-//! earlier program left are read and used, and what is seen from outside has the same names, forms and messages.
+//! Compatibility with earlier versions: stored files of an earlier version are read and used, and everything
+//! that is visible from outside (metrics, counters, console answers, messages for refused configurations)
+//! matches the fixtures.
 
 #[path = "common/net.rs"]
 mod net;
@@ -20,17 +21,18 @@
 
 const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_micabeam");
 
+/// Returns the path of a fixture.
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// Compares with a fixture, and shows the whole of what there is now where they differ.
+/// Asserts that a text equals a fixture, and prints the whole text if it does not.
 fn assert_fixture(name: &str, now: &str) {
     let known = std::fs::read_to_string(fixture(name)).unwrap_or_default();
     assert!(known == now, "tests/fixtures/{name} differs; now it is:\n{now}");
 }
 
-/// Asks a console, and gives all of its answer.
+/// Sends one line to a console and returns the whole answer.
 fn console_call(console: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(console).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -40,6 +42,7 @@
     answer
 }
 
+/// Polls until `holds` returns true. Panics with `what` after `TEST_TIMEOUT`.
 fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
@@ -48,7 +51,7 @@
     }
 }
 
-/// A fleet of three with stored votes and policies, in a directory of its own.
+/// A fleet of three members on loopback, with a directory for their vote files and policies.
 struct Fleet {
     addresses: Vec<SocketAddr>,
     dir: PathBuf,
@@ -61,7 +64,7 @@
         Fleet { addresses, dir: file("state", "").parent().unwrap().to_path_buf() }
     }
 
-    /// Copies what an earlier program has stored.
+    /// Returns a fleet with vote files and policies that an earlier version has stored.
     fn with_stored_state() -> Fleet {
         let fleet = Fleet::new();
         for own in 0..3 {
@@ -77,6 +80,7 @@
         fleet
     }
 
+    /// Writes the policy file of a member, with this version.
     fn write_policy(&self, own: usize, version: u64) {
         let text = format!(
             "version = {version}\n[[partition]]\nname = \"p\"\nprefixes = [\"s-\"]\n[[rule]]\nname = \"all\"\npartition = \"p\"\n"
@@ -84,7 +88,7 @@
         std::fs::write(self.dir.join(format!("policy-{own}.toml")), text).unwrap();
     }
 
-    /// The operator's file of a member.
+    /// Returns the operator file of a member.
     fn operator_file(&self, own: usize) -> String {
         let mut text = format!(
             "console = \"127.0.0.1:0\"\n[fleet]\ncluster = \"stored\"\nname = \"n{own}\"\nstate = \"{}\"\nzones = [\"z\"]\n",
@@ -102,7 +106,7 @@
         )
     }
 
-    /// Starts a member; its console.
+    /// Starts a member and returns it with its console's address.
     fn start(&self, own: usize) -> (Program, SocketAddr) {
         let config = config(128, refusing_address(), &[("s-1", refusing_address())]);
         let mut program = Program::from_command(
@@ -117,8 +121,8 @@
     }
 }
 
-/// Version 2 was in force when the fleet was stopped as a whole. Its operators' files still have version 1, which a fleet
-/// that remembers nothing would take.
+/// Version 2 of the policy was in force when the whole fleet was stopped, and the operators' files still have
+/// version 1. Guards against a fleet that ignores its stored state: it would apply version 1.
 #[test]
 fn a_fleet_resumes_from_its_stored_votes_and_policies() {
     let fleet = Fleet::with_stored_state();
@@ -136,7 +140,8 @@
     });
 }
 
-/// What a process has left at an upgrade, with jobs served before, is what the next one goes on from.
+/// Guards against a warm state from an upgrade of an earlier version, written after it had served jobs, that
+/// the next process cannot read or restores only in part.
 #[test]
 fn a_stored_warm_state_and_its_handover_note_are_restored() {
     let note = HandoverNote::parse(include_str!("fixtures/upgrade/note.handover")).expect("it reads");
@@ -145,7 +150,7 @@
         ["avail-search", "confirm-booking", "short-hold"].into_iter().map(String::from).collect();
     let left_at = f64::from_le_bytes(bytes[18 + PID_BYTES..][..8].try_into().unwrap());
     let memory = WarmStateFile::decode(bytes, note.pid, &names, left_at + 500.0).expect("it reads");
-    assert_eq!(memory.encode(), bytes, "it is written as it was read");
+    assert_eq!(memory.encode(), bytes, "encoding does not give the same bytes");
     assert_eq!(memory.endpoints.len(), 2);
     let site = Site::parse(SETTINGS.as_bytes()).unwrap();
     let mut core = Core::new(site, 1, Clock::manual(left_at + 500.0), 64);
@@ -163,18 +168,19 @@
         },
     };
     assert!(core.restore_warm_state(memory.endpoints.iter().map(line).collect(), memory.learned.clone()));
-    assert_eq!(core.warm_state(), memory.learned, "all of it counts");
+    assert_eq!(core.warm_state(), memory.learned, "not all of the warm state was restored");
 }
 
-/// Bytes of the process's number in the stored state.
+/// Length of the PID, a variable-length integer, in the fixture.
 const PID_BYTES: usize = 2;
 
+/// Guards against a metric whose name, type or labels change, which would break dashboards and alerts.
 #[test]
 fn metrics_keep_their_names_types_and_labels() {
     let fleet = Fleet::with_stored_state();
     (0..3).for_each(|own| fleet.write_policy(own, 1));
     let started: Vec<_> = (0..3).map(|own| fleet.start(own)).collect();
-    wait_until("figures are told", || console_call(started[0].1, "telemetry").contains("lb_fleet_evidence{"));
+    wait_until("no fleet metrics", || console_call(started[0].1, "telemetry").contains("lb_fleet_evidence{"));
     let text = console_call(started[0].1, "telemetry");
     let mut rows = BTreeSet::new();
     for line in text.lines() {
@@ -191,7 +197,7 @@
     assert!(text.ends_with("--\n"));
 }
 
-/// The first line of a console's answer for each call in each phase.
+/// Compares the console's answer to each call, while serving, evacuating and draining, with the fixture.
 #[test]
 fn the_console_answers_as_before() {
     let config = config(128, refusing_address(), &[("s-1", refusing_address())]);
@@ -214,7 +220,7 @@
     assert_eq!(program.child.wait().unwrap().code(), Some(0));
 }
 
-/// The names of all counters, as `GET /counters` tells them and as the log has them at the end.
+/// Compares the names of all counters, in `GET /counters` and in the log at exit, with the fixture.
 #[test]
 fn counters_keep_their_names() {
     let text = "[stream]\nlisten = \"127.0.0.1:0\"\nconnections = 16\npipes = 0\nservers = [{name = \"a\", dial = \"127.0.0.1:1\"}]\n\
@@ -222,7 +228,7 @@
         [gearman]\nlisten = \"127.0.0.1:0\"\npeers = 8\n[gearman.functions.search]\nclass = \"avail-search\"\n";
     let config = config(512, refusing_address(), &[]);
     let mut program = Program::from_command(Command::new(PROGRAM_PATH), Some(&config), None, Some(text));
-    // Gearman's and the stream front's come first.
+    // The addresses of the Gearman and the streaming frontend are printed first.
     let addresses: Vec<SocketAddr> = (0..3).map(|_| program.read_address()).collect();
     let mut http = Http::connect(addresses[2]);
     http.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -233,13 +239,13 @@
     let (exited_cleanly, log) = program.wait();
     assert!(exited_cleanly, "{log}");
     now += "at the end\n";
-    // Beside counters the log has plain lines, and events of `tracing`.
+    // The log also holds plain lines and events of `tracing`.
     let is_counter = |line: &&str| !line.starts_with("micabeam: ") && !line.contains(" INFO micabeam::");
     now.extend(log.lines().filter(is_counter).map(name));
     assert_fixture("counters.txt", &now);
 }
 
-/// One start of the program, by its files, variables and arguments.
+/// One start of the gateway: its files, environment variables and arguments.
 #[derive(Default)]
 struct Start<'a> {
     config: Option<String>,
@@ -250,7 +256,8 @@
 }
 
 impl Start<'_> {
-    /// Runs it to its end: its exit code, and what it wrote, with the names of its files by their last part.
+    /// Runs the gateway until it exits. Returns its exit code and its output, with paths of files shortened
+    /// to their names.
     fn run(&self) -> (Option<i32>, String) {
         let mut command = Command::new(PROGRAM_PATH);
         for variable in ["LB_CONFIG", "LB_LISTEN", "LB_DISCOVERY", "LB_NAME", "LB_CONSOLE"] {
@@ -275,7 +282,7 @@
         let mut text = String::from_utf8(output.stdout).unwrap() + &String::from_utf8(output.stderr).unwrap();
         let root = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         while let Some(at) = text.find(root.to_str().unwrap()) {
-            // The root and the test's own directory below it.
+            // Remove the root and the test's directory below it.
             let own = text[at + root.as_os_str().len() + 1..].find('/').unwrap();
             text.replace_range(at..at + root.as_os_str().len() + own + 2, "");
         }
@@ -288,7 +295,7 @@
     }
 }
 
-/// A configuration with one text in place of another.
+/// Returns a valid configuration in which `from` is replaced with `to`.
 fn config_with(from: &str, to: &str) -> Option<String> {
     let discovery = "127.0.0.1:1".parse().unwrap();
     let plain = config(128, discovery, &[("s-1", discovery)]);
@@ -296,19 +303,22 @@
     Some(plain.replacen(from, to, 1))
 }
 
-/// A start that is refused as its platform's configuration has one text in place of another.
+/// Returns a start with a configuration in which `from` is replaced with `to`, which makes it invalid.
 fn config_case<'a>(from: &str, to: &str) -> Start<'a> {
     Start { config: config_with(from, to), ..Start::default() }
 }
 
+/// Returns a start with a valid configuration and this Gearman file.
 fn gearman_case(gearman: &str) -> Start<'_> {
     Start { config: config_with("", ""), gearman: Some(gearman), ..Start::default() }
 }
 
+/// Returns a start with this operator file alone.
 fn operator_case<'a>(operator: impl Into<String>) -> Start<'a> {
     Start { operator: Some(operator.into()), ..Start::default() }
 }
 
+/// Guards against a refused configuration whose exit code or message changes.
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of configurations and their messages")]
 fn a_bad_configuration_is_refused_with_the_same_messages() {
@@ -458,16 +468,16 @@
     file("policy.toml", "version = 1\n")
 }
 
-/// The stored votes with a byte changed in their first batch.
+/// Returns a vote file with a damaged byte in its first batch.
 fn damaged() -> Vec<u8> {
     let mut bytes = std::fs::read(fixture("fleet/votes-0")).unwrap();
     bytes[35] ^= 1;
-    // A batch after it: what follows the damage was answered for.
+    // A valid batch follows, so this is no torn write at the end: votes after the damage may have been sent.
     bytes.extend(bytes[18..].to_vec());
     bytes
 }
 
-/// The head of a voter's file.
+/// Returns the header of a vote file.
 fn votes_head(version: u16, generation: u32) -> Vec<u8> {
     let mut bytes = b"micabeam".to_vec();
     bytes.extend(version.to_le_bytes());
@@ -476,15 +486,18 @@
     bytes
 }
 
+/// Returns an empty vote file of this generation.
 fn generation(generation: u32) -> Vec<u8> {
     votes_head(1, generation)
 }
 
+/// Returns an empty vote file of a later format version.
 fn newer() -> Vec<u8> {
     votes_head(2, 1)
 }
 
-/// The variables go before the configuration; its addresses are printed at the start.
+/// Guards against environment variables that do not override the configuration, and addresses that are not
+/// printed at the start.
 #[test]
 fn environment_variables_override_the_configuration() {
     let (front, discovery) = (listener(), listener());
--- a/tests/console.rs
+++ b/tests/console.rs
@@ -1,4 +1,4 @@
-//! Stories of the operators' console and of drain: the program over loopback, a call a connection.
+//! The operators' console and draining through it, over loopback, with one call per connection.
 
 #[path = "common/net.rs"]
 mod net;
@@ -9,7 +9,7 @@
 
 use net::*;
 
-/// The program with a console; the clients' address and the console's.
+/// Starts the gateway with a console. Returns it with the clients' address and the console's.
 fn start(hosts: &[(&str, SocketAddr)]) -> (Program, SocketAddr, SocketAddr) {
     let config = config(256, refusing_address(), hosts).replacen('{', r#"{"console": "127.0.0.1:0", "#, 1);
     let mut program = Program::start(Some(&config), None);
@@ -17,7 +17,7 @@
     (program, address, console)
 }
 
-/// Sends bytes as a call and reads all of the answer, up to the console's end of it.
+/// Sends bytes as a call and reads the answer until the console closes the connection.
 fn send(console: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(console).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -27,20 +27,24 @@
     answer
 }
 
+/// Sends one line as a call and returns the answer.
 fn call(console: SocketAddr, line: &str) -> String {
     send(console, format!("{line}\n").as_bytes())
 }
 
+/// Returns the status line of `GET /up`.
 fn up(address: SocketAddr) -> String {
     let mut http = Http::connect(address);
     http.write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     http.read().0.lines().next().unwrap_or_default().to_string()
 }
 
+/// Guards against malformed calls without an answer, and callers without a complete line that block others or
+/// stay connected.
 #[test]
 fn malformed_calls_get_nak_and_slow_callers_delay_nobody() {
     let (_program, _, console) = start(&[]);
-    // Guards against callers that say nothing, or half a line, keeping others waiting.
+    // Callers that send nothing, or half a line, must not delay others.
     let _silent = TcpStream::connect(console).unwrap();
     let mut half = TcpStream::connect(console).unwrap();
     half.write_all(b"read").unwrap();
@@ -61,19 +65,21 @@
     ] {
         assert_eq!(send(console, &bytes), reason, "{bytes:?}");
     }
-    // A call that the caller ends with no line end.
+    // The caller shuts down its writing side without a line end.
     let mut cut = TcpStream::connect(console).unwrap();
     cut.write_all(b"readyz").unwrap();
     cut.shutdown(Shutdown::Write).unwrap();
     let mut answer = String::new();
     cut.read_to_string(&mut answer).unwrap();
     assert_eq!(answer, "NAK no line end\n");
-    // The half-sent caller is ended at its deadline.
+    // The caller with half a line is closed at its deadline.
     half.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(half.read(&mut [0; 16]).unwrap_or(0), 0);
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
 }
 
+/// Guards against an evacuation that drops open jobs, keeps idle connections open or reports ready, and
+/// against a gateway that stays unavailable after `activate`.
 #[test]
 fn evacuate_closes_idle_clients_and_finishes_open_jobs_until_activate() {
     let (worker, dial) = listener();
@@ -87,10 +93,10 @@
     let mut job = Http::accept(&worker);
     job.read();
     assert_eq!(call(console, "evacuate"), "ACK\n");
-    assert_eq!(call(console, "evacuate"), "ACK\n", "a second call changes nothing");
+    assert_eq!(call(console, "evacuate"), "ACK\n", "a second evacuate is not acknowledged");
     assert_eq!(call(console, "readyz"), "NAK evacuating\n");
     assert!(up(address).starts_with("HTTP/1.1 503"));
-    // The idle client is closed; the busy one gets its answer, and then its connection ends.
+    // The idle connection is closed; the busy one gets its answer and is closed after it.
     assert_eq!(idle.read().0, "");
     accept_and_finish(&mut job, address, "e1", "done late");
     let (head, body) = busy.read();
@@ -106,6 +112,7 @@
     assert!(figures.lines().any(|line| line == "lb_upstream_requests_total 1"), "{figures}");
 }
 
+/// Guards against a start without a console, or without a reason, when its address is invalid.
 #[test]
 fn an_invalid_console_address_exits_with_a_one_line_message() {
     let config = config(256, refusing_address(), &[]).replacen('{', r#"{"console": "here", "#, 1);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Stories of two events that cross: the program over loopback among scripted peers that hold, cut, reset and let go at a
-//! signal of the test, so that the bad order happens every time. `docs/design/crossings.md` lists them with both orders.
+//! Race conditions between two events: scripted peers stall, close or reset their connections when the test
+//! says so, which forces the problematic order every time. `docs/design/crossings.md` lists the races with
+//! both orders.
 
 #[path = "common/crossing.rs"]
 mod crossing;
@@ -13,26 +14,27 @@
 use crossing::*;
 use net::*;
 
-/// Settings in which a connection may take long to come up, so that there is time for something to cross it.
+/// Returns a configuration with a connect timeout of 8 s, so that other events can happen during a connect.
 fn slow_connect_config(discovery: SocketAddr, hosts: &[(&str, SocketAddr)]) -> String {
     config(256, discovery, hosts).replace(r#""connectTimeout": 250000"#, r#""connectTimeout": 8000000"#)
 }
 
+/// Starts the gateway with this configuration and returns the clients' address.
 fn start_program(text: &str) -> (Program, SocketAddr) {
     let mut program = Program::start(Some(text), None);
     let address = program.read_address();
     (program, address)
 }
 
-/// Settings in which a safe job that does not start by so many microseconds is given up and tried elsewhere, and no two
-/// copies of it may be out.
+/// Sets the aim of the safe class to `aim` microseconds: a job that has not started by then is cancelled and
+/// sent to another server. Two attempts of a job must not run at the same time (`mayDuplicate` is false).
 fn with_start_deadline(text: &str, aim: u64) -> String {
     let aims = format!(r#""aim": {aim}, "hardLimit": 9000000, "semantics": "retryable""#);
     text.replace(r#""mayCancel": true"#, r#""mayCancel": true, "mayDuplicate": false"#)
         .replace(r#""aim": 4000000, "hardLimit": 5000000, "semantics": "retryable""#, &aims)
 }
 
-/// Has one of two servers read a job, whichever has its turn first, and gives its connection.
+/// Submits up to two jobs to two servers, until `server` has read one, and returns that connection.
 fn submit_until_read_by(
     server: &BacklogListener,
     two: &TcpListener,
@@ -44,7 +46,7 @@
     let mut job = Http::from_stream(accept_any(&[&server.listener, two]));
     job.read();
     if job.0.get_ref().local_addr().unwrap() != server.address {
-        // It was the other's turn: the next job is the one.
+        // The first job went to the other server; the next one goes to `server`.
         accept_and_report_done(&mut job, address, &format!("{name}1"), "s-2");
         assert!(client.read().0.starts_with("HTTP/1.1 200"));
         client.submit("avail-search", &format!("{name}2"));
@@ -54,15 +56,16 @@
     job
 }
 
-/// Takes a job and tells of its end on other connections.
+/// Answers a job with 202 and `Connection: close`, and reports it as done on another connection.
 fn accept_and_report_done(job: &mut Http, address: SocketAddr, id: &str, from: &str) {
     job.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     Http::connect(address).call_back(id, from, "done", "ok");
 }
 
-// Clients that have gone.
+// Clients that disconnect.
 
-/// A client's end behind more than is held for it. Guards against a job that is sent on and on for nobody.
+/// A client disconnects after it sent more input than the gateway buffers. Guards against a close that is
+/// never read, and a job that is retried although nobody waits for it.
 #[test]
 fn a_disconnect_behind_more_input_than_is_buffered_is_noticed() {
     let (worker, dial) = listener();
@@ -71,14 +74,15 @@
     client.submit("avail-search", "g1");
     let mut job = Http::accept(&worker);
     job.read();
-    // Three times what a connection holds, then the end. What is written to a peer that reads it goes out at once.
+    // Three times the size of a connection's buffer, then the close.
     client.write(&"x".repeat(300 * 1024));
     drop(client);
-    wait_until(|| counter(address, "left") == 1, "its end is not seen");
-    assert_eq!(job.read().0, "", "the job that nobody waits for is not called off");
+    wait_until(|| counter(address, "left") == 1, "the disconnect is not counted");
+    assert_eq!(job.read().0, "", "the job of the disconnected client is not cancelled");
 }
 
-/// Half of a job's flood is a client's that stays: it gets its answer, and its connection is not used again.
+/// A client sends more input than the gateway buffers and stays connected. It must get its answer, and its
+/// connection must be closed afterwards.
 #[test]
 fn a_client_that_sends_excess_input_gets_its_answer_and_a_close() {
     let (worker, dial) = listener();
@@ -95,8 +99,8 @@
     assert_eq!(client.read().0, "");
 }
 
-/// An attempt fails and its client's end waits in the same turn of the loop, behind it. Guards against a further attempt
-/// for a client that has gone.
+/// An attempt fails, and the client's close arrives behind it in the same pass of the event loop. Guards
+/// against a retry for a client that has disconnected.
 #[test]
 fn no_retry_starts_after_the_client_disconnected_in_the_same_loop_pass() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
@@ -109,14 +113,14 @@
     reset(job);
     drop(client);
     resume(&program);
-    wait_until(|| counter(address, "left") == 1, "its end is not seen");
+    wait_until(|| counter(address, "left") == 1, "the disconnect is not counted");
     for listener in [&one, &two] {
-        assert_no_connection(listener, "an attempt began after its client had gone");
+        assert_no_connection(listener, "an attempt was started after its client had disconnected");
     }
 }
 
-/// A client goes while the connection for its job comes up. Guards against bytes that are queued for a connection and go
-/// out as it comes up.
+/// A client disconnects during the connect for its job. Guards against a request that was queued for the
+/// connection and is written once it is established.
 #[test]
 fn a_job_is_not_sent_when_its_client_leaves_during_connect() {
     let server = BacklogListener::filled();
@@ -124,9 +128,9 @@
         start_program(&slow_connect_config(refusing_address(), &[("s-1", server.address)]));
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "c1");
-    wait_until(|| counter(address, "sent") == 1, "no attempt was decided");
+    wait_until(|| counter(address, "sent") == 1, "no attempt was scheduled");
     drop(client);
-    wait_until(|| counter(address, "left") == 1, "its end is not seen");
+    wait_until(|| counter(address, "left") == 1, "the disconnect is not counted");
     let listener = server.clear();
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "c2");
@@ -134,14 +138,14 @@
     assert_eq!(
         header_value(&head, "req-id").as_deref(),
         Some("c2"),
-        "it went out for a client that had gone"
+        "a job of a disconnected client was sent"
     );
 }
 
-// Decided, not yet written.
+// Attempts that are scheduled and not yet written.
 
-/// A server begins to drain while the connection for a job comes up. Guards against a send whose first byte goes out long
-/// after the drain was told.
+/// A server starts draining during the connect for a job. Guards against a job that is written long after the
+/// drain was received.
 #[test]
 fn a_job_is_reassigned_when_its_server_drains_during_connect() {
     let ((discovery, at), server, (other, dial)) = (listener(), BacklogListener::filled(), listener());
@@ -151,7 +155,7 @@
     watch.read();
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "d1");
-    wait_until(|| counter(address, "sent") == 1, "no attempt was decided");
+    wait_until(|| counter(address, "sent") == 1, "no attempt was scheduled");
     send_list_changes(
         &mut watch,
         8,
@@ -166,8 +170,8 @@
     assert_eq!((counter(address, "never_ran"), counter(address, "may_have_run")), (1, 0));
 }
 
-/// A server is started anew at the same address while the connection for a job comes up: it is cold, and what was decided
-/// for the one before it is decided again.
+/// A server restarts at the same address during the connect for a job. The new process is cold, so the job
+/// must be scheduled again instead of being written to it.
 #[test]
 fn a_job_is_reassigned_when_its_server_restarts_during_connect() {
     let ((discovery, at), server) = (listener(), BacklogListener::filled());
@@ -177,18 +181,18 @@
     watch.read();
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "b1");
-    wait_until(|| counter(address, "sent") == 1, "no attempt was decided");
+    wait_until(|| counter(address, "sent") == 1, "no attempt was scheduled");
     let anew =
         host("s-1", server.address, "up").replace(r#""born_ms": 0"#, &format!(r#""born_ms": {}"#, unix_ms()));
     send_list_changes(&mut watch, 8, &[anew.as_str()]);
     watch.read();
     let listener = server.clear();
-    wait_until(|| counter(address, "never_ran") >= 1, "it was written to the one that was started anew");
+    wait_until(|| counter(address, "never_ran") >= 1, "the job was written to the restarted server");
     drop((listener, client));
 }
 
-/// The time in which a keyed job may be repeated ends while the connection for its repeat comes up. Guards against a
-/// repeat that its servers no longer know for one.
+/// The deduplication window of a keyed job ends during the connect for its retry. Guards against a retry that
+/// the servers no longer recognise as a duplicate.
 #[test]
 fn a_keyed_retry_is_not_sent_after_its_deduplication_window() {
     let ((one, dial), server) = (listener(), BacklogListener::filled());
@@ -200,7 +204,7 @@
     );
     assert!(text.contains("dedup"));
     let (_program, address) = start_program(&text);
-    // Whichever is first in the cycle: two jobs meet both servers.
+    // Two jobs reach both servers, whichever comes first in the cycle.
     let mut clients: Vec<Http> = Vec::new();
     for id in ["w1", "w2"] {
         let mut client = Http::connect(address);
@@ -210,20 +214,21 @@
     let mut job = Http::accept(&one);
     job.read();
     reset(job);
-    // The reset one is decided for the other server, whose connection comes up when its time is over.
-    wait_until(|| counter(address, "sent") >= 3, "no repeat was decided");
+    // The retry is scheduled for the other server, whose connection is established after the window.
+    wait_until(|| counter(address, "sent") >= 3, "no retry was scheduled");
     let began = Instant::now();
     wait_until(|| began.elapsed() > Duration::from_millis(500), "");
     let listener = server.clear();
-    // One of the two was decided for it first, and stands; the repeat does not.
+    // The first attempt for this server is written; the retry is not.
     let mut came = Http::accept(&listener);
     came.read();
-    wait_until(|| counter(address, "never_ran") == 1, "the repeat was written after its time");
+    wait_until(|| counter(address, "never_ran") == 1, "the retry was written after its window");
     drop(clients);
 }
 
-/// Where no two attempts of a job may be out together: the call that gives the first up is still unwritten as the next
-/// connection is whole. Guards against two copies at once.
+/// Two attempts of a job must not run at the same time. The cancel of the first is not yet written when the
+/// connection for the next one is established. Guards against a retry that starts before the cancel is
+/// answered.
 #[test]
 fn a_retry_waits_until_the_cancel_of_the_first_attempt_is_answered() {
     let (server, (two, dial_two)) = (BacklogListener::empty(), listener());
@@ -237,25 +242,26 @@
     let sent = counter(address, "sent");
     server.fill();
     job.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    wait_until(|| counter(address, "sent") == sent + 1, "it was not given up");
+    wait_until(|| counter(address, "sent") == sent + 1, "the first attempt was not cancelled");
     let next = accept_any(&[&two]);
     next.set_nonblocking(true).unwrap();
-    assert!(next.peek(&mut [0]).is_err(), "a second copy went out beside the first");
+    assert!(next.peek(&mut [0]).is_err(), "a second attempt was sent beside the first");
     next.set_nonblocking(false).unwrap();
     let mut delete = Http::from_stream(accept_request(&server.clear()));
     let (head, _) = delete.read();
     assert!(head.starts_with("DELETE /jobs/x"), "{head:?}");
-    // Written is not told: only the answer says that it came.
+    // The cancel is written; only its answer confirms it.
     assert_eq!(counter(address, "sent"), sent + 1);
     next.set_nonblocking(true).unwrap();
-    assert!(next.peek(&mut [0]).is_err(), "a second copy went out before the first was given up");
+    assert!(next.peek(&mut [0]).is_err(), "a second attempt was sent before the first was cancelled");
     next.set_nonblocking(false).unwrap();
     delete.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     let (head, _) = Http::from_stream(next).read();
     assert!(head.starts_with("POST /avail-search"), "{head}");
 }
 
-/// The same where the call that gives it up cannot be written at all. Guards against a copy that goes out all the same.
+/// As in the previous test, but the cancel cannot be sent at all. Guards against a retry beside a first
+/// attempt that may run.
 #[test]
 fn a_job_is_not_retried_when_its_cancel_cannot_be_sent() {
     let (server, (two, dial_two)) = (BacklogListener::empty(), listener());
@@ -268,15 +274,15 @@
     let mut job = submit_until_read_by(&server, &two, address, &mut client, "n");
     server.fill();
     job.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    // Three calls do not come up, each within the time for that.
+    // Three cancels fail, each at the connect timeout.
     assert!(client.read().0.starts_with("HTTP/1.1 503"));
     let next = accept_any(&[&two]);
     next.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    assert!(!matches!(next.peek(&mut [0]), Ok(1)), "a second copy went out beside the first");
+    assert!(!matches!(next.peek(&mut [0]), Ok(1)), "a second attempt was sent beside the first");
 }
 
-/// The server took the job and its 202 was lost on the way: the close of the connection gives nothing up there. Guards
-/// against a second copy beside the one that runs.
+/// A server has accepted the job and its 202 was lost: closing the connection does not cancel the job there.
+/// Guards against a retry beside an attempt that runs.
 #[test]
 fn closing_the_connection_does_not_cancel_a_job_that_may_run() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
@@ -291,19 +297,19 @@
     job.read();
     let is_first = job.0.get_ref().local_addr().unwrap() == dial_one;
     let (first, other) = if is_first { (&one, &two) } else { (&two, &one) };
-    assert_eq!(job.read().0, "", "it says nothing, and is closed by its aim");
+    assert_eq!(job.read().0, "", "the silent connection is not closed at the aim");
     let mut delete = Http::accept(first);
     assert!(delete.read().0.starts_with("DELETE /jobs/l1"));
     let next = accept_any(&[other]);
     next.set_nonblocking(true).unwrap();
-    assert!(next.peek(&mut [0]).is_err(), "a second copy went out before the first was given up");
+    assert!(next.peek(&mut [0]).is_err(), "a second attempt was sent before the first was cancelled");
     next.set_nonblocking(false).unwrap();
     delete.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
     assert!(Http::from_stream(next).read().0.starts_with("POST /avail-search"));
 }
 
-/// An attempt is given up and the next is out; then the first tells its end, and its start. Guards against the news of one
-/// that count for the other.
+/// An attempt is cancelled and the next one sent; then the first server reports a start and an end. Guards
+/// against call-backs of one attempt that count for another.
 #[test]
 fn call_backs_of_a_cancelled_attempt_do_not_complete_the_next_one() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
@@ -319,7 +325,7 @@
     job.send_accepted();
     let first = if job.0.get_ref().local_addr().unwrap() == dial_one { "s-1" } else { "s-2" };
     let (other, second) = if first == "s-1" { (&two, "s-2") } else { (&one, "s-1") };
-    // It does not start by its aim: given up, and sent to the other.
+    // The job has not started by its aim: it is cancelled and sent to the other server.
     assert!(job.read().0.starts_with("DELETE /jobs/o1"));
     job.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     let mut next = Http::accept(other);
@@ -327,17 +333,17 @@
     next.send_accepted();
     let mut calls = Http::connect(address);
     calls.call_back("o1", first, "started", "");
-    calls.call_back("o1", first, "done", "of the one that was given up");
+    calls.call_back("o1", first, "done", "of the cancelled attempt");
     calls.call_back("o1", second, "started", "");
-    calls.call_back("o1", second, "done", "of the one that is out");
-    assert_eq!(client.read().1, "of the one that is out");
+    calls.call_back("o1", second, "done", "of the current attempt");
+    assert_eq!(client.read().1, "of the current attempt");
     assert_eq!(counter(address, "served"), 1);
 }
 
-// Connections to servers.
+// Upstream connections.
 
-/// A second copy of the answer that turned a job away comes as the connection could be used again. Guards against a job
-/// that is held never to have run by another's answer, and runs twice.
+/// A server sends its refusal of a job twice, the second time when the connection could be reused. Guards
+/// against a job that counts as never run because of another job's response, and runs twice.
 #[test]
 fn a_duplicate_refusal_is_not_taken_for_the_next_job_s_response() {
     let (worker, dial) = listener();
@@ -348,16 +354,17 @@
     conn.read();
     conn.send_accepted();
     let mut calls = Http::connect(address);
-    // Once this is acknowledged the 202 before it has been read.
+    // The acknowledgement shows that the gateway has read the 202 before it.
     calls.call_back("r0", "s-1", "started", "");
     client.submit("confirm-booking", "r1");
     let (head, _) = conn.read();
     assert_eq!(
         header_value(&head, "req-id").as_deref(),
         Some("r1"),
-        "it comes on the same connection: {head}"
+        "the job was not sent on the same connection: {head}"
     );
-    // In one turn: the refusal, and the end of the other job, whose report says that there is room.
+    // In one pass of the event loop: the refusal, and the end of the other job with a load report of free
+    // slots.
     suspend(&program);
     let refusal = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
     conn.write(refusal);
@@ -365,26 +372,26 @@
     calls.write(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{done}", done.len()));
     resume(&program);
     assert!(first.read().0.starts_with("HTTP/1.1 200"));
-    // It is sent again at once, on a connection that has said nothing yet.
+    // The job is retried at once, on a new connection.
     let mut again = Http::accept(&worker);
     let (head, _) = again.read();
     assert_eq!(header_value(&head, "req-id").as_deref(), Some("r1"), "{head}");
     conn.write(refusal);
-    assert_eq!(conn.read().0, "", "bytes that nobody asked for end it");
+    assert_eq!(conn.read().0, "", "a connection with an unexpected response is not closed");
     accept_and_report_done(&mut again, address, "r1", "s-1");
     assert!(client.read().0.starts_with("HTTP/1.1 200"));
     assert_eq!((counter(address, "sent"), counter(address, "never_ran")), (3, 1));
 }
 
-/// All connections to servers are in use, by those that hang. Guards against healthy servers that are held to have
-/// failed as this process has no connection left.
+/// All upstream connections are in use by servers that hang. Guards against healthy servers that count as
+/// failed because this process has no connection left.
 #[test]
 fn running_out_of_connections_refuses_the_job_and_ejects_no_server() {
     let servers: Vec<_> = (0..6).map(|_| listener()).collect();
     let listeners: Vec<&TcpListener> = servers.iter().map(|(listener, _)| listener).collect();
     let names: Vec<String> = (0..6).map(|at| format!("s-{at}")).collect();
     let hosts: Vec<_> = names.iter().map(String::as_str).zip(servers.iter().map(|(_, dial)| *dial)).collect();
-    // 64 descriptors: four connections to servers.
+    // 64 descriptors leave four upstream connections.
     let text = config(64, refusing_address(), &hosts)
         .replace(r#""name": "n0""#, r#""name": "n0", "console": "127.0.0.1:0""#);
     let mut program = Program::start(Some(&text), None);
@@ -399,7 +406,7 @@
     }
     let mut late = Http::connect(address);
     late.submit("confirm-booking", "m9");
-    assert!(late.read().0.starts_with("HTTP/1.1 503"), "nothing of it was sent");
+    assert!(late.read().0.starts_with("HTTP/1.1 503"), "the job was not refused");
     let mut figures = String::new();
     let mut line = std::net::TcpStream::connect(console).unwrap();
     line.write_all(b"telemetry\n").unwrap();
@@ -407,8 +414,8 @@
     assert!(figures.contains("lb_members_unavailable 0\n"), "{figures}");
 }
 
-/// A refusal without a length is cut off by a reset. Guards against half an answer that counts as a whole one, and a job
-/// that runs twice as it is held never to have run.
+/// A refusal without a length is cut off by a reset. Guards against a truncated response that counts as
+/// complete: the job would count as never run, and run twice.
 #[test]
 fn a_response_cut_off_by_a_reset_is_not_complete() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
@@ -421,14 +428,14 @@
     job.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\n\r\nas it see");
     reset(job);
     resume(&program);
-    assert!(client.read().0.starts_with("HTTP/1.1 500"), "it may have run");
+    assert!(client.read().0.starts_with("HTTP/1.1 500"), "the job may have run and must fail");
     assert_eq!((counter(address, "sent"), counter(address, "may_have_run")), (1, 1));
 }
 
-// The list.
+// The discovery list.
 
-/// A list without a length that a reset cuts off, which reads well as far as it came. Guards against servers that are
-/// taken for gone.
+/// A list without a length is cut off by a reset, and what arrived parses as a whole list. Guards against
+/// servers that are removed by a truncated list.
 #[test]
 fn a_list_cut_off_by_a_reset_is_not_applied() {
     let ((discovery, at), (_worker, dial)) = (listener(), listener());
@@ -443,7 +450,8 @@
     assert!(head.contains("since=7&"), "{head}");
 }
 
-/// A late copy of the service tells an older version. Guards against a drain that is forgotten again.
+/// A replica of the service that lags behind sends an older version. Guards against a drain that is undone by
+/// it.
 #[test]
 fn an_older_list_version_is_ignored_and_a_second_one_requests_the_whole_list() {
     let ((discovery, at), (_worker, dial)) = (listener(), listener());
@@ -458,10 +466,11 @@
     assert!(head.contains("since=9&"), "{head}");
     send_list_changes(&mut again, 8, &[&host("s-1", dial, "up")]);
     let (head, _) = Http::accept(&discovery).read();
-    assert!(head.starts_with("GET /discovery/hosts HTTP"), "it counts anew: {head}");
+    assert!(head.starts_with("GET /discovery/hosts HTTP"), "the whole list was not requested: {head}");
 }
 
-/// A call on a kept connection crosses its closing. Guards against a pause as after a failure, with no watch open.
+/// A watch call on a kept connection crosses the service's close of it. Guards against the pause that follows
+/// a failure, during which no watch is open.
 #[test]
 fn a_watch_on_a_connection_closed_by_the_service_is_retried_at_once() {
     let ((discovery, at), (_worker, dial)) = (listener(), listener());
@@ -471,7 +480,7 @@
     let mut watch = Http::accept(&discovery);
     watch.read();
     send_list_changes(&mut watch, 8, &[]);
-    // The next call is written, and the end is its only answer.
+    // The next call is written, and the connection is closed without an answer.
     assert!(watch.read().0.contains("since=8&"));
     let began = Instant::now();
     drop(watch);
@@ -483,8 +492,9 @@
     );
 }
 
-/// The old service answers in the turn in which SIGHUP names another. Guards against versions of two services that are
-/// compared with one another, and against an answer of the old one that ends the new one's call.
+/// The old service answers in the event loop pass in which SIGHUP switches to another. Guards against
+/// comparing versions of two services, and against an answer of the old one that completes the call to the
+/// new one.
 #[test]
 fn an_answer_of_the_old_discovery_service_is_dropped_after_a_switch() {
     let ((old, old_at), (new, new_at), (_worker, dial)) = (listener(), listener(), listener());
@@ -504,7 +514,7 @@
     resume(&program);
     assert_eq!(program.next_plain_line(), "micabeam: the configuration was read again\n");
     let mut next = Http::accept(&new);
-    assert!(next.read().0.starts_with("GET /discovery/hosts HTTP"), "the whole list is asked for");
+    assert!(next.read().0.starts_with("GET /discovery/hosts HTTP"), "the whole list was not requested");
     send_list_changes(&mut next, 3, &[&host("s-1", dial, "up")]);
     assert!(next.read().0.contains("since=3&"));
     assert!(counter(address, "lists") <= 2);
@@ -512,8 +522,8 @@
 
 // Shutdown.
 
-/// More connections wait in the backlog than are accepted in a turn as the last job ends. Guards against an exit that
-/// resets requests that the machine has taken.
+/// When the last job ends, the backlog holds more connections than one pass of the event loop accepts. Guards
+/// against an exit that resets requests in the backlog.
 #[test]
 fn requests_in_the_backlog_at_exit_are_answered() {
     let (worker, dial) = listener();
@@ -528,28 +538,28 @@
     idle.write("GET /up HTTP/1.1\r\n\r\n");
     idle.read();
     program.signal("TERM");
-    assert_eq!(idle.read().0, "", "past the last call idle connections end");
+    assert_eq!(idle.read().0, "", "idle connections are not closed at the shutdown");
     suspend(&program);
     let done = r#"{"id":"e1","from":"s-1","state":"done","result":"ok"}"#;
     calls.write(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{done}", done.len()));
-    let mut crowd: Vec<Http> = (0..150).map(|_| Http::connect(address)).collect();
-    for (at, one) in crowd.iter_mut().enumerate() {
+    let mut clients: Vec<Http> = (0..150).map(|_| Http::connect(address)).collect();
+    for (at, one) in clients.iter_mut().enumerate() {
         one.submit("confirm-booking", &format!("f{at}"));
     }
     resume(&program);
     assert!(client.read().0.starts_with("HTTP/1.1 200"));
-    for (at, one) in crowd.iter_mut().enumerate() {
+    for (at, one) in clients.iter_mut().enumerate() {
         let (head, _) = one.read();
         assert!(head.starts_with("HTTP/1.1 503"), "{at} of 150 got {head:?}");
     }
-    drop((crowd, client, calls, idle));
+    drop((clients, client, calls, idle));
     let (exited_cleanly, log) = program.wait();
     assert!(exited_cleanly, "{log}");
     assert_all_ended(&log);
 }
 
-/// A request crosses the closing of a resting connection at a stop. Guards against a reset, which would take an answer
-/// under way with it, and against a request that is read after the closing and sent on.
+/// A request crosses the close of an idle connection at a shutdown. Guards against a reset, which would
+/// discard an answer in flight, and against a request that is read after the close and sent on.
 #[test]
 fn a_request_arriving_after_the_idle_close_is_neither_sent_on_nor_reset() {
     let (worker, dial) = listener();
@@ -563,19 +573,20 @@
     resting.read();
     program.signal("TERM");
     let mut end = [0; 1];
-    assert_eq!(resting.0.get_mut().read(&mut end).unwrap(), 0, "the resting connection is shut");
+    assert_eq!(resting.0.get_mut().read(&mut end).unwrap(), 0, "the idle connection is not closed");
     resting.submit("confirm-booking", "q2");
     Http::connect(address).call_back("q1", "s-1", "done", "ok");
     assert!(client.read().0.starts_with("HTTP/1.1 200"));
-    assert_no_connection(&worker, "a request read after the shutdown was sent on");
-    // Its end is an end, and no reset: what it had been sent could have been lost with that.
-    assert!(resting.0.get_ref().take_error().unwrap().is_none(), "it was reset");
+    assert_no_connection(&worker, "a request read after the close was sent on");
+    // Closed without a reset, which could have discarded data already sent to the client.
+    assert!(resting.0.get_ref().take_error().unwrap().is_none(), "the connection was reset");
     drop((client, resting));
     let (exited_cleanly, log) = program.wait();
     assert!(exited_cleanly && logged_counter(&log, "sent") == 1, "{log}");
 }
 
-/// Signals that cross: SIGTERM twice, SIGHUP between them, in one turn of the loop, with a job in flight.
+/// SIGTERM twice with SIGHUP in between, in one pass of the event loop, with a job in flight. Guards against
+/// a lost signal, a second shutdown, and a lost job.
 #[test]
 fn signals_arriving_together_stop_once_and_lose_no_job() {
     let (worker, dial) = listener();
@@ -590,10 +601,10 @@
         program.signal(name);
     }
     resume(&program);
-    let said = [program.next_plain_line(), program.next_plain_line()];
+    let lines = [program.next_plain_line(), program.next_plain_line()];
     assert!(
-        said.iter().any(|line| line.contains("stopping"))
-            && said.iter().any(|line| line.contains("read again"))
+        lines.iter().any(|line| line.contains("stopping"))
+            && lines.iter().any(|line| line.contains("read again"))
     );
     program.signal("TERM");
     Http::connect(address).call_back("s1", "s-1", "done", "ok");
@@ -605,22 +616,23 @@
 
 // Descriptors.
 
-/// Idle clients fill the descriptors while discovery is down. Guards against a program that has none left for discovery,
-/// call-backs, servers or the front's question, one that spins, and one that is not ready after a restart.
+/// Idle clients use up the descriptors while discovery is down. Guards against a gateway that has none left
+/// for discovery, call-backs, servers or health checks, one that spins, and one that is not ready after a
+/// restart.
 #[test]
 fn idle_clients_do_not_exhaust_the_descriptors_while_discovery_is_down() {
     let (worker, dial) = listener();
-    // Bound and not listening: it is down, and comes back at the same address.
+    // Bound and not listening: discovery refuses connections and can return at the same address.
     let down = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     down.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     let at = down.local_addr().unwrap().as_socket().unwrap();
-    // The system gives less than the configuration names.
+    // The process limit is lower than the configured number of sockets.
     let text = config(1024, at, &[("s-1", dial)]);
     for id in ["o1", "o2"] {
         let began = Instant::now();
         let mut program = start_with_fd_limit(128, &text);
         let address = program.read_address();
-        let crowd: Vec<Http> = (0..300).map(|_| Http::connect(address)).collect();
+        let clients: Vec<Http> = (0..300).map(|_| Http::connect(address)).collect();
         let mut up = Http::connect(address);
         up.write("GET /up HTTP/1.1\r\n\r\n");
         assert!(up.read().0.starts_with("HTTP/1.1 200"));
@@ -631,19 +643,19 @@
         job.read();
         accept_and_report_done(&mut job, address, id, "s-1");
         assert!(client.read().0.starts_with("HTTP/1.1 200"));
-        // At rest it does not spin: a turn of the loop for each sweep, and no more.
+        // An idle gateway must not spin: its event loop wakes up for each sweep only.
         let (spent, since) = (cpu_ticks(&program), Instant::now());
         wait_until(|| since.elapsed() > Duration::from_millis(700), "");
         let ticks = cpu_ticks(&program) - spent;
-        assert!(ticks < 20, "{ticks} hundredths of a second of 70");
+        assert!(ticks < 20, "used {ticks} of 70 hundredths of a second of CPU time");
         if id == "o2" {
-            // It is back, and is asked in good time, whatever the crowd.
+            // Discovery is back and must be called in time despite the idle clients.
             down.listen(16).unwrap();
             let listener = TcpListener::from(down.try_clone().unwrap());
             let since = Instant::now();
             Http::accept(&listener).read();
             assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
         }
-        drop((crowd, program));
+        drop((clients, program));
     }
 }
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -1,6 +1,6 @@
-//! Discovery goes down and comes back, on a set clock: dispatchers of the module against a service with a queue. A change
-//! counts as told 6 s after discovery had it and could be reached, whatever call failed; a drain's grace later nothing may
-//! go out by the old list.
+//! A discovery outage on a manual clock: routers of many dispatchers against a simulated service with a
+//! queue. Every dispatcher is required to know a change 6 s after discovery had it and was reachable,
+//! whichever calls failed. After the drain grace on top of that, no job may be sent by the old list.
 
 mod common;
 
@@ -11,12 +11,14 @@
 use micabeam::routing::Router;
 use micabeam::routing::*;
 
-/// A change counts as told so long after discovery is back, and a drain has to be followed so long after that.
+/// A dispatcher must know a change this long after discovery is back.
 const NOTIFICATION_BOUND: Micros = 6 * SECOND;
+/// A drain must be followed this long after `NOTIFICATION_BOUND`.
 const DRAIN_GRACE: Micros = 2 * SECOND;
-/// A call that has waited so long fails, and takes its time all the same.
+/// A call that would wait longer than this fails, and still uses the service's time.
 const CALL_TIMEOUT: Micros = 3 * SECOND;
 
+/// An event of a dispatcher in the simulation's queue: a wake-up, a failed call, or a list that arrives.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Wake,
@@ -24,20 +26,21 @@
     Listed,
 }
 
-/// How a call that comes while discovery is down ends.
+/// How a call fails during the outage.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// It is refused at once.
+    /// The call is refused at once.
     Refuses,
-    /// It is silent, and given up by its caller.
+    /// The call is not answered and times out at the caller.
     Silent,
 }
 
+/// An outage of discovery, and the service after it.
 struct Outage {
     dispatchers: u32,
-    /// Until when it is down, from second 100 on.
+    /// When discovery is back; the outage starts at second 100.
     ends_at: Micros,
-    /// Time that it has for a call.
+    /// Time that the service needs for a call.
     service_time: Micros,
     fault: Fault,
 }
@@ -45,12 +48,13 @@
 impl Outage {
     const START: Micros = 100 * SECOND;
 
-    /// After which a silent call is given up, as `front/discovery.rs` does.
+    /// Returns the timeout of an unanswered call. Same values as in `src/frontend/discovery`.
     fn call_timeout(&self) -> Micros {
         if self.dispatchers > Settings::LARGE_FLEET { 3500 * MS } else { 2500 * MS }
     }
 
-    /// When each dispatcher had its list again after discovery was back, and the most calls in a second.
+    /// Returns, for each dispatcher, the time from the end of the outage until it had the list, and the
+    /// largest number of calls within one second.
     fn simulate(&self, seed: u64) -> (Vec<Micros>, usize) {
         let members = [member(1, 1.0), member(2, 1.0)];
         let mut fleet: Vec<Router> = (0..self.dispatchers)
@@ -61,7 +65,7 @@
                 Router::new(settings, seed << 16 | u64::from(number))
             })
             .collect();
-        // All watches end as it goes down.
+        // All watches fail when the outage starts.
         let mut due: BinaryHeap<Reverse<(Micros, usize, Due)>> =
             (0..fleet.len()).map(|n| Reverse((Outage::START, n, Due::Failed))).collect();
         let (mut busy, mut received, mut calls) = (0, vec![None; fleet.len()], Vec::new());
@@ -106,7 +110,8 @@
     }
 }
 
-/// Plays one size over seeds: the share that had its list in time, the latest, and the most calls in a second.
+/// Simulates one fleet size over ten seeds. Returns the share of dispatchers that had the list in time, the
+/// latest time, and the largest number of calls within one second.
 fn in_time_share(dispatchers: u32, seconds: u64, all: Micros, fault: Fault) -> (f64, Micros, usize) {
     let outage = Outage {
         dispatchers,
@@ -124,9 +129,10 @@
     (in_time as f64 / count as f64, latest, most)
 }
 
-/// Guards against a backoff that doubles past the time after which a change counts as received, and against one so short that
-/// the calls of all fail one another. Where discovery gets through the calls of all in 8 s, no order of calls does better:
-/// the last is answered when it has worked without a pause.
+/// Guards against a backoff that grows past the bound within which a change must be known, and against one so
+/// short that the calls overload the service and time out. Where the service needs 8 s for one call of each
+/// dispatcher, some may miss the bound: in any order, the last call is answered after 8 s of work without a
+/// pause.
 #[test]
 fn every_dispatcher_has_the_list_within_the_bound_after_an_outage() {
     for dispatchers in [5, 30, 300] {
