--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -144,12 +144,12 @@
 /// the next process cannot read or restores only in part.
 #[test]
 fn a_stored_warm_state_and_its_handover_note_are_restored() {
-    let note = HandoverNote::parse(include_str!("fixtures/upgrade/note.handover")).expect("it reads");
+    let note = HandoverNote::parse(include_str!("fixtures/upgrade/note.handover")).expect("a valid note");
     let bytes = include_bytes!("fixtures/upgrade/state.memory");
     let names: Vec<String> =
         ["avail-search", "confirm-booking", "short-hold"].into_iter().map(String::from).collect();
     let left_at = f64::from_le_bytes(bytes[18 + PID_BYTES..][..8].try_into().unwrap());
-    let memory = WarmStateFile::decode(bytes, note.pid, &names, left_at + 500.0).expect("it reads");
+    let memory = WarmStateFile::decode(bytes, note.pid, &names, left_at + 500.0).expect("a valid state");
     assert_eq!(memory.encode(), bytes, "encoding does not give the same bytes");
     assert_eq!(memory.endpoints.len(), 2);
     let site = Site::parse(SETTINGS.as_bytes()).unwrap();
