--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -101,7 +101,7 @@
     let (head, _) = client.read();
     assert!(head.starts_with("HTTP/1.1 500"), "{head}");
     assert_eq!((counter(address, "sent"), counter(address, "may_have_run")), (1, 1));
-    assert!(one.accept().is_err() && two.accept().is_err(), "it was sent again");
+    assert!(one.accept().is_err() && two.accept().is_err(), "the job was sent again");
 }
 
 /// A server declines a job with 503 and `Srv-Declined`. Guards against a job that fails although it never ran
@@ -523,7 +523,7 @@
         job.read();
         job.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         calls.call_back(id, "s-1", "done", "ok");
-        assert!(client.read().0.starts_with("HTTP/1.1 200"), "its connection was closed");
+        assert!(client.read().0.starts_with("HTTP/1.1 200"), "the active client was disconnected");
         let silent_clients: Vec<Http> = (0..40).map(|_| Http::connect(address)).collect();
         // The answer shows that all connections before it have been accepted.
         assert!(counter(address, "taken") > 0);
