--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -74,8 +74,8 @@
     client.submit("avail-search", "g1");
     let mut job = Http::accept(&worker);
     job.read();
-    // Three times the size of a connection's buffer, then the close. The gateway keeps reading, so all of it is
-    // sent at once.
+    // Three times the size of a connection's buffer, then the close. The gateway keeps reading, so all of it
+    // is sent at once.
     client.write(&"x".repeat(300 * 1024));
     drop(client);
     wait_until(|| counter(address, "left") == 1, "the disconnect is not counted");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -290,8 +290,9 @@
 ///
 /// Guards against a new process that reports ready and then sends no job from 1.7 to 5.2 s after its start.
 /// The list taken over from the old process was valid for the grace period alone, although the old process
-/// still watched it, and the end of the old process did not extend it. The new process's log showed `attempts
-/// by the list allowed=false` at 1.69 s and `true` at 5.20 s, when its second call had failed.
+/// still watched it, and the end of the old process did not extend it. The new process's log showed
+/// `new attempts allowed by list freshness` with `allowed=false` at 1.69 s and `true` at 5.20 s, when its
+/// second call had failed.
 #[test]
 fn a_new_process_keeps_sending_jobs_while_discovery_is_silent() {
     let cases = [false, true].map(|ends_old| std::thread::spawn(move || longest_job_time(ends_old)));
