--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -48,7 +48,7 @@
             now += 100 * MS;
             let mut out = Vec::new();
             dispatcher.handle(now, job(id, 2, now), &mut out);
-            while let Some(worker) = asked(&out) {
+            while let Some(worker) = probed_endpoint(&out) {
                 (probes, now) = (probes + 1, now + 5 * MS);
                 let is_free = f64::from(u8::from(free.contains(&worker)));
                 let report = LoadReport {
@@ -283,7 +283,7 @@
             let (at, is_safe) = (now + id * 300 * MS, id % 2 == 0);
             let mut out = Vec::new();
             dispatcher.handle(at, job(id, if is_safe { 0 } else { 2 }, at), &mut out);
-            while let Some(worker) = asked(&out) {
+            while let Some(worker) = probed_endpoint(&out) {
                 probes += 1;
                 let (answered, report) =
                     (worker != bad, LoadReport { free_slots: Some(1.0), ..LoadReport::default() });
--- a/tests/gearman.rs
+++ b/tests/gearman.rs
@@ -59,7 +59,7 @@
         )
     };
     let mut program = net::Program::start(None, Some(&config(2)));
-    let address = program.address();
+    let address = program.read_address();
     let (mut worker, mut client) = (Gear::worker(address, &["confirm"]), Gear::connect(address));
     let handle = client.submit("confirm", "u1", "site 12");
     assert_eq!(worker.fetch().unwrap().0, handle);
@@ -384,6 +384,6 @@
         "{:?}",
         signalled_at.elapsed()
     );
-    net::all_ended(&log);
+    net::assert_all_ended(&log);
     writer.join().unwrap();
 }
--- a/tests/identity.rs
+++ b/tests/identity.rs
@@ -13,7 +13,7 @@
 
 use gear::*;
 use micabeam::frontend::gearman::packets::kind;
-use net::{PATIENCE, Program, file};
+use net::{Program, TEST_TIMEOUT, file};
 use rcgen::{
     BasicConstraints, CertificateParams, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair, KeyUsagePurpose,
     SanType,
@@ -109,7 +109,7 @@
         None => config.with_no_client_auth(),
     };
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let name = ServerName::try_from("micabeam").unwrap();
     let tls = ClientConnection::new(Arc::new(config), name).unwrap();
     Gear(Box::new(StreamOwned::new(tls, stream)))
@@ -190,7 +190,7 @@
     assert!(accepts(address, Some(&old_desk)) && !accepts(address, Some(&new_desk)));
     let write_until_accepted = |text: &str, path: &Path, leaf: &Leaf| {
         std::fs::write(path, text).unwrap();
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while !accepts(address, Some(leaf)) {
             assert!(Instant::now() < end, "the changed bundle was not reloaded");
             std::thread::sleep(Duration::from_millis(20));
@@ -201,7 +201,7 @@
     std::fs::write(&bundle, "no certificate").unwrap();
     assert!(
         program
-            .err
+            .stderr
             .by_ref()
             .lines()
             .map(Result::unwrap)
--- a/tests/list_freshness.rs
+++ b/tests/list_freshness.rs
@@ -57,7 +57,7 @@
         let saved = [("s-1", removed.address), ("s-2", remaining.address)];
         let config = fleet_member(number, dispatchers, discovery, &saved);
         let mut program = Program::start(Some(&config), None);
-        let address = program.address();
+        let address = program.read_address();
         removed.serve(address);
         remaining.serve(address);
         RestartedDispatcher { program, address, removed, remaining }
@@ -96,7 +96,7 @@
     let started_discovery = std::cell::RefCell::new(None);
     let restarted = RestartedDispatcher::start(0, 3, |hosts| {
         let discovery = StandInDiscovery::start(9, hosts);
-        discovery.treat(mode, calls);
+        discovery.set_mode(mode, calls);
         let address = discovery.address;
         *started_discovery.borrow_mut() = Some(discovery);
         address
@@ -139,7 +139,7 @@
     let discovery = StandInDiscovery::start(8, &[first, second.clone()].join(","));
     let saved = [("s-1", removed.address), ("s-2", remaining.address)];
     let mut program = Program::start(Some(&fleet_member(0, 3, discovery.address, &saved)), None);
-    let address = program.address();
+    let address = program.read_address();
     removed.serve(address);
     remaining.serve(address);
     wait_until_ready(address, READY_WITHIN);
@@ -150,14 +150,14 @@
         client.write("GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
         client.read();
     }
-    crossing::freeze(&program);
+    crossing::suspend(&program);
     let before = removed.jobs();
     discovery.publish(9, &second);
     for (number, client) in clients.iter_mut().enumerate() {
         client.submit("avail-search", &format!("held-{number}"));
     }
     thread::sleep(Duration::from_secs(10));
-    crossing::thaw(&program);
+    crossing::resume(&program);
     for client in &mut clients {
         // Some jobs are past their class's deadline, so a rejection is a valid answer.
         assert!(!client.read().0.is_empty());
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,5 +1,5 @@
-//! Stories of the platform's front: the program over loopback among scripted clients, backend servers and
-//! discovery. Each guards against one failure.
+//! The platform's HTTP frontend over loopback, with scripted clients, backend servers and discovery. Each
+//! test guards against one failure.
 
 #[path = "common/net.rs"]
 mod net;
@@ -8,43 +8,45 @@
 
 use net::*;
 
+/// A server's call-backs arrive before its 202, and are repeated. Guards against a job that is completed
+/// twice, and against the late 202 being read as the response to the next job.
 #[test]
-fn a_call_before_the_202_serves_once_however_often_it_comes() {
-    let ((worker, dial), discovery) = (listener(), nobody());
+fn repeated_call_backs_before_the_202_complete_the_job_once() {
+    let ((worker, dial), discovery) = (listener(), refusing_address());
     let (_program, address) = platform(discovery, &[("s-1", dial)]);
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     client.submit("confirm-booking", "a1");
     let mut job = Http::accept(&worker);
     let (head, body) = job.read();
     assert!(head.starts_with("POST /confirm-booking/x?y=1 HTTP/1.1"), "{head}");
-    assert_eq!((value(&head, "req-id").as_deref(), body.as_str()), (Some("a1"), "job"));
-    assert!(value(&head, "req-deadline").is_some_and(|d| d.ends_with('u')), "{head}");
-    // One from a server that has no dispatch of it is acknowledged and books nothing.
+    assert_eq!((header_value(&head, "req-id").as_deref(), body.as_str()), (Some("a1"), "job"));
+    assert!(header_value(&head, "req-deadline").is_some_and(|d| d.ends_with('u')), "{head}");
+    // A call-back from a server that was not sent the job is acknowledged and ignored.
     calls.call_back("a1", "s-9", "done", "wrong");
     calls.call_back("a1", "s-1", "started", "");
     calls.call_back("a1", "s-1", "done", "site 12");
     let (head, body) = client.read();
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     assert_eq!(body, "site 12");
-    job.take();
-    // Once this is acknowledged the 202 before it has been read.
+    job.send_accepted();
+    // The acknowledgement shows that the gateway has read the 202 before it.
     calls.call_back("a1", "s-1", "done", "again");
-    // The connection on which the 202 came late serves the next job, and no second answer is in the way.
+    // The connection with the late 202 is reused for the next job, and no stale response is left on it.
     client.submit("confirm-booking", "a2");
     let (head, _) = job.read();
-    assert_eq!(value(&head, "req-id").as_deref(), Some("a2"));
-    job.take();
+    assert_eq!(header_value(&head, "req-id").as_deref(), Some("a2"));
+    job.send_accepted();
     calls.call_back("a2", "s-1", "done", "site 13");
     assert_eq!(client.read().1, "site 13");
     assert_eq!((counter(address, "taken"), counter(address, "served")), (2, 2));
 }
 
-/// Guards against a server that is handed another request than its client sent: what both agree on, such as the key by
-/// which repeats are dropped, is theirs. What is of one hop stays here, and what is said anew is said once.
+/// Guards against a server that receives another request than the client sent. End-to-end headers, such as an
+/// idempotency key, are forwarded; hop-by-hop headers are removed; headers that the gateway sets occur once.
 #[test]
-fn headers_that_a_client_and_a_server_agree_on_pass_on() {
+fn end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let mut client = Http::connect(address);
     client.write(
         "POST /avail-search/x HTTP/1.1\r\nHost: a\r\nReq-Id: k1\r\nReq-Deadline: 4000m\r\n\
@@ -53,8 +55,8 @@
     );
     let (head, body) = Http::accept(&worker).read();
     assert_eq!(body, "job");
-    assert_eq!(value(&head, "idempotency-key").as_deref(), Some("f84ac7ad0002743a"), "{head}");
-    assert_eq!(value(&head, "x-of-theirs").as_deref(), Some("1"), "{head}");
+    assert_eq!(header_value(&head, "idempotency-key").as_deref(), Some("f84ac7ad0002743a"), "{head}");
+    assert_eq!(header_value(&head, "x-of-theirs").as_deref(), Some("1"), "{head}");
     for (name, times) in
         [("x-of-one-hop", 0), ("expect", 0), ("host", 1), ("req-id", 1), ("content-length", 1)]
     {
@@ -63,17 +65,21 @@
     }
 }
 
+/// Guards against an unsafe job that fails because a server refuses the connection: it never ran there.
 #[test]
-fn a_refused_connection_never_ran_and_the_job_goes_elsewhere() {
+fn a_job_whose_connection_is_refused_goes_to_another_server() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", nobody()), ("s-2", dial), ("s-3", nobody())]);
+    let (_program, address) = platform(
+        refusing_address(),
+        &[("s-1", refusing_address()), ("s-2", dial), ("s-3", refusing_address())],
+    );
     let mut calls = Http::connect(address);
     for at in 0..3 {
         let (mut client, id) = (Http::connect(address), format!("b{at}"));
         client.submit("confirm-booking", &id);
         let mut job = Http::accept(&worker);
         job.read();
-        // The next one must come on a new connection.
+        // With `Connection: close` the next job comes on a new connection.
         job.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         calls.call_back(&id, "s-2", "done", "ok");
         assert!(client.read().0.starts_with("HTTP/1.1 200"));
@@ -82,35 +88,38 @@
     assert_eq!(counter(address, "may_have_run"), 0);
 }
 
+/// Guards against an unsafe job that runs twice: once its last byte is written, the server may have run it.
 #[test]
 fn an_unsafe_job_whose_connection_breaks_after_its_last_byte_is_not_sent_again() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let (_program, address) = platform(nobody(), &[("s-1", dial_one), ("s-2", dial_two)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial_one), ("s-2", dial_two)]);
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "c1");
-    let mut job = Http::over(accept_any(&[&one, &two]));
+    let mut job = Http::from_stream(accept_any(&[&one, &two]));
     job.read();
     drop(job);
     let (head, _) = client.read();
     assert!(head.starts_with("HTTP/1.1 500"), "{head}");
     assert_eq!((counter(address, "sent"), counter(address, "may_have_run")), (1, 1));
-    assert!(one.accept().is_err() && two.accept().is_err(), "it was sent again");
+    assert!(one.accept().is_err() && two.accept().is_err(), "the job was sent again");
 }
 
+/// A server declines a job with 503 and `Srv-Declined`. Guards against a job that fails although it never ran
+/// there.
 #[test]
-fn a_safe_job_that_was_declined_goes_to_the_next_server() {
+fn a_declined_job_goes_to_the_next_server() {
     let ((one, dial_one), (two, dial_two)) = (listener(), listener());
-    let (_program, address) = platform(nobody(), &[("s-1", dial_one), ("s-2", dial_two)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial_one), ("s-2", dial_two)]);
     let declined = std::thread::spawn(move || {
         let mut job = Http::accept(&one);
         job.read();
         job.write(
             "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nSrv-Load: queue=9,x0=0\r\nContent-Length: 0\r\n\r\n",
         );
-        job.read() // holds the connection open until the program ends it
+        job.read() // keeps the connection open until the gateway closes it
     });
     let mut calls = Http::connect(address);
-    // Whichever is first in the cycle, within two jobs the first server is tried.
+    // Whichever comes first in the cycle, one of two jobs is sent to the first server.
     for id in ["d1", "d2"] {
         let mut client = Http::connect(address);
         client.submit("confirm-booking", id);
@@ -125,41 +134,43 @@
     declined.join().unwrap();
 }
 
+/// Guards against jobs that keep running, or are counted as served, after their client has disconnected.
 #[test]
-fn a_client_that_leaves_calls_its_job_off() {
+fn a_client_that_disconnects_cancels_its_job() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     client.submit("avail-search", "e1");
     let mut job = Http::accept(&worker);
     job.read();
-    job.take();
+    job.send_accepted();
     calls.call_back("e1", "s-1", "started", "");
     drop(client);
     let (head, _) = job.read();
     assert!(head.starts_with("DELETE /jobs/e1 HTTP/1.1"), "{head}");
     job.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    // It comes late all the same, and is acknowledged.
+    // A late call-back is acknowledged all the same.
     calls.call_back("e1", "s-1", "done", "late");
     assert_eq!((counter(address, "left"), counter(address, "served")), (1, 0));
-    // Before the 202 the connection is closed instead.
+    // Before the 202, the gateway closes the connection instead of sending a cancel.
     let mut client = Http::connect(address);
     client.submit("avail-search", "e2");
-    assert_eq!(value(&job.read().0, "req-id").as_deref(), Some("e2"));
+    assert_eq!(header_value(&job.read().0, "req-id").as_deref(), Some("e2"));
     drop(client);
     assert_eq!(job.read().0, "");
 }
 
+/// Guards against a job that is written on a connection that the server has closed.
 #[test]
 fn a_connection_that_the_server_closed_is_not_used_again() {
     let (worker, dial) = listener();
-    let (_program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     for id in ["f1", "f2", "f3"] {
         client.submit("confirm-booking", id);
         let mut job = Http::accept(&worker);
-        assert_eq!(value(&job.read().0, "req-id").as_deref(), Some(id));
-        job.take();
+        assert_eq!(header_value(&job.read().0, "req-id").as_deref(), Some(id));
+        job.send_accepted();
         drop(job);
         calls.call_back(id, "s-1", "done", "ok");
         assert!(client.read().0.starts_with("HTTP/1.1 200"));
@@ -167,19 +178,21 @@
     assert_eq!(counter(address, "sent"), 3);
 }
 
+/// A kept connection closes under a probe. Guards against a healthy server whose probe counts as failed.
 #[test]
-fn a_probe_on_a_kept_connection_that_breaks_is_asked_again_at_once() {
+fn a_probe_on_a_kept_connection_that_closes_is_retried_at_once() {
     let ((worker, dial), text) = (listener(), "\"mayCancel\": true");
-    // A report is never too young to ask for another.
-    let settings = config(256, nobody(), &[("s-1", dial)])
+    // With a quantum of 1 µs every load report is old enough for a new probe.
+    let settings = config(256, refusing_address(), &[("s-1", dial)])
         .replace(text, &format!("{text}, \"probing\": true"))
         .replace("\"quantum\": 1000", "\"quantum\": 1");
     let mut program = Program::start(Some(&settings), None);
-    let address = program.address();
+    let address = program.read_address();
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     let probe = |http: &mut Http| {
         assert!(http.read().0.starts_with("GET /metrics/load "));
-        // Probes of the same length: one that takes twice as long as the last shows a slow server, and is asked again.
+        // Equal probe times: a probe that takes twice as long as the last shows a slow server, and is sent
+        // again.
         std::thread::sleep(std::time::Duration::from_millis(20));
         http.write("HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nqueue=0,x0=2");
     };
@@ -187,14 +200,15 @@
     let mut kept = Http::accept(&worker);
     for id in ["p1", "p2"] {
         probe(&mut kept);
-        assert_eq!(value(&kept.read().0, "req-id").as_deref(), Some(id));
-        kept.take();
-        // The end may overtake the 202, and then its connection would not be kept: a new one is served in between.
+        assert_eq!(header_value(&kept.read().0, "req-id").as_deref(), Some(id));
+        kept.send_accepted();
+        // The call-back may overtake the 202, and the connection would not be kept. A request in between
+        // prevents that.
         counter(address, "sent");
         calls.call_back(id, "s-1", "done", "ok");
         assert!(client.read().0.starts_with("HTTP/1.1 200"));
         if id == "p1" {
-            // Its connection goes down under the next probe. The server is none the worse for that.
+            // The connection closes under the next probe. The server must not count as failed.
             client.submit("confirm-booking", "p2");
             assert!(kept.read().0.starts_with("GET /metrics/load "));
             kept = kept.accept_after(&worker);
@@ -203,20 +217,23 @@
     assert_eq!(counter(address, "probes"), 2);
 }
 
+/// Guards against a job that waits for its deadline when there is no server, and a `Retry-After` that is
+/// missing or above the configured 2 s.
 #[test]
-fn nothing_free_is_denied_at_once_with_when_to_come_back() {
-    let (_program, address) = platform(nobody(), &[]);
+fn a_job_without_a_server_is_rejected_at_once_with_retry_after() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let mut client = Http::connect(address);
     client.submit("short-hold", "g1");
     let (head, _) = client.read();
     assert!(head.starts_with("HTTP/1.1 503"), "{head}");
-    let after: f64 = value(&head, "retry-after").unwrap().parse().unwrap();
+    let after: f64 = header_value(&head, "retry-after").unwrap().parse().unwrap();
     assert!(after > 0.0 && after <= 2.0, "{head}");
 }
 
+/// Guards against malformed requests that are accepted, answered with the wrong status, or end the process.
 #[test]
-fn what_does_not_read_gets_its_status_and_harms_nobody() {
-    let (_program, address) = platform(nobody(), &[]);
+fn malformed_requests_get_their_status_and_affect_no_other_client() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let job = |class: &str, id: &str, deadline: &str| {
         let head = format!("Req-Id: {id}\r\nReq-Deadline: {deadline}\r\nContent-Length: 0");
         format!("POST /{class} HTTP/1.1\r\n{head}\r\n\r\n")
@@ -251,8 +268,10 @@
     assert!(up.read().0.starts_with("HTTP/1.1 200"));
 }
 
+/// A watch call fails with 503, and the next one returns a drain. Guards against a watch that stops after a
+/// failure, and jobs for the draining server.
 #[test]
-fn the_watch_goes_on_and_a_draining_server_gets_nothing_new() {
+fn a_draining_server_gets_no_new_jobs_after_a_failed_watch_is_retried() {
     let ((discovery, at), (one, dial_one), (two, dial_two)) = (listener(), listener(), listener());
     let (_program, address) = platform(at, &[("s-1", dial_one), ("s-2", dial_two)]);
     let answer = |watch: &mut Http, status: &str, seq: u64, hosts: &str| {
@@ -263,7 +282,7 @@
     let (head, _) = watch.read();
     assert!(head.starts_with("GET /discovery/hosts?since=7&timeout_ms="), "{head}");
     answer(&mut watch, "503 Busy", 0, "");
-    // A failed call is followed by another, later, on a new connection.
+    // After a failed call the gateway pauses and calls again on a new connection.
     let mut watch = Http::accept(&discovery);
     watch.read();
     answer(&mut watch, "200 OK", 8, &host("s-1", dial_one, "draining"));
@@ -283,21 +302,23 @@
     assert!(one.accept().is_err(), "a draining server was sent a job");
 }
 
+/// A watch does not answer, and jobs show that a server of its list has failed. Guards against waiting for
+/// the silent watch instead of opening a new one.
 #[test]
-fn a_watch_that_fell_silent_is_begun_anew_once_a_server_fails() {
+fn a_silent_watch_is_restarted_once_a_server_fails() {
     let ((discovery, at), (worker, dial)) = (listener(), listener());
-    let (_program, address) = platform(at, &[("s-1", nobody()), ("s-2", dial)]);
+    let (_program, address) = platform(at, &[("s-1", refusing_address()), ("s-2", dial)]);
     let mut watch = Http::accept(&discovery);
     confirm_list(&mut watch);
     assert!(watch.read().0.contains("since=7&"));
     let (mut calls, mut jobs) = (Http::connect(address), 0);
     discovery.set_nonblocking(true).unwrap();
-    let end = std::time::Instant::now() + PATIENCE;
+    let end = std::time::Instant::now() + TEST_TIMEOUT;
     let again = loop {
         if let Ok((stream, _)) = discovery.accept() {
             break stream;
         }
-        assert!(std::time::Instant::now() < end, "it waits for the silent watch");
+        assert!(std::time::Instant::now() < end, "the silent watch is not restarted");
         let (mut client, id) = (Http::connect(address), format!("w{jobs}"));
         jobs += 1;
         client.submit("confirm-booking", &id);
@@ -308,42 +329,46 @@
         client.read();
     };
     again.set_nonblocking(false).unwrap();
-    assert!(Http::over(again).read().0.contains("since=7&"));
-    assert_eq!(watch.read().0, "", "the silent one is given up");
+    assert!(Http::from_stream(again).read().0.contains("since=7&"));
+    assert_eq!(watch.read().0, "", "the silent watch is not closed");
 }
 
+/// Guards against a shutdown that drops accepted jobs or refuses call-backs, or that keeps connections open
+/// after the answer.
 #[test]
-fn sigterm_finishes_what_was_taken_and_says_that_it_closes() {
+fn sigterm_finishes_accepted_jobs_and_sends_connection_close() {
     let (worker, dial) = listener();
-    let (mut program, address) = platform(nobody(), &[("s-1", dial)]);
+    let (mut program, address) = platform(refusing_address(), &[("s-1", dial)]);
     let (mut client, mut idle) = (Http::connect(address), Http::connect(address));
     idle.write("GET /up HTTP/1.1\r\n\r\n");
     idle.read();
     client.submit("confirm-booking", "j1");
     let mut job = Http::accept(&worker);
     job.read();
-    job.take();
+    job.send_accepted();
     program.signal("TERM");
-    assert_eq!(program.line(), "micabeam: stopping\n");
-    // Those that have a connection go on being served: the other dispatchers may be away as well.
+    assert_eq!(program.next_plain_line(), "micabeam: stopping\n");
+    // Requests on open connections are still served: the other dispatchers may be stopping as well.
     let mut kept = Http::connect(address);
     for _ in 0..2 {
         kept.write("POST /no HTTP/1.1\r\n\r\n");
         let (head, _) = kept.read();
-        assert!(head.starts_with("HTTP/1.1 404") && value(&head, "connection").is_none(), "{head}");
+        assert!(head.starts_with("HTTP/1.1 404") && header_value(&head, "connection").is_none(), "{head}");
     }
-    // The idle connection ends while the job is still out; its call-back is taken on a new connection.
+    // The idle connection is closed while the job still runs; its call-back is accepted on a new connection.
     assert_eq!(idle.read().0, "");
     Http::connect(address).call_back("j1", "s-1", "done", "kept");
     let (head, body) = client.read();
     assert!(head.starts_with("HTTP/1.1 200") && body == "kept", "{head}");
-    assert_eq!(value(&head, "connection").as_deref(), Some("close"));
-    let (well, text) = program.wait();
-    assert!(well && text.contains("served 1\n") && text.contains("taken 1\n"), "{text}");
+    assert_eq!(header_value(&head, "connection").as_deref(), Some("close"));
+    let (exited_cleanly, text) = program.wait();
+    assert!(exited_cleanly && text.contains("served 1\n") && text.contains("taken 1\n"), "{text}");
 }
 
+/// Guards against a reload that loses jobs in flight, applies a bad file, or asks a new discovery service for
+/// changes since a version of the old one.
 #[test]
-fn sighup_follows_discovery_keeps_what_is_in_flight_and_leaves_a_bad_file_alone() {
+fn sighup_switches_discovery_keeps_jobs_in_flight_and_ignores_a_bad_file() {
     let ((old, old_at), (new, new_at)) = (listener(), listener());
     let ((worker, dial), (next, next_dial)) = (listener(), listener());
     let (mut program, address) = platform(old_at, &[("s-1", dial)]);
@@ -354,8 +379,8 @@
     client.submit("confirm-booking", "r1");
     let mut job = Http::accept(&worker);
     job.read();
-    job.take();
-    // Half a file, one whose classes have other names, and one with an address that is none.
+    job.send_accepted();
+    // A truncated file, one with other class names, and one with an invalid address.
     let good = config(256, new_at, &[]);
     let (half, other) = (good[..90].to_string(), good.replace("avail-search", "avail"));
     for bad in [half, other, good.replace(&new_at.to_string(), "nowhere")] {
@@ -363,7 +388,8 @@
         assert!(line.starts_with("micabeam: the old settings stay in force: "), "{line}");
     }
     assert_eq!(program.reload(0, &good), "micabeam: the configuration was read again\n");
-    // The old watch ends; the new service, whose versions may differ, is asked for the whole list.
+    // The old watch is closed. The new service may count versions differently, so it is asked for the whole
+    // list.
     assert_eq!(watch.read().0, "");
     let mut watch = Http::accept(&new);
     let (head, _) = watch.read();
@@ -375,12 +401,13 @@
     assert_eq!(client.read().1, "kept");
     client.submit("confirm-booking", "r2");
     let (head, _) = Http::accept(&next).read();
-    assert_eq!(value(&head, "req-id").as_deref(), Some("r2"));
+    assert_eq!(header_value(&head, "req-id").as_deref(), Some("r2"));
 }
 
+/// Guards against pipelined requests that are lost, or answered more than once.
 #[test]
-fn many_requests_at_once_on_one_connection_are_answered_one_by_one() {
-    let (_program, address) = platform(nobody(), &[]);
+fn pipelined_requests_are_answered_one_by_one() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let mut client = Http::connect(address);
     let one = "POST /no HTTP/1.1\r\n\r\n";
     let mut stream = client.0.get_ref().try_clone().unwrap();
@@ -391,8 +418,9 @@
     writer.join().unwrap().unwrap();
 }
 
+/// Guards against a panic, or an exit without a reason, on a configuration that cannot be used.
 #[test]
-fn a_bad_configuration_ends_with_one_plain_line() {
+fn a_bad_configuration_exits_with_a_one_line_message() {
     let deep = "[".repeat(100_000);
     let few = format!(
         r#"{{"settings": {SETTINGS}, "limits": {{"sockets": 3}}, "listen": "127.0.0.1:0",
@@ -405,18 +433,22 @@
         (r#"{"settings": {"quantum": 1}}"#, "missing field"),
         (few.as_str(), "too few"),
     ] {
-        let (well, text) = Program::start(Some(config), None).wait();
-        assert!(!well && text.lines().count() == 1 && text.to_lowercase().contains(says), "{says}: {text}");
+        let (exited_cleanly, text) = Program::start(Some(config), None).wait();
+        assert!(
+            !exited_cleanly && text.lines().count() == 1 && text.to_lowercase().contains(says),
+            "{says}: {text}"
+        );
     }
-    let (well, text) = Program::start(None, None).wait();
-    assert!(!well && text.lines().count() == 1, "{text}");
+    let (exited_cleanly, text) = Program::start(None, None).wait();
+    assert!(!exited_cleanly && text.lines().count() == 1, "{text}");
 }
 
+/// Guards against clients without an answer when more connect than there are descriptors.
 #[test]
 fn more_clients_than_descriptors_all_get_an_answer() {
     let (worker, dial) = listener();
-    // 70 descriptors leave 17 connections for clients, and 9 sessions.
-    let (_program, address) = platform_with(70, nobody(), &[("s-1", dial)]);
+    // 70 descriptors leave 17 client connections and 9 sessions.
+    let (_program, address) = platform_with_sockets(70, refusing_address(), &[("s-1", dial)]);
     let send = |at: usize| {
         let mut client = Http::connect(address);
         let head = format!("POST /short-hold HTTP/1.1\r\nReq-Id: k{at}\r\nContent-Length: 0\r\n\r\n");
@@ -428,7 +460,7 @@
     for (at, client) in clients.iter_mut().enumerate() {
         let mut head = client.read().0;
         while head.is_empty() {
-            // Closed before its request was read: it is sent once more, as the protocol has it.
+            // Closed before the request was read: HTTP allows the client to send it again.
             head = send(at).read().0;
         }
         statuses.push(head.chars().skip(9).take(3).collect::<String>());
@@ -439,9 +471,10 @@
     drop(worker);
 }
 
+/// Guards against connections that are held open by clients that send nothing or an incomplete request.
 #[test]
-fn who_says_nothing_or_half_of_it_is_ended_within_three_seconds() {
-    let (_program, address) = platform(nobody(), &[]);
+fn silent_clients_and_incomplete_requests_are_closed_within_three_seconds() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let began = std::time::Instant::now();
     let (mut silent, mut half, mut body) =
         (Http::connect(address), Http::connect(address), Http::connect(address));
@@ -453,17 +486,19 @@
     assert!(half.read().0.starts_with("HTTP/1.1 408") && body.read().0.starts_with("HTTP/1.1 408"));
     assert_eq!(silent.read().0, "");
     assert!(began.elapsed().as_secs_f64() < 3.0, "{:?}", began.elapsed());
-    // One that has asked before may rest.
+    // A client that has sent a request before may stay idle.
     kept.write("GET /up HTTP/1.1\r\n\r\n");
     assert!(kept.read().0.starts_with("HTTP/1.1 200"));
 }
 
+/// Guards against clients that fill the memory with incomplete bodies, so that small requests are denied.
 #[test]
-fn half_sent_bodies_do_not_take_the_memory_and_small_requests_still_fit() {
-    let config = config(256, nobody(), &[]).replace("\"sockets\": 256", "\"sockets\": 256, \"memory_mb\": 4");
+fn incomplete_bodies_do_not_exhaust_the_memory_for_small_requests() {
+    let config = config(256, refusing_address(), &[])
+        .replace("\"sockets\": 256", "\"sockets\": 256, \"memory_mb\": 4");
     let mut program = Program::start(Some(&config), None);
-    let address = program.address();
-    // A megabyte is for clients, and each of them sends the most of a body that is let in.
+    let address = program.read_address();
+    // Clients share one megabyte, and each one announces the largest allowed body and sends most of it.
     let half = format!("POST /no HTTP/1.1\r\nContent-Length: 65536\r\n\r\n{}", "x".repeat(60_000));
     let mut clients: Vec<Http> = (0..30).map(|_| Http::connect(address)).collect();
     clients.iter_mut().for_each(|client| client.write(&half));
@@ -475,11 +510,12 @@
     assert!((13..30).contains(&denied), "{denied} of 30 were denied");
 }
 
+/// Guards against an active client whose connection is closed to make room for connections that send nothing.
 #[test]
-fn a_usual_client_keeps_its_place_among_many_that_say_nothing() {
+fn many_silent_connections_do_not_evict_an_active_client() {
     let (worker, dial) = listener();
-    // 70 descriptors leave 17 connections for clients.
-    let (_program, address) = platform_with(70, nobody(), &[("s-1", dial)]);
+    // 70 descriptors leave 17 client connections.
+    let (_program, address) = platform_with_sockets(70, refusing_address(), &[("s-1", dial)]);
     let (mut client, mut calls) = (Http::connect(address), Http::connect(address));
     for id in ["m1", "m2"] {
         client.submit("confirm-booking", id);
@@ -487,30 +523,32 @@
         job.read();
         job.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         calls.call_back(id, "s-1", "done", "ok");
-        assert!(client.read().0.starts_with("HTTP/1.1 200"), "its connection was closed");
-        let crowd: Vec<Http> = (0..40).map(|_| Http::connect(address)).collect();
-        // Once this is answered all of them were accepted.
+        assert!(client.read().0.starts_with("HTTP/1.1 200"), "the active client was disconnected");
+        let silent_clients: Vec<Http> = (0..40).map(|_| Http::connect(address)).collect();
+        // The answer shows that all connections before it have been accepted.
         assert!(counter(address, "taken") > 0);
-        drop(crowd);
+        drop(silent_clients);
     }
 }
 
+/// Guards against a malformed request that is sent to one server after the other.
 #[test]
-fn a_request_that_a_server_cannot_use_fails_and_is_sent_to_no_other() {
+fn a_request_answered_with_400_is_not_retried() {
     let ((one, dial), (two, other)) = (listener(), listener());
-    let (_program, address) = platform(nobody(), &[("s-1", dial), ("s-2", other)]);
+    let (_program, address) = platform(refusing_address(), &[("s-1", dial), ("s-2", other)]);
     let mut client = Http::connect(address);
     client.submit("avail-search", "o1");
-    let mut job = Http::over(accept_any(&[&one, &two]));
+    let mut job = Http::from_stream(accept_any(&[&one, &two]));
     job.read();
     job.write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
     assert!(client.read().0.starts_with("HTTP/1.1 500"));
     assert_eq!(counter(address, "sent"), 1);
 }
 
+/// Guards against a reset in the client's write, which would keep it from reading the 413.
 #[test]
-fn a_client_that_goes_on_sending_is_told_that_it_is_too_much() {
-    let (_program, address) = platform(nobody(), &[]);
+fn an_oversized_body_is_read_to_its_end_and_answered_with_413() {
+    let (_program, address) = platform(refusing_address(), &[]);
     let mut client = Http::connect(address);
     let mut stream = client.0.get_ref().try_clone().unwrap();
     stream.write_all(b"POST /avail-search HTTP/1.1\r\nContent-Length: 15000000\r\n\r\n").unwrap();
@@ -519,14 +557,15 @@
     writer.join().unwrap().expect("all of it was read");
 }
 
+/// Guards against an event loop that serves one client's pipelined requests without a bound.
 #[test]
-fn a_client_that_never_stops_asking_does_not_keep_others_waiting() {
-    let (_program, address) = platform(nobody(), &[]);
-    let greedy = Http::connect(address);
-    let mut stream = greedy.0.get_ref().try_clone().unwrap();
-    let mut answers = greedy.0.get_ref().try_clone().unwrap();
+fn a_client_that_pipelines_without_end_does_not_starve_others() {
+    let (_program, address) = platform(refusing_address(), &[]);
+    let flooding = Http::connect(address);
+    let mut stream = flooding.0.get_ref().try_clone().unwrap();
+    let mut answers = flooding.0.get_ref().try_clone().unwrap();
     let text = "POST /no HTTP/1.1\r\n\r\n".repeat(2000);
-    // Both end when the story shuts their connection.
+    // Both threads end when the test shuts the connection down.
     let asks = std::thread::spawn(move || while stream.write_all(text.as_bytes()).is_ok() {});
     let reads = std::thread::spawn(move || std::io::copy(&mut answers, &mut std::io::sink()));
     for _ in 0..20 {
@@ -534,46 +573,48 @@
         other.write("GET /up HTTP/1.1\r\n\r\n");
         assert!(other.read().0.starts_with("HTTP/1.1 200"));
     }
-    greedy.0.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
+    flooding.0.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     asks.join().unwrap();
     let _ = reads.join().unwrap();
 }
 
-/// Guards the end of sessions that have no backend server and of those whose clients left, and a stop that waits for a
-/// client which reads nothing.
+/// Guards against sessions that never end because there is no server or their client has left, and against a
+/// shutdown that waits for a client that reads nothing.
 #[test]
-fn without_servers_and_clients_all_sessions_end_and_so_does_the_program() {
-    let (program, address) = platform(nobody(), &[]);
+fn all_sessions_end_at_shutdown_without_servers_or_clients() {
+    let (program, address) = platform(refusing_address(), &[]);
     let mut clients: Vec<Http> = (0..20).map(|_| Http::connect(address)).collect();
     for (at, client) in clients.iter_mut().enumerate() {
         client.submit(if at % 2 == 0 { "avail-search" } else { "confirm-booking" }, &format!("id-{at}"));
     }
-    // Taken, all of them, before any client leaves and before the signal.
-    let end = std::time::Instant::now() + PATIENCE;
+    // Wait until all are accepted, before any client leaves and before the signal.
+    let end = std::time::Instant::now() + TEST_TIMEOUT;
     while counter(address, "taken") < 20 {
-        assert!(std::time::Instant::now() < end, "not all are taken");
+        assert!(std::time::Instant::now() < end, "not all jobs are accepted");
     }
     clients.truncate(10);
     program.signal("TERM");
     let begun = std::time::Instant::now();
-    let (well, text) = program.wait();
-    assert!(well && begun.elapsed() < std::time::Duration::from_secs(6), "{:?}", begun.elapsed());
-    all_ended(&text);
+    let (exited_cleanly, text) = program.wait();
+    assert!(exited_cleanly && begun.elapsed() < std::time::Duration::from_secs(6), "{:?}", begun.elapsed());
+    assert_all_ended(&text);
     for mut client in clients {
-        assert!(client.read().0.starts_with("HTTP/1.1 503"), "each has its answer");
+        assert!(client.read().0.starts_with("HTTP/1.1 503"), "a client has no answer");
     }
 }
 
+/// Guards against cutting off a slow client that makes progress, and against refusing chunked bodies.
 #[test]
-fn a_client_that_writes_slowly_but_steadily_or_in_chunks_is_served() {
-    let ((worker, dial), discovery) = (listener(), nobody());
-    // Discovery is away: the list it had must not age out while the client writes.
+fn a_slow_but_steady_or_chunked_request_is_served() {
+    let ((worker, dial), discovery) = (listener(), refusing_address());
+    // Discovery is down: its list must not expire while the client writes.
     let config =
         config(256, discovery, &[("s-1", dial)]).replace("\"askWithin\": 4000000", "\"askWithin\": 60000000");
     let mut program = Program::start(Some(&config), None);
-    let address = program.address();
-    // Guards against cutting off, at 2.5 s from its first byte, a client that writes a request over 3.5 s
-    // in pieces with no gap of 2.5 s: only silence ends a client that owes the rest of a request.
+    let address = program.read_address();
+    // Guards against cutting off a client 2.5 s after its first byte while it still makes progress. It writes
+    // its request over 3.5 s with no gap of 2.5 s; only a gap that long ends a client with an incomplete
+    // request.
     let mut slow = Http::connect(address);
     let text =
         "POST /confirm-booking HTTP/1.1\r\nReq-Id: p1\r\nReq-Deadline: 9000m\r\nContent-Length: 3\r\n\r\njob";
@@ -584,37 +625,39 @@
         std::thread::sleep(std::time::Duration::from_millis(500));
     }
     let mut job = Http::accept(&worker);
-    assert_eq!(value(&job.read().0, "req-id").as_deref(), Some("p1"));
-    let mut calls = take_and_finish(&mut job, address, "p1", "slow ok");
+    assert_eq!(header_value(&job.read().0, "req-id").as_deref(), Some("p1"));
+    let mut calls = accept_and_finish(&mut job, address, "p1", "slow ok");
     let (head, body) = slow.read();
     assert_eq!(body, "slow ok", "{head}");
-    // Guards against refusing a body in chunks with 501: it goes on with its payload and a length.
+    // Guards against refusing a chunked body with 501: its payload is forwarded with a `Content-Length`.
     let mut chunked = Http::connect(address);
     chunked.write(
         "POST /confirm-booking HTTP/1.1\r\nReq-Id: p2\r\nReq-Deadline: 9000m\r\nTransfer-Encoding: chunked\r\n\r\n\
          2\r\njo\r\n1\r\nb\r\n0\r\n\r\n",
     );
     let (head, body) = job.read();
-    assert_eq!((value(&head, "req-id").as_deref(), body.as_str()), (Some("p2"), "job"));
-    assert_eq!(value(&head, "content-length").as_deref(), Some("3"));
-    job.take();
+    assert_eq!((header_value(&head, "req-id").as_deref(), body.as_str()), (Some("p2"), "job"));
+    assert_eq!(header_value(&head, "content-length").as_deref(), Some("3"));
+    job.send_accepted();
     calls.call_back("p2", "s-1", "started", "");
     calls.call_back("p2", "s-1", "done", "chunks ok");
     assert_eq!(chunked.read().1, "chunks ok");
 }
 
+/// Guards against an attempt that fails because the connect timeout still runs after the connect.
 #[test]
-fn a_server_slow_to_take_a_job_on_a_new_connection_still_has_it() {
-    let ((worker, dial), discovery) = (listener(), nobody());
+fn a_202_later_than_the_connect_timeout_does_not_fail_the_attempt() {
+    let ((worker, dial), discovery) = (listener(), refusing_address());
     let (_program, address) = platform(discovery, &[("s-1", dial)]);
     let mut client = Http::connect(address);
     client.submit("confirm-booking", "q1");
-    // Guards against a connection that came up within the write of its request keeping its 250 ms to connect:
-    // a server that takes longer to say 202 had its job held never to have run, and the client was refused.
+    // If the connection was established during the write of its request, the connect timeout of 250 ms kept
+    // running: when the server needed longer for its 202, the job counted as never run and the client was
+    // refused.
     std::thread::sleep(std::time::Duration::from_millis(600));
     let mut job = Http::accept(&worker);
-    assert_eq!(value(&job.read().0, "req-id").as_deref(), Some("q1"));
-    take_and_finish(&mut job, address, "q1", "late ok");
+    assert_eq!(header_value(&job.read().0, "req-id").as_deref(), Some("q1"));
+    accept_and_finish(&mut job, address, "q1", "late ok");
     let (head, body) = client.read();
     assert_eq!(body, "late ok", "{head}");
     assert_eq!(counter(address, "never_ran"), 0);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -58,18 +58,18 @@
             self.dir.join(format!("policy-{own}.toml")).display(),
             self.dir.join(format!("kept-{own}")).display()
         );
-        let config = config(128, nobody(), &self.hosts[..servers]);
+        let config = config(128, refusing_address(), &self.hosts[..servers]);
         let mut program =
-            Program::of(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text));
-        let address = program.address();
-        let console = program.address();
+            Program::from_command(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text));
+        let address = program.read_address();
+        let console = program.read_address();
         (program, address, console)
     }
 }
 
 fn policy_status(console: SocketAddr) -> String {
     let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(b"policy\n").unwrap();
     let mut text = String::new();
     let _ = stream.read_to_string(&mut text);
@@ -77,7 +77,7 @@
 }
 
 fn wait_until(expected: &str, condition: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < end, "timed out waiting until {expected}");
         std::thread::sleep(std::time::Duration::from_millis(5));
@@ -86,7 +86,7 @@
 
 /// Accepts a job whose request has been read, and calls back with its result as the given server.
 fn finish(job: &mut Http, address: SocketAddr, id: &str, server: usize) {
-    job.take();
+    job.send_accepted();
     Http::connect(address).call_back(id, &format!("s-{}", server + 1), "done", "done");
 }
 
@@ -196,7 +196,7 @@
     assert!(client.read().0.starts_with("HTTP/1.1 503") && sent_at.elapsed().as_millis() < 800);
     client.submit("confirm-booking", "c-2");
     let (head, _) = client.read();
-    assert!(head.starts_with("HTTP/1.1 503") && value(&head, "retry-after").is_some(), "{head}");
+    assert!(head.starts_with("HTTP/1.1 503") && header_value(&head, "retry-after").is_some(), "{head}");
     // Once there is a majority again the process serves again, without an action of its operator.
     started.push(fleet.start(1, 2));
     wait_until("the process serves again", || policy_status(console).contains("serves yes"));
@@ -213,7 +213,7 @@
         "console = \"127.0.0.1:0\"\n[rollout]\npolicy = \"{0}\"\nkeep = \"{0}\"\n",
         fleet.dir.join("policy-0.toml").display()
     );
-    let (succeeded, log) = Program::operator(&text).wait();
+    let (succeeded, log) = Program::start_with_operator_file(&text).wait();
     assert!(!succeeded && log.contains("rollout: the table [fleet] is required"), "{log}");
     // The three members of the fleet table.
     let members: String = (0..3)
@@ -228,10 +228,10 @@
         .to_string()
         + &members;
     let (_, log) = {
-        let config = config(128, nobody(), &fleet.hosts);
+        let config = config(128, refusing_address(), &fleet.hosts);
         let table = fleet_table.clone();
         let text = table + text.split_once('\n').unwrap().1;
-        Program::of(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text)).wait()
+        Program::from_command(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text)).wait()
     };
     // The page for operators shows the same message.
     let page = include_str!("../docs/operating/ingest.md");
@@ -242,6 +242,6 @@
     let stream = "[stream]\nlisten = \"127.0.0.1:0\"\nservers = [{name = \"a\", dial = \"127.0.0.1:1\"}]\n\
                   [[stream.class]]\nname = \"export\"\nrepeat = \"safe\"\n";
     let (succeeded, log) =
-        Program::operator(&(fleet_table + text.split_once('\n').unwrap().1 + stream)).wait();
+        Program::start_with_operator_file(&(fleet_table + text.split_once('\n').unwrap().1 + stream)).wait();
     assert!(!succeeded && log.contains("only the HTTP frontend applies a policy"), "{log}");
 }
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -31,8 +31,8 @@
 }
 
 fn start(servers: &[SocketAddr], stream_keys: &str, class_keys: &str) -> (Program, SocketAddr) {
-    let mut program = Program::operator(&operator_file(servers, stream_keys, class_keys));
-    let address = program.address();
+    let mut program = Program::start_with_operator_file(&operator_file(servers, stream_keys, class_keys));
+    let address = program.read_address();
     (program, address)
 }
 
@@ -50,8 +50,8 @@
 
     fn from_stream(stream: TcpStream) -> Wire {
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream.set_write_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        stream.set_write_timeout(Some(TEST_TIMEOUT)).unwrap();
         Wire(BufReader::new(stream))
     }
 
@@ -421,7 +421,7 @@
 #[test]
 fn unsafe_request_is_sent_to_another_server_if_the_first_is_unreachable() {
     let (listener, server) = listener();
-    let (_program, address) = start(&[nobody(), server], "", "");
+    let (_program, address) = start(&[refusing_address(), server], "", "");
     for _ in 0..6 {
         let mut client = Wire::connect(address);
         client.write(put("once", 3) + "job");
@@ -438,8 +438,8 @@
 fn draining_server_finishes_its_stream_and_gets_no_new_requests() {
     let ((old, one), (new, two)) = (listener(), listener());
     let text = operator_file(&[one], "", "");
-    let mut program = Program::operator(&text);
-    let address = program.address();
+    let mut program = Program::start_with_operator_file(&text);
+    let address = program.read_address();
     let mut client = Wire::connect(address);
     client.write(put("once", 40_000));
     client.write(body(20_000));
@@ -635,8 +635,8 @@
     let text = operator_file(&[first], "", "");
     let servers = text.lines().find(|l| l.starts_with("servers")).unwrap().to_string();
     let mut program =
-        Program::operator(&text.replace(&servers, &format!("discovery = \"{discovery_address}\"")));
-    let address = program.address();
+        Program::start_with_operator_file(&text.replace(&servers, &format!("discovery = \"{discovery_address}\"")));
+    let address = program.read_address();
     let mut service = Http::accept(&discovery);
     let (head, _) = service.read();
     assert!(head.starts_with("GET /discovery/hosts?since=0"), "{head}");
@@ -667,8 +667,8 @@
 /// Guards against a start with an invalid file, and against a message that omits one of its errors.
 #[test]
 fn invalid_file_prevents_the_start_and_each_error_is_logged() {
-    let invalid = operator_file(&[nobody()], "attempts = 9\nturn_kb = 1", "");
-    let (succeeded, log) = Program::operator(&invalid).wait();
+    let invalid = operator_file(&[refusing_address()], "attempts = 9\nturn_kb = 1", "");
+    let (succeeded, log) = Program::start_with_operator_file(&invalid).wait();
     assert!(!succeeded);
     let lines: Vec<&str> = log.lines().collect();
     assert_eq!(lines.len(), 2, "{log}");
@@ -681,7 +681,7 @@
 /// Guards against requests that never end because no server is reachable, or because their clients disconnected.
 #[test]
 fn requests_without_a_reachable_server_are_rejected_and_the_program_ends() {
-    let (program, address) = start(&[nobody()], "retry_after_s = 1", "");
+    let (program, address) = start(&[refusing_address()], "retry_after_s = 1", "");
     let mut clients: Vec<Wire> = (0..6).map(|_| Wire::connect(address)).collect();
     for client in &mut clients {
         client.write(put("once", 3) + "job");
@@ -694,7 +694,7 @@
     program.signal("TERM");
     let (succeeded, text) = program.wait();
     assert!(succeeded, "{text}");
-    assert_eq!(told(&text, "taken"), 6, "{text}");
-    all_ended(&text);
-    assert_eq!(told(&text, "held"), 0, "{text}");
+    assert_eq!(logged_counter(&text, "taken"), 6, "{text}");
+    assert_all_ended(&text);
+    assert_eq!(logged_counter(&text, "held"), 0, "{text}");
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -45,7 +45,7 @@
                 )
                 .replace("5eed", &format!("{number}"));
             let mut program = Program::start(Some(&config), None);
-            program.address();
+            program.read_address();
             // Indented: a list may contain whitespace.
             let list = format!(
                 "{{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n    {}\n  ]\n}}\n",
@@ -84,7 +84,7 @@
     let hosts = [("s-1", dial_one), ("s-2", dial_two)];
     let mut program =
         Program::start(Some(&config(256, agent_address, &hosts).replace("subscribe", "automatic")), None);
-    let address = program.address();
+    let address = program.read_address();
     let mut watch = Http::accept(&agent);
     assert!(watch.read().0.starts_with("GET /discovery/hosts?since=7&"));
     // The agent sends nothing more on this connection. The process calls again on a new one, which the agent closes at once.
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -41,16 +41,16 @@
 
     /// Starts a process. Returns it and the address of its console.
     fn start(&self, own: usize) -> (Program, SocketAddr) {
-        let mut program = Program::operator(&self.table(own));
-        program.address();
-        let console = program.address();
+        let mut program = Program::start_with_operator_file(&self.table(own));
+        program.read_address();
+        let console = program.read_address();
         (program, console)
     }
 }
 
 fn metric(console: SocketAddr, name: &str) -> f64 {
     let mut stream = TcpStream::connect(console).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(b"telemetry\n").unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
@@ -58,7 +58,7 @@
 }
 
 fn wait_until(expected: &str, condition: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < end, "timed out waiting until {expected}");
     }
@@ -125,7 +125,7 @@
     corrupt[20] ^= 1;
     corrupt.extend([0; 64]);
     std::fs::write(&fleet.vote_files[2], &corrupt).unwrap();
-    let (succeeded, log) = Program::operator(&fleet.table(2)).wait();
+    let (succeeded, log) = Program::start_with_operator_file(&fleet.table(2)).wait();
     assert!(!succeeded);
     assert!(log.contains("corrupt frame at byte 18 (not an incomplete last write)"), "{log}");
 }
@@ -135,7 +135,7 @@
 fn invalid_fleet_table_prevents_the_start_and_each_error_is_logged() {
     let fleet = Fleet::new();
     let table = fleet.table(0).replace("name = \"n0\"\nstate", "name = \"n7\"\nstate");
-    let (succeeded, log) = Program::operator(&table.replacen("voter = true", "voter = false", 1)).wait();
+    let (succeeded, log) = Program::start_with_operator_file(&table.replacen("voter = true", "voter = false", 1)).wait();
     assert!(!succeeded);
     assert!(log.contains("`name` is `n7`") && log.contains("2 members have `voter = true`"), "{log}");
 }
