--- a/rig/src/dispatch.rs
+++ b/rig/src/dispatch.rs
@@ -21,7 +21,7 @@
     let mut line = Vec::new();
     println!(
         "{:>8} {:>8} {:>10} {:>9} {:>7} {:>14}",
-        "dispatch", "body kB", "completed", "refused", "s", "server slot s"
+        "way", "body kB", "completed", "refused", "s", "server slot s"
     );
     for size in [48_000u64, 400_000] {
         for dispatch in ["head", "prefix", "pace"] {
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -59,8 +59,12 @@
             self.dir.join(format!("kept-{own}")).display()
         );
         let config = config(128, refusing_address(), &self.hosts[..servers]);
-        let mut program =
-            Program::from_command(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text));
+        let mut program = Program::from_command(
+            Command::new(env!("CARGO_BIN_EXE_micabeam")),
+            Some(&config),
+            None,
+            Some(&text),
+        );
         let address = program.read_address();
         let console = program.read_address();
         (program, address, console)
@@ -231,7 +235,8 @@
         let config = config(128, refusing_address(), &fleet.hosts);
         let table = fleet_table.clone();
         let text = table + text.split_once('\n').unwrap().1;
-        Program::from_command(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text)).wait()
+        Program::from_command(Command::new(env!("CARGO_BIN_EXE_micabeam")), Some(&config), None, Some(&text))
+            .wait()
     };
     // The page for operators shows the same message.
     let page = include_str!("../docs/operating/ingest.md");
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -634,8 +634,9 @@
     let ((discovery, discovery_address), (one, first), (two, second)) = (listener(), listener(), listener());
     let text = operator_file(&[first], "", "");
     let servers = text.lines().find(|l| l.starts_with("servers")).unwrap().to_string();
-    let mut program =
-        Program::start_with_operator_file(&text.replace(&servers, &format!("discovery = \"{discovery_address}\"")));
+    let mut program = Program::start_with_operator_file(
+        &text.replace(&servers, &format!("discovery = \"{discovery_address}\"")),
+    );
     let address = program.read_address();
     let mut service = Http::accept(&discovery);
     let (head, _) = service.read();
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -135,7 +135,8 @@
 fn invalid_fleet_table_prevents_the_start_and_each_error_is_logged() {
     let fleet = Fleet::new();
     let table = fleet.table(0).replace("name = \"n0\"\nstate", "name = \"n7\"\nstate");
-    let (succeeded, log) = Program::start_with_operator_file(&table.replacen("voter = true", "voter = false", 1)).wait();
+    let (succeeded, log) =
+        Program::start_with_operator_file(&table.replacen("voter = true", "voter = false", 1)).wait();
     assert!(!succeeded);
     assert!(log.contains("`name` is `n7`") && log.contains("2 members have `voter = true`"), "{log}");
 }
