--- a/rig/shim/src/lib.rs
+++ b/rig/shim/src/lib.rs
@@ -84,7 +84,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     let real = next_definition!(c"clock_gettime", ClockGettime);
@@ -101,7 +101,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     descriptor: c_int,
@@ -123,7 +123,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     if let Some(errno) = injected_error(Call::Connect) {
@@ -137,7 +137,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if let Some(errno) = injected_error(Call::Socket) {
@@ -151,7 +151,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(
     descriptor: c_int,
@@ -170,7 +170,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -190,7 +190,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
     let real = next_definition!(c"write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
@@ -213,7 +213,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
     if let Some(errno) = injected_sync_error(descriptor) {
@@ -227,7 +227,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(descriptor: c_int) -> c_int {
     if let Some(errno) = injected_sync_error(descriptor) {
@@ -241,7 +241,7 @@
 /// Interposes the C library's function of this name.
 ///
 /// # Safety
-/// The same as for the C library's function.
+/// The requirements of the C library's function apply.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     // SAFETY: the caller passes a C string.
--- a/rig/src/peers.rs
+++ b/rig/src/peers.rs
@@ -28,7 +28,7 @@
     Down,
 }
 
-/// A request for one stream. Its path tells the stand-in server everything that it needs to know.
+/// A request for one stream. Its path contains everything that the stand-in server needs to know.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamRequest {
     /// Job class, the first segment of the path.
@@ -56,7 +56,7 @@
     Broken(String),
 }
 
-/// Limits a transfer to a rate by sleeping when it is ahead; a rate of 0 is no limit.
+/// Limits a transfer to a rate by sleeping when it is ahead; a rate of 0 means no limit.
 struct Pacer {
     rate: u64,
     began: Instant,
@@ -120,7 +120,7 @@
                     (size, left) = (size + n as u64, left - n as u64);
                     pacer.on_transferred(n);
                 }
-                // Like an end of file, a reset tells the receiver that the body was cut.
+                // Like an end of file, a reset shows the receiver that the body was cut.
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return Ok(false),
                 Err(e) => return Err(e),
             }
--- a/rig/src/rollout.rs
+++ b/rig/src/rollout.rs
@@ -1,9 +1,9 @@
 //! Experiment `rollout`: real processes change a policy that they share, with faults in and between them.
 //!
-//! Each version of the policy sends all jobs to one block of workers, so the block at which a job ran tells
-//! the version. Clients submit jobs to every process while new versions are requested. The checks use what
-//! clients and workers saw: no job runs under a version that was not decided, or under an old version after a
-//! newer one was seen anywhere.
+//! Each version of the policy sends all jobs to one block of workers, so the block at which a job ran
+//! identifies the version. Clients submit jobs to every process while new versions are requested.
+//! The checks use what clients and workers saw: no job runs under a version that was not decided,
+//! or under an old version after a newer one was seen anywhere.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{SocketAddr, TcpListener};
@@ -112,7 +112,7 @@
     /// 99th percentile of the time that jobs took beyond their run time while versions changed without
     /// faults, in milliseconds.
     pub pause_ms_p99: u64,
-    /// The same while no version changed.
+    /// 99th percentile of the same time while no version changed, in milliseconds.
     pub calm_ms_p99: u64,
 }
 
--- a/rig/src/scale/dispatcher.rs
+++ b/rig/src/scale/dispatcher.rs
@@ -43,7 +43,7 @@
     pub(super) frozen: bool,
     /// Datagrams that arrived while it was suspended.
     pub(super) queued: Vec<(MemberId, Vec<u8>)>,
-    /// Content of the voter's file.
+    /// Content of the vote file.
     disk: Vec<u8>,
     /// Policy documents on its disk.
     documents: Vec<(DocumentHash, Vec<u8>)>,
@@ -165,7 +165,7 @@
         });
     }
 
-    /// Applies a write to the voter's file.
+    /// Applies a write to the vote file.
     pub(super) fn write_votes(&mut self, write: Write) {
         match write {
             Write::Nothing => {}
--- a/rig/src/soak/world.rs
+++ b/rig/src/soak/world.rs
@@ -55,7 +55,7 @@
     /// Whether the run is ending.
     pub stopping: AtomicBool,
     service: Mutex<Service>,
-    /// What the stand-ins have seen.
+    /// Record of the events that the stand-ins observed.
     pub record: Mutex<Record>,
     rng: Mutex<fastrand::Rng>,
     next_request: AtomicU64,
--- a/rig/src/upgrade.rs
+++ b/rig/src/upgrade.rs
@@ -81,7 +81,7 @@
 pub struct Figures {
     /// Number of upgrades.
     pub rounds: usize,
-    /// Jobs that were submitted; those that met no process in any attempt are left out.
+    /// Jobs that were submitted; those that no process read in any attempt are left out.
     pub jobs: u64,
     /// Jobs that were served.
     pub served: u64,
--- a/rig/src/zones/mod.rs
+++ b/rig/src/zones/mod.rs
@@ -1,6 +1,6 @@
 //! Zone failover experiment: real dispatcher processes in several zones, stand-in workers, clients and discovery, and a
 //! proxy between the processes that injects network faults. A checker verifies what clients, workers and processes saw.
-//! The same seed injects the same faults again.
+//! Runs with the same seed inject the same faults.
 
 mod check;
 mod stage;
--- a/src/consensus/heartbeat.rs
+++ b/src/consensus/heartbeat.rs
@@ -57,7 +57,7 @@
     succession: Succession,
 }
 
-/// What a new leader has learned about its predecessors.
+/// Information that a new leader has collected about its predecessors.
 #[derive(Debug, Default)]
 struct Succession {
     /// The new leader's ballot.
--- a/src/consensus/storage.rs
+++ b/src/consensus/storage.rs
@@ -343,7 +343,7 @@
         self.change(Change::Trim(index as u64))
     }
 
-    /// Same as `trim`, because the log's first index is stored only once.
+    /// Stores the same change as `trim`, because the log's first index is stored only once.
     fn set_compacted_idx(&mut self, index: usize) -> StorageResult<()> {
         self.change(Change::Trim(index as u64))
     }
--- a/src/control_plane/mod.rs
+++ b/src/control_plane/mod.rs
@@ -49,7 +49,7 @@
 }
 
 impl ControlPlane {
-    /// Creates a control plane. `persisted` is the state from the votes file, if this member is a voter and has one.
+    /// Creates a control plane. `persisted` is the state from the vote file, if this member is a voter and has one.
     ///
     /// # Errors
     ///
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -8,7 +8,7 @@
 pub struct JobRequest {
     /// Class of the job, by index in the settings.
     pub class: usize,
-    /// Time at which its client gives up, in milliseconds of the core's clock.
+    /// Time at which the job's client stops waiting, in milliseconds of the core's clock.
     pub deadline_ms: f64,
     /// Number of slots that the job occupies at its endpoint.
     pub slots: f64,
--- a/src/core/list_status.rs
+++ b/src/core/list_status.rs
@@ -1,4 +1,4 @@
-//! Applies list freshness: tells the routers whether attempts are allowed, and logs and counts each change.
+//! Applies list freshness: informs the routers whether attempts are allowed, and logs and counts each change.
 //! [`ListFreshness`](crate::routing::ListFreshness) makes the decision.
 
 use tracing::info;
@@ -56,7 +56,7 @@
         lasted
     }
 
-    /// Tells the routers whether attempts are allowed by the list's freshness, if that has changed.
+    /// Informs the routers if the list's freshness now allows attempts or no longer does.
     pub(super) fn refresh_attempts_allowed(&mut self) {
         let now = micros(self.clock.now());
         if self.list_freshness.expire(now) {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -2,7 +2,7 @@
 //! frontend feeds it events and carries out its commands.
 //!
 //! A frontend reports events to the core (`submit`, `on_…`, `tick`) and then carries out all commands that
-//! `next_command` returns, in order. It must report the end of each attempt that it was told to send exactly
+//! `next_command` returns, in order. It must report the end of each attempt that it was asked to send exactly
 //! once, and must call `tick` when `next_deadline` is reached.
 //!
 //! Ownership: `jobs::Jobs` holds the jobs and their attempts, [`EndpointTable`] the endpoints' names and
--- a/src/core/partition.rs
+++ b/src/core/partition.rs
@@ -6,7 +6,7 @@
 /// Id of a partition; 0 stands for all endpoints.
 pub type PartitionId = u32;
 
-/// The id that stands for all endpoints.
+/// Id that stands for all endpoints.
 pub const ALL_ENDPOINTS: PartitionId = 0;
 
 /// Selects the endpoints of a partition: those that match every condition that is set.
--- a/src/core/stages/answer.rs
+++ b/src/core/stages/answer.rs
@@ -1,4 +1,4 @@
-//! Answer: gives a job its only final answer.
+//! Answer: records a job's final answer, of which there is at most one per job.
 
 use std::collections::VecDeque;
 
--- a/src/core/traffic_split.rs
+++ b/src/core/traffic_split.rs
@@ -18,7 +18,7 @@
     AttemptEnded {
         /// Zone of its endpoint, by index in the settings.
         zone: u16,
-        /// What the outcome says about the zone.
+        /// Result of the attempt, as evidence for the zone's health.
         result: AttemptResult,
         /// Response time of the endpoint, in milliseconds.
         latency_ms: f64,
@@ -46,7 +46,7 @@
 }
 
 impl TrafficSplit {
-    /// Returns a split that gives all zones their full share.
+    /// Returns a split in which all zones have their full share.
     pub(super) fn new(zones: usize) -> TrafficSplit {
         TrafficSplit {
             zone_shares: vec![FULL_SHARE; zones],
--- a/src/fleet/delivery.rs
+++ b/src/fleet/delivery.rs
@@ -53,7 +53,7 @@
 }
 
 impl ReplayWindow {
-    /// Accepts a number unless it was accepted before or is too old to tell, and returns whether it did.
+    /// Records a number and returns true, unless it was accepted before or is too old for the window.
     fn accept(&mut self, number: u64) -> bool {
         if number > self.newest {
             let advance = number - self.newest;
@@ -71,7 +71,7 @@
     }
 }
 
-/// What was accepted from one member: its incarnation, and the newest frame numbers.
+/// Record of the frames accepted from one member: its incarnation and the newest frame numbers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReorderFilter {
     incarnation: u64,
--- a/src/flow/hold.rs
+++ b/src/flow/hold.rs
@@ -12,7 +12,7 @@
     Pace,
 }
 
-/// What to do with a held request.
+/// Decision on a held request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldDecision {
     /// Wait for more of the body.
--- a/src/flow/meter.rs
+++ b/src/flow/meter.rs
@@ -15,9 +15,9 @@
 /// How a peer failed to keep its pace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PaceFailure {
-    /// It transferred fewer bytes than the minimum pace requires.
+    /// The peer transferred fewer bytes than the minimum pace requires.
     Slow,
-    /// It transferred no byte for too long.
+    /// The peer transferred no byte for too long.
     Silent,
 }
 
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -80,7 +80,7 @@
     pub read_limit: usize,
 }
 
-/// What a turn has transferred, and the state in which it left the channel.
+/// Bytes that a turn has transferred, and the state in which it left the channel.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TurnResult {
     /// Bytes read from the source.
--- a/src/frontend/discovery/call_timing.rs
+++ b/src/frontend/discovery/call_timing.rs
@@ -11,7 +11,7 @@
 /// How long a call that asks for an immediate answer may take, in milliseconds. Discovery processes calls one
 /// after another.
 const CALL_TIMEOUT_MS: f64 = 2_500.0;
-/// Same limit as `CALL_TIMEOUT_MS`, for a large fleet: an abandoned call still takes discovery's time.
+/// Same limit as `CALL_TIMEOUT_MS`, for a large fleet: discovery still spends time on an abandoned call.
 const LARGE_FLEET_CALL_TIMEOUT_MS: f64 = 3_500.0;
 /// Time after the end of its wait at which a watch without an answer is considered broken, in milliseconds. A
 /// change that it missed counts as received 2 s after the wait, and must be followed 2 s later; the next call
--- a/src/frontend/fleet/messages.rs
+++ b/src/frontend/fleet/messages.rs
@@ -42,9 +42,9 @@
 /// Whether the frontends keep serving when the process leaves the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
-    /// They keep serving until the lease expires.
+    /// The frontends keep serving until the lease expires.
     KeepsServing,
-    /// They start no new requests, so the lease can be returned.
+    /// The frontends start no new requests, so the lease can be returned.
     Stopped,
 }
 
--- a/src/frontend/gearman/mod.rs
+++ b/src/frontend/gearman/mod.rs
@@ -1,10 +1,10 @@
 //! The Gearman frontend: serves clients and workers of the Gearman protocol, on the same core as the other
 //! frontends.
 //!
-//! It owns the connections of its listener, their packets and the record of jobs, but makes no scheduling
-//! decisions. The core decides which worker gets a job, whether a job is retried and which jobs are rejected.
-//! Each worker connection is an endpoint of the core. `docs/gearman.md` describes how rejections and failures
-//! look to a client.
+//! The frontend owns the connections of its listener, their packets and the record of jobs, but makes no
+//! scheduling decisions. The core decides which worker gets a job, whether a job is retried and which jobs
+//! are rejected. Each worker connection is an endpoint of the core. `docs/gearman.md` describes how
+//! rejections and failures look to a client.
 //!
 //! The caller must call `on_ready` and `accept` when its sockets are ready, and `tick` no later than
 //! `next_deadline`.
--- a/src/frontend/gearman/peers.rs
+++ b/src/frontend/gearman/peers.rs
@@ -113,7 +113,7 @@
     Done,
     /// The certificate has not been received yet.
     Pending,
-    /// The peer closed its side before it sent a certificate, or its certificate gives it no role.
+    /// The peer closed its side before it sent a certificate, or its certificate names no role.
     Rejected,
 }
 
--- a/src/frontend/gearman/workers.rs
+++ b/src/frontend/gearman/workers.rs
@@ -228,8 +228,8 @@
         let endpoint = self.core.endpoints().get(worker.endpoint).map(|s| s.endpoint).unwrap_or_default();
         let kind = kind.map_or(endpoint.kind, |kind| kind as u16);
         // `started_at` is the connection's id, which differs from that of the worker that had this slot
-        // before. As a time it is long past, so that there is no slow start: a worker that fetches one job at
-        // a time cannot be overloaded.
+        // before. As a time it is long past, so the endpoint is not in slow start: a worker that fetches
+        // one job at a time cannot be overloaded.
         let endpoint = Endpoint { kind, size: 1.0, status: state, started_at: id, ..endpoint };
         let listed = ListedEndpoint { name: worker.name.clone(), address: String::new(), endpoint };
         worker.state = state;
--- a/src/frontend/http/clients.rs
+++ b/src/frontend/http/clients.rs
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Closes a connection and tells the core that the client of its job has left.
+    /// Closes a connection and reports to the core that the client of its job has left.
     pub(super) fn drop_client(&mut self, net: &mut Sockets, id: ConnId) {
         net.close(id);
         self.clients.reserve(id, 0);
--- a/src/frontend/http/policy_gate.rs
+++ b/src/frontend/http/policy_gate.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Where the policy sends a request.
+/// Destination of a request according to the policy.
 pub(super) enum RouteDecision {
     /// To the endpoints of a partition.
     Partition(PartitionId),
--- a/src/frontend/http/upgrade_link.rs
+++ b/src/frontend/http/upgrade_link.rs
@@ -36,8 +36,8 @@
 /// Minimum time between two reads of the handover note, in milliseconds.
 const NOTE_INTERVAL_MS: f64 = 100.0;
 /// Time between a response of the predecessor and the next request for its list, in milliseconds. Several
-/// requests fit into the grace period within which a drain that only the predecessor was told about must be
-/// followed.
+/// requests fit into the grace period within which a drain that discovery reported only to the predecessor
+/// must be followed.
 const LIST_INTERVAL_MS: f64 = 400.0;
 /// Maximum number of process IDs read from `ASKED_HEADER`.
 const MAX_ASKED_PROCESSES: usize = 4;
@@ -394,7 +394,7 @@
         link.write(net, now_ms, LinkRequest::List { sent_at_ms: now_ms }, &bytes);
     }
 
-    /// Tells a process that a connection is a link, so that it does not close it as idle.
+    /// Announces to a process that a connection is a link, so that the process does not close it as idle.
     fn introduce(&mut self, net: &mut Sockets, now_ms: f64, id: ConnId, pid: u32) {
         let wants_warm_state = if self.predecessor == Some(pid) { WANTS_WARM_STATE } else { "" };
         let headers = [
--- a/src/frontend/http/upgrade_link/connection.rs
+++ b/src/frontend/http/upgrade_link/connection.rs
@@ -41,7 +41,7 @@
 pub(super) enum LinkState {
     /// Connecting; it is not known yet which process was reached.
     Reaching,
-    /// The intended process was reached and is being told that the connection is a link.
+    /// The intended process was reached, and the announcement that the connection is a link is being sent.
     Introducing,
     /// Established: callbacks can be forwarded.
     Up,
--- a/src/frontend/http/upstream/table.rs
+++ b/src/frontend/http/upstream/table.rs
@@ -76,14 +76,14 @@
     pub cancel_tries: Option<u32>,
 }
 
-/// Whether the next attempt of a job may be written, where no two may be open at once.
+/// Whether the next attempt of a job may be written, if no two attempts may be open at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::frontend::http) enum WritePermission {
-    /// It may be written now.
+    /// The attempt may be written now.
     Granted,
-    /// Not yet: the previous attempt is being cancelled.
+    /// The attempt may not be written yet: the previous attempt is being cancelled.
     Pending,
-    /// It may not be written: the previous attempt could not be cancelled.
+    /// The attempt may not be written: the previous attempt could not be cancelled.
     Denied,
 }
 
--- a/src/frontend/shutdown.rs
+++ b/src/frontend/shutdown.rs
@@ -6,8 +6,9 @@
 /// Cap on the longest client deadline, in milliseconds. The process is killed no sooner after the stop signal
 /// than this capped deadline plus `KILL_GRACE_MS`.
 const MAX_COUNTED_WAIT_MS: f64 = 3000.0;
-/// Time by which the kill comes later than the longest client deadline, in milliseconds. Requests that arrive
-/// later than this after the signal could be left unanswered by the kill, so their deadlines are limited.
+/// Time from the longest client deadline after the stop signal to the kill, in milliseconds. Requests that
+/// arrive later than this after the signal could be left unanswered by the kill, so their deadlines are
+/// limited.
 const KILL_GRACE_MS: f64 = 700.0;
 /// Time reserved for writing the last answers and for the delivery of the signal, in milliseconds.
 const MARGIN_MS: f64 = 400.0;
--- a/src/frontend/streaming/endings.rs
+++ b/src/frontend/streaming/endings.rs
@@ -60,7 +60,7 @@
     }
 
     /// Ends an exchange with a response of the frontend's own. If the endpoint's response has already begun,
-    /// the client connection is closed such that the client can tell that the response is incomplete.
+    /// the client connection is closed such that the client recognizes the response as incomplete.
     /// `retry_after_ms` becomes the `Retry-After` header; 0 omits the header.
     pub(super) fn reject(&mut self, net: &mut Sockets, stream: StreamId, status: u16, retry_after_ms: f64) {
         if self.exchanges.get(&stream).is_some_and(|e| e.is_complete) {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Gives up peers that are too slow or silent, and endpoints whose response has not begun in time.
+    /// Ends exchanges and attempts whose peer is too slow or silent, or whose response has not begun in time.
     pub(super) fn expire_streams(&mut self, net: &mut Sockets, now: f64) {
         for failed_peer in self.flow.expire(now) {
             self.counters.count_failed_peer(&failed_peer);
--- a/src/frontend/streaming/mod.rs
+++ b/src/frontend/streaming/mod.rs
@@ -1,10 +1,10 @@
 //! The streaming frontend: an HTTP/1.1 reverse proxy that relays request and response bodies of any length
 //! while they arrive. Endpoints respond on the connection that carried the request.
 //!
-//! It owns the client connections of its listener, the connections to its endpoints and the exchanges between
-//! them, but makes no routing decisions. The core decides which endpoint gets a request, whether a request is
-//! retried and which requests are rejected. `flow` decides which connection is read next, how much is read,
-//! and which peer is too slow.
+//! The frontend owns the client connections of its listener, the connections to its endpoints and the
+//! exchanges between them, but makes no routing decisions. The core decides which endpoint gets a request,
+//! whether a request is retried and which requests are rejected. `flow` decides which connection
+//! is read next, how much is read, and which peer is too slow.
 //!
 //! The caller must call `on_ready` and `accept` when its sockets are ready, and `tick` no later than
 //! `next_deadline`.
--- a/src/ingest/rules.rs
+++ b/src/ingest/rules.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// What happens to a request if no endpoint of its partition accepts work.
+/// Treatment of a request if no endpoint of its partition accepts work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Empty {
@@ -86,7 +86,7 @@
     pub headers: Vec<(String, Test)>,
     /// Index of the partition that the requests go to.
     pub partition: usize,
-    /// What happens if no endpoint of the partition accepts work.
+    /// Treatment of the requests if no endpoint of the partition accepts work.
     pub empty: Empty,
 }
 
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -254,7 +254,7 @@
     }
 
     /// Accepts a job from a client. The caller stores the records at once; `Route` follows when they are
-    /// durable. Only then may the client be told that its job is accepted.
+    /// durable. Only then may the client be informed that its job is accepted.
     ///
     /// # Errors
     /// If a bound is reached, the store has failed, or the job's deadline has passed.
--- a/src/main.rs
+++ b/src/main.rs
@@ -99,8 +99,8 @@
     let _ = write!(std::io::stderr(), "{}", gateway.counters());
 }
 
-/// Reads the configuration files and opens the frontends and the console. The platform's HTTP frontend comes
-/// after the other frontends, because clients wait for its address.
+/// Reads the configuration files and opens the frontends and the console. The platform's HTTP frontend is
+/// opened after the other frontends, because clients wait for its address.
 fn open_gateway(files: Files, handle: LoopHandle<'static, Gateway>) -> Result<Gateway, String> {
     let clock = Clock::system();
     let mut net = Net::new(handle.clone());
@@ -135,7 +135,7 @@
 }
 
 /// Connects the HTTP frontend to its fleet and to a process that already listens at its address. Returns this
-/// process's hand-over note.
+/// process's handover note.
 fn join_fleet_and_predecessor(
     frontend: &mut HttpFrontend,
     net: &mut Sockets,
@@ -156,7 +156,7 @@
     note
 }
 
-/// Writes the hand-over note that tells a process at the same address that this one takes over from it.
+/// Writes the handover note, which informs a process at the same address that this one takes over from it.
 fn leave_note(path: &Path, clock: &Clock) -> Option<OwnNote> {
     let listening_since_ms = clock.now() as u64;
     let note = handover::HandoverNote { pid: std::process::id(), listening_since_ms };
--- a/src/net/body.rs
+++ b/src/net/body.rs
@@ -84,7 +84,7 @@
     Done,
 }
 
-/// What to do with the available bytes: drop `skip` bytes, then forward up to `payload` bytes and call
+/// Instruction for the available bytes: drop `skip` bytes, then forward up to `payload` bytes and call
 /// `consume_payload` with the number forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Step {
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -30,7 +30,7 @@
 
 impl<K: std::hash::Hash + Eq + Copy> Pool<K> {
     /// Creates a pool for peers that close connections after `limit_ms` milliseconds without a request. The
-    /// pool gives connections up well before that, because a request sent while the peer closes its
+    /// pool discards connections well before that, because a request sent while the peer closes its
     /// connection would be lost.
     pub fn new(limit_ms: f64) -> Pool<K> {
         let mut pool =
--- a/src/rollout/coordinator.rs
+++ b/src/rollout/coordinator.rs
@@ -84,7 +84,7 @@
     Checking,
     /// Waiting until all members that may serve have paused.
     Pausing { pause: Pause, since_ms: f64 },
-    /// Waiting until the log has decided the proposal: to put the version in force (with a pause) or to give it up
+    /// Waiting until the log has decided the proposal: to put the version in force (with a pause) or to discard it
     /// (without one).
     Deciding { pause: Option<Pause> },
 }
--- a/src/rollout/participant.rs
+++ b/src/rollout/participant.rs
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Stops requesting leases and announces this to the leader; [`Participant::has_left`] tells when that is done. If
+    /// Stops requesting leases and announces this to the leader; [`Participant::has_left`] says when that is done. If
     /// `serves`, the process continues to serve until its lease expires; otherwise the leader ends the lease
     /// immediately.
     pub fn leave(&mut self, now: f64, serves: bool) {
--- a/src/rollout/participant_state.rs
+++ b/src/rollout/participant_state.rs
@@ -41,7 +41,7 @@
 pub(super) enum StagedDocument {
     /// This member does not have the document, or nothing is staged.
     Missing,
-    /// The caller has been told to save and check the document.
+    /// The caller has been asked to save and check the document.
     Saving,
     /// The document is on disk.
     Saved,
--- a/src/routing/cycle.rs
+++ b/src/routing/cycle.rs
@@ -40,7 +40,7 @@
 /// A turn of an endpoint, used while the period is laid out.
 #[derive(Clone, Copy, Debug)]
 struct Turn {
-    /// Where the turn is in the period, from 0 to 1.
+    /// Position of the turn in the period, from 0 to 1.
     point: f64,
     /// The position of the turn's endpoint in the order.
     position: usize,
--- a/src/routing/endpoint_state.rs
+++ b/src/routing/endpoint_state.rs
@@ -86,7 +86,8 @@
         self.slow_start_tokens -= 1.0;
     }
 
-    /// Frees what an attempt occupied, once it is over or its result is no longer needed.
+    /// Frees the slots and the in-flight entry of an attempt that is over or whose result is no longer
+    /// needed.
     pub(super) fn release(&mut self, attempt: &mut Attempt, job: JobId, number: usize, slots: f64) {
         if !attempt.in_flight {
             return;
--- a/src/routing/list_freshness.rs
+++ b/src/routing/list_freshness.rs
@@ -78,9 +78,9 @@
 /// Why a list is not confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnconfirmedReason {
-    /// It is the list that was saved before the start.
+    /// The list was saved before the start.
     Start,
-    /// It is the list that the predecessor process handed over.
+    /// The list was handed over by the predecessor process.
     Predecessor,
     /// A different discovery service is configured from now on.
     ServiceChanged,
@@ -142,8 +142,8 @@
     }
 }
 
-/// What the failures since the last answer show about discovery. One call that fails slowly does not show
-/// whether discovery is down or overloaded; a second one does, as there is one call per 6 s.
+/// Failures since the last answer of discovery. One call that fails slowly does not show whether discovery
+/// is down or overloaded; a second one does, as there is one call per 6 s.
 #[derive(Clone, Copy, Debug, Default)]
 struct Reachability {
     failures: u32,
@@ -178,7 +178,7 @@
     }
 }
 
-/// What a predecessor process reports about the list that it hands over.
+/// Report of a predecessor process on the list that it hands over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PredecessorList {
     /// When the list was handed over, or earlier.
--- a/src/routing/load_estimate.rs
+++ b/src/routing/load_estimate.rs
@@ -61,7 +61,7 @@
         }
         let (slots, mean_run) = (estimate.slots(), self.estimates.mean_run);
         let queue_excess = (queue + slots_needed) / slots * mean_run;
-        // Accounts for machines that are very slow or share their cores: a free slot there is no advantage.
+        // On machines that are very slow or share their cores, a free slot is not an advantage.
         if endpoint.latency_ratio > SLOW_LATENCY_RATIO {
             queue_excess.max(mean_run / slots) * endpoint.latency_ratio
         } else {
--- a/src/routing/overflow.rs
+++ b/src/routing/overflow.rs
@@ -1,6 +1,6 @@
 //! Overflow past k: a job is sent to its scheduled endpoint, or to the first endpoint after it in the fixed
-//! order whose queue is not past k. Where endpoints can be probed, each is probed when its turn in the
-//! search comes.
+//! order whose queue is not past k. Where endpoints can be probed, each is probed when the
+//! search reaches it.
 
 use super::endpoint_state::{EndpointIndex, InFlightAttempt};
 use super::job_state::{Attempt, PendingJob, Search};
@@ -12,7 +12,7 @@
 
 /// Number of endpoints tried for a job before it takes the best of them.
 const MAX_STEPS: usize = 4;
-/// The same where endpoints report no load, so that trying an endpoint costs nothing.
+/// Same limit as `MAX_STEPS`, if endpoints report no load, so that trying an endpoint costs nothing.
 const MAX_STEPS_WITHOUT_REPORTS: usize = 16;
 /// How long a load report counts as fresh in a large fleet, which could not afford a probe for each job.
 const REPORT_LIFETIME_LARGE_FLEET: Micros = 1_000_000;
@@ -66,7 +66,7 @@
 
     /// Continues a job's search from the scheduled endpoint in the fixed order, until a queue is not past k.
     /// The job is sent, or an endpoint is probed for it, or it is held. If a probe is not answered in time,
-    /// the search goes on.
+    /// the search continues with the next endpoint.
     pub(super) fn try_next_endpoint(&mut self, now: Micros, id: JobId, out: &mut Vec<Action>) {
         let Some(pending) = self.jobs.get(&id).filter(|pending| pending.is_waiting) else { return };
         let (cycle, held_key, mut search) = (pending.cycle, pending.held_key, pending.search);
--- a/src/routing/retries.rs
+++ b/src/routing/retries.rs
@@ -11,7 +11,7 @@
 /// then. Immediate retries would take the slots of jobs that can still be in time.
 const RETRY_AFTER: Micros = 2_000_000;
 /// Number of attempts of an idempotent job in a large fleet that get a short start timeout, because
-/// endpoints that serve so many dispatchers are often full.
+/// endpoints that serve many dispatchers are often full.
 const SHORT_START_TIMEOUT_ATTEMPTS: usize = 3;
 /// A short start timeout is the latency objective divided by this.
 const SHORT_START_TIMEOUT_DIVISOR: Micros = 10;
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -33,7 +33,7 @@
         /// Id of the job.
         job: JobId,
     },
-    /// Give the final answer of a job whose client is about to give up.
+    /// Send the final answer of a job shortly before its client's deadline.
     Deadline {
         /// Id of the job.
         job: JobId,
--- a/src/routing/types.rs
+++ b/src/routing/types.rs
@@ -31,7 +31,7 @@
     pub live_sizes: bool,
     /// Whether the endpoint list is obtained by subscribing to discovery.
     pub must_subscribe: bool,
-    /// What the dispatcher is allowed to do.
+    /// Operations that the dispatcher is allowed to use.
     pub capabilities: Capabilities,
     /// Whether sending a job to another zone has a cost.
     pub zones_cost: bool,
@@ -114,7 +114,7 @@
     Cell,
 }
 
-/// What a dispatcher may do.
+/// Operations that a dispatcher may use.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Capabilities {
     /// Maximum number of attempts for one job.
@@ -182,11 +182,11 @@
     pub id: JobId,
     /// Index of the job's class.
     pub class: usize,
-    /// When the client gives up waiting for this request.
+    /// Time at which the client stops waiting for this request.
     pub deadline: Micros,
     /// Number of slots that the job occupies.
     pub slots: f64,
-    /// Expected work as told by the client, in time on a core of speed 1; `None` if the client did not say.
+    /// Expected work reported by the client, in time on a core of speed 1; `None` if it reported none.
     pub work: Option<Micros>,
 }
 
--- a/src/zones/failover_controller.rs
+++ b/src/zones/failover_controller.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns the next table to propose, or `None` if nothing needs to change. `zones_half_down` tells for each zone
+    /// Returns the next table to propose, or `None` if nothing needs to change. `zones_half_down` says for each zone
     /// whether the membership reports at least half of its members as down; a missing entry counts as false.
     pub fn next_table(
         &mut self,
--- a/src/zones/health_reports.rs
+++ b/src/zones/health_reports.rs
@@ -32,7 +32,7 @@
 /// The health of a zone according to all reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// The reports do not tell: no credible dispatcher has answered attempts or enough failed ones.
+    /// The reports do not suffice: no credible dispatcher has answered attempts or enough failed ones.
     Unknown,
     /// Most dispatchers get answers.
     Healthy,
@@ -41,7 +41,7 @@
     /// Most dispatchers find the zone failing.
     Down(FailureMode),
     /// The dispatchers in the zone send no digests, the membership reports at least half of them as down, and no other
-    /// dispatcher's attempts tell otherwise.
+    /// dispatcher's attempts indicate otherwise.
     Unreachable,
 }
 
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Returns the health of a zone. `half_down` tells whether the zone has members and the membership reports at least
+    /// Returns the health of a zone. `half_down` says whether the zone has members and the membership reports at least
     /// half of them as down.
     pub fn health(&self, now: f64, zone: usize, half_down: bool) -> ZoneHealth {
         let fresh: Vec<&Digest> = self.fresh(now).collect();
@@ -181,8 +181,8 @@
     fresh.iter().copied().filter(|digest| !is_faulty(digest)).collect()
 }
 
-/// Returns how a zone fails if several dispatchers together have enough failed attempts to tell, although each of them
-/// alone may have too few.
+/// Returns how a zone fails if several dispatchers together have enough failed attempts to determine it, although
+/// each of them alone may have too few.
 fn joint_failure(credible: &[&Digest], summary: ZoneSummary, zone: usize) -> Option<FailureMode> {
     let reporters = credible.iter().filter(|digest| digest.samples[zone].has_only_failures()).count();
     let failed = summary.refused + summary.silent;
--- a/src/zones/zone_view.rs
+++ b/src/zones/zone_view.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Returns the share that this dispatcher gives a zone according to the decided table. `home_fails` tells whether
+    /// Returns the share that this dispatcher gives a zone according to the decided table. `home_fails` says whether
     /// the dispatcher's own (home) zone is failing for it or lists no endpoints.
     fn agreed_share(&self, zone: usize, home_fails: bool) -> u16 {
         let zones = &self.newest_decision.table.zones;
--- a/tests/blind.rs
+++ b/tests/blind.rs
@@ -97,7 +97,7 @@
         Simulation { worlds, endpoints, rng, jobs, totals: Totals::default(), hint, next: 0 }
     }
 
-    /// Runs for so many seconds at a load, given as a fraction of the endpoints' capacity, and returns the
+    /// Runs for `seconds` seconds at `load`, a fraction of the endpoints' capacity, and returns the
     /// totals.
     fn run(&mut self, seconds: u64, load: f64) -> Totals {
         self.totals = Totals::default();
--- a/tests/common/net.rs
+++ b/tests/common/net.rs
@@ -12,8 +12,8 @@
 /// Timeout of blocking reads and of polling loops. Only a failing test reaches it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings with a safe and an unsafe class whose aims are long, so that a slow machine meets them, and an
-/// unsafe class with a short deadline.
+/// Settings with a safe and an unsafe class whose latency objectives (`aim`) are long, so that a slow
+/// machine meets them, and an unsafe class with a short deadline.
 pub const SETTINGS: &str = r#"{"balancers": 1, "myNumber": 0, "quantum": 1000, "membershipMode": "subscribe",
     "grades": [
       {"name": "avail-search", "aim": 4000000, "hardLimit": 5000000, "semantics": "retryable"},
@@ -150,7 +150,7 @@
     platform_with_sockets(256, discovery, hosts)
 }
 
-/// Same as `platform`, with a limit on the number of sockets.
+/// Starts the gateway as `platform` does, with a limit on the number of sockets.
 pub fn platform_with_sockets(
     sockets: usize,
     discovery: SocketAddr,
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -472,7 +472,8 @@
 fn damaged() -> Vec<u8> {
     let mut bytes = std::fs::read(fixture("fleet/votes-0")).unwrap();
     bytes[35] ^= 1;
-    // A valid batch follows, so this is no torn write at the end: votes after the damage may have been sent.
+    // A valid batch follows, so this is not a torn write at the end: votes after the damage may have been
+    // sent.
     bytes.extend(bytes[18..].to_vec());
     bytes
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -21,15 +21,15 @@
 const WARM_RUN_TIME: Micros = 300 * MS;
 const WARM_JOBS_PER_SECOND: f64 = 10.0;
 const SEEDS: u64 = 4;
-/// Scenarios with more jobs than all endpoints can serve: one in so many endpoints is cold, and the load is
-/// a fraction of the capacity of all endpoints when warm.
+/// Scenarios with more jobs than all endpoints can serve: the first number n means that one in n
+/// endpoints is cold, the second is the load as a fraction of the capacity of all endpoints when warm.
 const OVERLOADS: [(u64, f64); 4] = [(2, 1.5), (2, 2.0), (3, 2.0), (1, 1.5)];
 
 #[derive(Clone, Copy)]
 struct Scenario {
     dispatchers: u32,
     endpoints: u64,
-    /// One in so many endpoints is cold.
+    /// One in `cold` endpoints is cold.
     cold: u64,
     /// Job rate, as a fraction of the capacity of all endpoints when warm.
     load: f64,
@@ -202,9 +202,9 @@
     }
 }
 
-/// The same scenarios with more seeds. A known failure: a turn is worth the same however many turns there
-/// are, and no dispatcher knows the capacity of an endpoint, so that 1.5 to 2 times the total capacity
-/// leaves no margin for random variation.
+/// Runs the scenarios of `slow_start_limits_hold_under_overload` with more seeds. A known failure: a
+/// turn is worth the same however many turns there are, and no dispatcher knows the capacity of an endpoint,
+/// so that 1.5 to 2 times the total capacity leaves no margin for random variation.
 #[test]
 fn the_ramp_holds_by_more_seeds_while_more_comes_than_all_can_do() {
     let mut over = Vec::new();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -356,7 +356,7 @@
     }
 }
 
-/// What the checker records of a job.
+/// Record of a job in the checker.
 struct JobRecord {
     class: usize,
     expires_at: Micros,
