--- a/src/frontend/http/mod.rs
+++ b/src/frontend/http/mod.rs
@@ -47,8 +47,7 @@
 /// Interval between two passes that close idle connections while clients are evacuated, in milliseconds.
 const EVACUATION_INTERVAL_MS: f64 = 100.0;
 /// Time after its start at which a process reports ready even without a usable list, in milliseconds, in a
-/// large fleet. Nine in ten starting processes are to be ready within 10 s, and within 6 s on days with a
-/// small fleet, since few dispatchers serve then.
+/// large fleet. Nine in ten starting processes are to be ready within 10 s, and within 6 s in a small fleet.
 const MAX_LARGE_FLEET_START_MS: f64 = 9_000.0;
 /// Same limit as `MAX_LARGE_FLEET_START_MS`, for a small fleet.
 const MAX_START_MS: f64 = 5_500.0;
